--- a/benchmarks/answers_ways.py
+++ b/benchmarks/answers_ways.py
@@ -15,8 +15,14 @@
 
 from tests.gateway import calls
 
-PLANS = [(("safe", "unsafe"), 2), (("unsafe", "unsafe", "late"), 1), (("unsafe", "unsafe"), 1),
-         (("safe", "unsafe", "late"), 1), (("unsafe", "unsafe", "late"), 2), (("safe", "safe"), 2)]
+PLANS = [
+    (("safe", "unsafe"), 2),
+    (("unsafe", "unsafe", "late"), 1),
+    (("unsafe", "unsafe"), 1),
+    (("safe", "unsafe", "late"), 1),
+    (("unsafe", "unsafe", "late"), 2),
+    (("safe", "safe"), 2),
+]
 
 
 def drawn(seed: int) -> tuple[list[int], int]:
@@ -34,6 +40,7 @@
             size = dice.randint(1, max(1, len(data) // dice.randint(1, 4)))
             yield data[:size]
             data = data[size:]
+
     return cut
 
 
@@ -43,11 +50,14 @@
 
     every, met, began = int(given("--every", "1")), Counter(), time.process_time()
     try:
-        for order, many in PLANS[:int(given("--plans", "6"))]:
+        for order, many in PLANS[: int(given("--plans", "6"))]:
             at = time.process_time()
             number, some = calls.explore(calls.ways(2, order, many, every), order, None, many)
             met.update(some)
-            print(f"{' '.join(order)}, {many} machines: {number} ways in {time.process_time() - at:.0f} s", flush=True)
+            print(
+                f"{' '.join(order)}, {many} machines: {number} ways in {time.process_time() - at:.0f} s",
+                flush=True,
+            )
         seed, number = int(given("--from", "0")), 0
         until = time.process_time() + float(given("--drawn", "60"))
         while time.process_time() < until:
--- a/benchmarks/member_storms.py
+++ b/benchmarks/member_storms.py
@@ -31,8 +31,10 @@
         else:
             changes.append(world.newest[1].number)
             puts += world.model.puts
-    print(f"{told.last - told.first + 1} storms of {told.members} members: {broken} broken; changes in force "
-          f"{sum(changes)}, at the least {min(changes, default=0)}; {puts} puts told; {time.monotonic() - began:.0f} s")
+    print(
+        f"{told.last - told.first + 1} storms of {told.members} members: {broken} broken; changes in force "
+        f"{sum(changes)}, at the least {min(changes, default=0)}; {puts} puts told; {time.monotonic() - began:.0f} s"
+    )
     return 1 if broken else 0
 
 
--- a/benchmarks/reader_fuzz.py
+++ b/benchmarks/reader_fuzz.py
@@ -20,7 +20,9 @@
         return words[words.index(name) + 1] if name in words else otherwise
 
     until, rounds = time.process_time() + float(given("--seconds", "60")), 0
-    wide = settings(max_examples=int(given("--batch", "20000")), deadline=None, derandomize=False, database=None)
+    wide = settings(
+        max_examples=int(given("--batch", "20000")), deadline=None, derandomize=False, database=None
+    )
     try:
         while time.process_time() < until:
             wide(drawn(reader_test.requests(), reader_test.CUTS)(reader_test.beside_h11))()
