--- a/umbermoor/__main__.py
+++ b/umbermoor/__main__.py
@@ -37,8 +37,12 @@
 from umbermoor.station import Misplaced, read_station
 
 
-EXTRAS = {"lab": "umbermoor.lab.command", "capture": "umbermoor.capture.command", "plan": "umbermoor.planner.command",
-          "ctl": "umbermoor.lifecycle.command"}
+EXTRAS = {
+    "lab": "umbermoor.lab.command",
+    "capture": "umbermoor.capture.command",
+    "plan": "umbermoor.planner.command",
+    "ctl": "umbermoor.lifecycle.command",
+}
 
 
 def extra(words: list[str]) -> int:
@@ -48,7 +52,10 @@
     except ModuleNotFoundError as error:
         if (error.name or "").startswith("umbermoor"):
             raise
-        print(f"umbermoor: {words[0]}: {error.name} is not installed: pip install -e '.[all]'", file=sys.stderr)
+        print(
+            f"umbermoor: {words[0]}: {error.name} is not installed: pip install -e '.[all]'",
+            file=sys.stderr,
+        )
         return 2
     return command.main(words)
 
@@ -70,10 +77,13 @@
         print(f"umbermoor: {fault}", file=sys.stderr)
         return 2
     if given["check"]:
-        print(f"{station.name}: listens at {':'.join(map(str, station.listen))}, "
-              f"{len(station.profiles)} profiles, {station.charter.fronts} fronts, {station.sockets} sockets")
+        print(
+            f"{station.name}: listens at {':'.join(map(str, station.listen))}, "
+            f"{len(station.profiles)} profiles, {station.charter.fronts} fronts, {station.sockets} sockets"
+        )
         return 0
     from umbermoor.node.service import serve  # only here: the others need no reactor
+
     start_log(given["--log"], house.logs.form if house else "pairs")
     return serve(station, read, house)
 
@@ -85,7 +95,9 @@
     try:
         from umbermoor.house import Misread, read_house
     except ModuleNotFoundError as error:
-        raise Misplaced(f"--sheet: {error.name} is not installed: pip install -e '.[sheets]'") from None
+        raise Misplaced(
+            f"--sheet: {error.name} is not installed: pip install -e '.[sheets]'"
+        ) from None
     try:
         return read_house(path)
     except Misread as fault:
--- a/umbermoor/capture/command.py
+++ b/umbermoor/capture/command.py
@@ -34,9 +34,11 @@
     else:
         print(f"front {summary['front']}: {summary['queries']} queries in {summary['seconds']} s")
         for name, row in summary["profiles"].items():
-            print(f"  {name}: {row['queries']} ({row['repeated']} repeated), {row['rate']}/s; "
-                  + ", ".join(f"{kind} {n}" for kind, n in row["endings"].items())
-                  + f"; p50 {row['p50_ms']} ms, p99 {row['p99_ms']} ms")
+            print(
+                f"  {name}: {row['queries']} ({row['repeated']} repeated), {row['rate']}/s; "
+                + ", ".join(f"{kind} {n}" for kind, n in row["endings"].items())
+                + f"; p50 {row['p50_ms']} ms, p99 {row['p99_ms']} ms"
+            )
     for damage in capture.damage:
         print(f"umbermoor: {told(damage, len(capture.rows))}", file=sys.stderr)
     return 1 if capture.damage else 0
@@ -49,13 +51,26 @@
         rows = [row for row in capture.rows if row.profile == place]
         took = sorted(row.took for row in rows if row.ending == "done")
         profiles[profile["name"]] = {
-            "queries": len(rows), "repeated": sum(row.repeated for row in rows), "rate": round(len(rows) / seconds, 2),
+            "queries": len(rows),
+            "repeated": sum(row.repeated for row in rows),
+            "rate": round(len(rows) / seconds, 2),
             "endings": dict(sorted(Counter(row.ending for row in rows).items())),
-            "p50_ms": _at(took, 0.5), "p99_ms": _at(took, 0.99)}
-    return {"front": capture.header.name, "queries": len(capture.rows), "seconds": round(seconds, 3),
-            "machines": len({row.machine.name for row in capture.rows if row.machine}), "profiles": profiles,
-            "damage": [[path, one.at, one.what] for path, one in capture.damage]}
+            "p50_ms": _at(took, 0.5),
+            "p99_ms": _at(took, 0.99),
+        }
+    return {
+        "front": capture.header.name,
+        "queries": len(capture.rows),
+        "seconds": round(seconds, 3),
+        "machines": len({row.machine.name for row in capture.rows if row.machine}),
+        "profiles": profiles,
+        "damage": [[path, one.at, one.what] for path, one in capture.damage],
+    }
 
 
 def _at(ordered: list[int], part: float) -> float:
-    return round(ordered[min(len(ordered) - 1, int(part * len(ordered)))] / 1000, 1) if ordered else 0.0
+    return (
+        round(ordered[min(len(ordered) - 1, int(part * len(ordered)))] / 1000, 1)
+        if ordered
+        else 0.0
+    )
--- a/umbermoor/capture/files.py
+++ b/umbermoor/capture/files.py
@@ -48,7 +48,9 @@
 
     def _end(self, error: OSError) -> None:
         self.over = True
-        note(log, "capture ended", logging.WARNING, path=self._path, why=error.strerror or str(error))
+        note(
+            log, "capture ended", logging.WARNING, path=self._path, why=error.strerror or str(error)
+        )
         self.close()
 
     def close(self) -> None:
@@ -90,7 +92,15 @@
         for found in read(data):
             if isinstance(found, Header):
                 if header is not None and found.profiles != header.profiles:
-                    damage.append((one, Damage(0, "has other profiles than the segment before it, which is left out")))
+                    damage.append(
+                        (
+                            one,
+                            Damage(
+                                0,
+                                "has other profiles than the segment before it, which is left out",
+                            ),
+                        )
+                    )
                     rows.clear()
                 header = found
             elif isinstance(found, Damage):
--- a/umbermoor/capture/frames.py
+++ b/umbermoor/capture/frames.py
@@ -82,7 +82,12 @@
 
 
 def header_frame(header: Header) -> bytes:
-    return frame(HEAD, orjson.dumps({"name": header.name, "begun": header.begun, "profiles": list(header.profiles)}))
+    return frame(
+        HEAD,
+        orjson.dumps(
+            {"name": header.name, "begun": header.begun, "profiles": list(header.profiles)}
+        ),
+    )
 
 
 def rows_frame(rows: Iterable[Row]) -> bytes:
@@ -94,14 +99,28 @@
     for row in rows:
         place = NO_MACHINE if row.machine is None else places.setdefault(row.machine, len(places))
         flags = REPEATED * row.repeated | HINTED * (row.hint is not None)
-        packed.append(_ROW.pack(min(_U32, row.came - base), row.profile, flags, ENDINGS.index(row.ending),
-                                min(255, row.hand_offs), min(_U32, row.took), min(_U32, row.hint or 0), place,
-                                min(0xFFFF, row.ahead), min(_U32, row.sent), min(_U32, row.served),
-                                min(_U32, row.patience)))
+        packed.append(
+            _ROW.pack(
+                min(_U32, row.came - base),
+                row.profile,
+                flags,
+                ENDINGS.index(row.ending),
+                min(255, row.hand_offs),
+                min(_U32, row.took),
+                min(_U32, row.hint or 0),
+                place,
+                min(0xFFFF, row.ahead),
+                min(_U32, row.sent),
+                min(_U32, row.served),
+                min(_U32, row.patience),
+            )
+        )
     names = []
     for seen in places:
         name = seen.name.encode()[:255]
-        names.append(bytes([len(name)]) + name + _MACHINE.pack(seen.build & 0xFFFF, max(0, seen.born)))
+        names.append(
+            bytes([len(name)]) + name + _MACHINE.pack(seen.build & 0xFFFF, max(0, seen.born))
+        )
     body = _ROWS.pack(base, len(places), len(rows)) + b"".join(names) + b"".join(packed)
     return frame(ROWS, zlib.compress(body, 1))
 
@@ -127,7 +146,7 @@
         if mark != MARK or length > MOST:
             yield Damage(at, "no frame begins here")
             return
-        payload = data[at + _FRAME.size:at + _FRAME.size + length]
+        payload = data[at + _FRAME.size : at + _FRAME.size + length]
         if len(payload) < length:
             yield Damage(at, f"ends within a frame: {len(payload)} of {length} bytes")
             return
@@ -144,7 +163,9 @@
 
 def _header(payload: bytes) -> Header:
     given = orjson.loads(payload)
-    return Header(str(given["name"]), int(given["begun"]), tuple(dict(one) for one in given["profiles"]))
+    return Header(
+        str(given["name"]), int(given["begun"]), tuple(dict(one) for one in given["profiles"])
+    )
 
 
 def _read_rows(payload: bytes) -> list[Row]:
@@ -156,14 +177,30 @@
     at, seen = _ROWS.size, []
     for _ in range(machines):
         size = body[at]
-        name = body[at + 1:at + 1 + size].decode()
+        name = body[at + 1 : at + 1 + size].decode()
         seen.append(Seen(name, *_MACHINE.unpack_from(body, at + 1 + size)))
         at += 1 + size + _MACHINE.size
     if len(body) - at != count * _ROW.size:
         raise ValueError(f"{len(body) - at} bytes for {count} rows")
     rows = []
     for packed in _ROW.iter_unpack(body[at:]):
-        came, profile, flags, ending, tries, took, hint, place, ahead, sent, served, patience = packed
-        rows.append(Row(base + came, profile, bool(flags & REPEATED), hint if flags & HINTED else None, ENDINGS[ending],
-                        tries, took, patience, None if place == NO_MACHINE else seen[place], ahead, sent, served))
+        came, profile, flags, ending, tries, took, hint, place, ahead, sent, served, patience = (
+            packed
+        )
+        rows.append(
+            Row(
+                base + came,
+                profile,
+                bool(flags & REPEATED),
+                hint if flags & HINTED else None,
+                ENDINGS[ending],
+                tries,
+                took,
+                patience,
+                None if place == NO_MACHINE else seen[place],
+                ahead,
+                sent,
+                served,
+            )
+        )
     return rows
--- a/umbermoor/capture/recorder.py
+++ b/umbermoor/capture/recorder.py
@@ -31,7 +31,9 @@
 
 
 class Recorder:
-    def __init__(self, clock: Callable[[], int], header: Header, write: Callable[[bytes], None]) -> None:
+    def __init__(
+        self, clock: Callable[[], int], header: Header, write: Callable[[bytes], None]
+    ) -> None:
         self._clock, self._write, self.header = clock, write, header
         self._held: dict[str, _Held] = {}
         self._rows: list[Row] = []
@@ -73,7 +75,12 @@
         if self._open[machine] <= 0:
             del self._open[machine]
         held = self._held.get(query)
-        if held is not None and ending is Ending.OK and held.machine is not None and held.machine.name == machine:
+        if (
+            held is not None
+            and ending is Ending.OK
+            and held.machine is not None
+            and held.machine.name == machine
+        ):
             held.served = took
 
     def closed(self, query: str, ending: str) -> None:
@@ -84,9 +91,22 @@
         now = self._clock()
         if not self._rows:
             self._since = now
-        self._rows.append(Row(held.came, held.profile, held.repeated, held.hint, ending, held.hand_offs,
-                              now - held.came,
-                              max(0, held.due - held.came), held.machine, held.ahead, held.sent, held.served))
+        self._rows.append(
+            Row(
+                held.came,
+                held.profile,
+                held.repeated,
+                held.hint,
+                ending,
+                held.hand_offs,
+                now - held.came,
+                max(0, held.due - held.came),
+                held.machine,
+                held.ahead,
+                held.sent,
+                held.served,
+            )
+        )
         if len(self._rows) >= ROWS_MOST or now - self._since >= FRAME_EVERY:
             self.flush()
 
--- a/umbermoor/facade.py
+++ b/umbermoor/facade.py
@@ -15,6 +15,7 @@
 
 # What a front is asked to do next.
 
+
 class Go(NamedTuple):
     """Hand the query to this machine, and wait no longer than the limit for its answer."""
 
@@ -73,6 +74,7 @@
 
 # What a front reports.
 
+
 class Asked(NamedTuple):
     query: str
     profile: int
@@ -138,8 +140,15 @@
 Heard = Connected | Ended | Left | Listed | News | Tally | Complaint | Probed | Told
 
 _STEPS: dict[Do, Callable[..., Step]] = {
-    Do.CANCEL: Stop, Do.DENY: Denied, Do.ABANDON: Abandoned, Do.VOTE: Vote, Do.WATCH: Watch, Do.PROBE: Probe,
-    Do.TELL: Tell, Do.NOTE: Note}
+    Do.CANCEL: Stop,
+    Do.DENY: Denied,
+    Do.ABANDON: Abandoned,
+    Do.VOTE: Vote,
+    Do.WATCH: Watch,
+    Do.PROBE: Probe,
+    Do.TELL: Tell,
+    Do.NOTE: Note,
+}
 
 
 class Desk:
@@ -199,11 +208,25 @@
         its
         id, build, start, answer times, work ahead of them, usual silence and failures."""
         front = self._front
-        return front.took, front.work, front.carried, tuple(front.usual), [
-            (one.id, one.build, one.born, one.took, one.work, one.gap, one.fails) for one in front.machines.values()]
-
-    def recall(self, took: float, work: float, carried: float, usual: Sequence[float],
-               machines: Sequence[tuple]) -> None:
+        return (
+            front.took,
+            front.work,
+            front.carried,
+            tuple(front.usual),
+            [
+                (one.id, one.build, one.born, one.took, one.work, one.gap, one.fails)
+                for one in front.machines.values()
+            ],
+        )
+
+    def recall(
+        self,
+        took: float,
+        work: float,
+        carried: float,
+        usual: Sequence[float],
+        machines: Sequence[tuple],
+    ) -> None:
         """The same, after a restart. Of machines those are taken that are listed; their times are as of now."""
         front, now = self._front, self._clock()
         if took > 0 < work and len(usual) == len(front.usual):
--- a/umbermoor/gateway/__main__.py
+++ b/umbermoor/gateway/__main__.py
@@ -10,6 +10,7 @@
     if len(sys.argv) == 2 and sys.argv[1] in PROGRAMS:
         return run(sys.argv[1])
     from umbermoor.gateway.logbook.command import main as command
+
     return command()
 
 
@@ -22,6 +23,7 @@
     from umbermoor.gateway.almanac.papers import read_papers
     from umbermoor.gateway.effects import Unreadable
     from umbermoor.gateway.mast import events
+
     path = os.environ.get("UMBERMOOR_SETTINGS", "/etc/umbermoor/settings.toml")
     papers = read_papers(path)
     if isinstance(papers, Fault):
--- a/umbermoor/gateway/almanac/configuration.py
+++ b/umbermoor/gateway/almanac/configuration.py
@@ -79,7 +79,9 @@
         work += 1
         if not _usual_route(route, services):
             work += _SLOW
-            if fault := _judge(f"route {name}", checkers.route, route) or _unfit(f"route {name}", route, services):
+            if fault := _judge(f"route {name}", checkers.route, route) or _unfit(
+                f"route {name}", route, services
+            ):
                 return fault
         first = places.setdefault((host_name(route["host"]), route["prefix"]), name)
         if first is not name:
@@ -121,9 +123,13 @@
         return False
     get = route.get
     host, prefix, horizon, tries = get("host"), get("prefix"), get("horizonS"), get("tries", 1)
-    if not (type(host) is str and host and type(prefix) is str and prefix[:1] == "/" == prefix[-1:]):
+    if not (
+        type(host) is str and host and type(prefix) is str and prefix[:1] == "/" == prefix[-1:]
+    ):
         return False
-    if not (get("kind") in _KINDS and _figure(horizon) and horizon > 0 and _figure(tries) and tries >= 1):
+    if not (
+        get("kind") in _KINDS and _figure(horizon) and horizon > 0 and _figure(tries) and tries >= 1
+    ):
         return False
     if not (_figure(get("priority", 0)) and _near(get("setpointS", 0), horizon)):
         return False
@@ -165,7 +171,9 @@
     """What is wrong between the fields of a route that are each well formed."""
     horizon, setpoint = route["horizonS"], route.get("setpointS")
     if setpoint is not None and not _near(setpoint, horizon):
-        return Fault(where, "setpointS", f"{setpoint} is a minute or more above horizonS, {horizon}")
+        return Fault(
+            where, "setpointS", f"{setpoint} is a minute or more above horizonS, {horizon}"
+        )
     service, mix = route.get("service"), route.get("mix")
     if service is not None and service not in services:
         return Fault(where, "service", f"names an unknown service, {service}")
@@ -173,7 +181,9 @@
         return Fault(where, "service", "names no service, and there is no mix")
     for index, part in enumerate(mix or ()):
         if part["service"] not in services:
-            return Fault(where, f"mix.{index}.service", f"names an unknown service, {part['service']}")
+            return Fault(
+                where, f"mix.{index}.service", f"names an unknown service, {part['service']}"
+            )
     if mix is not None and not any(part["gain"] > 0 for part in mix):
         return Fault(where, "mix", "has no gain above 0")
     return None
@@ -200,14 +210,20 @@
 
     usable = demand(_figure, "must be a finite number")
     over_zero = demand(lambda value: value > 0, "must be above 0")
-    slashed = demand(lambda value: value[:1] == "/" == value[-1:], "must begin and end with a slash")
+    slashed = demand(
+        lambda value: value[:1] == "/" == value[-1:], "must begin and end with a slash"
+    )
     digits = demand(
-        lambda value: len(value) == 8 and all(digit in hexdigits for digit in value), "must be eight hexadecimal digits"
+        lambda value: len(value) == 8 and all(digit in hexdigits for digit in value),
+        "must be eight hexadecimal digits",
     )
     name = {"type": "string", "required": True, "empty": False}
     text = {"type": "string", "nullable": True}
     figure = {"type": "number", "nullable": True, "check_with": usable}
-    part = {"service": name, "gain": {"type": "number", "required": True, "min": 0, "check_with": usable}}
+    part = {
+        "service": name,
+        "gain": {"type": "number", "required": True, "min": 0, "check_with": usable},
+    }
     envelope = {"headerBytes": figure, "bodyBytes": figure, "headerS": figure, "idleS": figure}
     whole = {
         "revision": {"type": "string", "required": True, "check_with": digits},
@@ -215,7 +231,12 @@
         "services": {"type": "dict", "required": True},
         "envelope": {"type": "dict", "nullable": True, "schema": envelope},
     }
-    service = {"probe": text, "saturation": figure, "protocol": text, "tls": {"type": "boolean", "nullable": True}}
+    service = {
+        "probe": text,
+        "saturation": figure,
+        "protocol": text,
+        "tls": {"type": "boolean", "nullable": True},
+    }
     route = {
         "host": name,
         "prefix": name | {"check_with": slashed},
--- a/umbermoor/gateway/almanac/papers.py
+++ b/umbermoor/gateway/almanac/papers.py
@@ -33,7 +33,9 @@
     invariants: tuple[str, ...] = ()
     margins: Mapping[str, Figure] = field(default_factory=dict)
     zones: Mapping[str, str] = field(default_factory=dict)  # region by zone
-    listen: Mapping[str, Place] = field(default_factory=dict)  # front, ready, control: whichever are there
+    listen: Mapping[str, Place] = field(
+        default_factory=dict
+    )  # front, ready, control: whichever are there
     memory_mb: float = 256
     descriptors: int = 1024
     cpu_share: float = 1.0
@@ -161,7 +163,12 @@
         "zone": named,
         "region": text,
         "portRange": {
-            "type": "list", "required": True, "minlength": 2, "maxlength": 2, "schema": port, "check_with": rising,
+            "type": "list",
+            "required": True,
+            "minlength": 2,
+            "maxlength": 2,
+            "schema": port,
+            "check_with": rising,
         },
         "serves": texts,
         "seeds": {"type": "list", "schema": {"type": "string", "check_with": place}},
@@ -176,7 +183,11 @@
         "envelope": {
             "type": "dict",
             "schema": {
-                "cpuShare": amount, "cores": amount, "memoryMb": amount, "descriptors": count, "diskMb": amount,
+                "cpuShare": amount,
+                "cores": amount,
+                "memoryMb": amount,
+                "descriptors": count,
+                "diskMb": amount,
             },
         },
         "robustness": {"type": "dict", "schema": {"machines": count}},
--- a/umbermoor/gateway/almanac/routes.py
+++ b/umbermoor/gateway/almanac/routes.py
@@ -30,7 +30,17 @@
 class Route:
     """Where requests of one host and prefix go, and what may be done with them."""
 
-    __slots__ = ("name", "host", "prefix", "safe", "horizon_us", "setpoint_us", "priority", "tries", "mix")
+    __slots__ = (
+        "name",
+        "host",
+        "prefix",
+        "safe",
+        "horizon_us",
+        "setpoint_us",
+        "priority",
+        "tries",
+        "mix",
+    )
 
     name: str
     host: str  # lower case, without port
@@ -40,9 +50,13 @@
     setpoint_us: int  # an answer within it earns its full worth; the horizon where none is stated
     priority: float  # 0 is highest
     tries: int  # the most machines one try may go to
-    mix: tuple[tuple[str, float], ...]  # services and their shares, which are over 0 and add up to 1
+    mix: tuple[
+        tuple[str, float], ...
+    ]  # services and their shares, which are over 0 and add up to 1
 
-    def __init__(self, name: str, host: str, mix: tuple[tuple[str, float], ...], table: Mapping[str, Any]) -> None:
+    def __init__(
+        self, name: str, host: str, mix: tuple[tuple[str, float], ...], table: Mapping[str, Any]
+    ) -> None:
         horizon = table["horizonS"]
         setpoint = table.get("setpointS")
         tries = table.get("tries")
--- a/umbermoor/gateway/anemometer/core.py
+++ b/umbermoor/gateway/anemometer/core.py
@@ -10,27 +10,44 @@
 from math import exp, log, sqrt
 from typing import Any
 
-from umbermoor.gateway.anemometer.plan import (ALL, LEAST, LONE, MARGIN, SECOND, SIGMA, STARTS, SURE,
-                                               Record, newer, speaks)
+from umbermoor.gateway.anemometer.plan import (
+    ALL,
+    LEAST,
+    LONE,
+    MARGIN,
+    SECOND,
+    SIGMA,
+    STARTS,
+    SURE,
+    Record,
+    newer,
+    speaks,
+)
 from umbermoor.gateway.anemometer.trial import ask, judge_begin
 from umbermoor.gateway.effects import Code, Outcome
 from umbermoor.ground.testroll import posterior, spread, weight
 
 WORSE = (0.1, 0.3, 0.6)  # shares of else good answers that bad versions are supposed to spoil
 ALARM = log(3000)  # the test's sum, for one of these, that sends back
-ECHO = log(30)  # and what must be left of it without one machine, and without one front: two bad answers at least
+ECHO = log(
+    30
+)  # and what must be left of it without one machine, and without one front: two bad answers at least
 DOUBT = ALARM / 3  # no step further with more left than this
 FADE = 0.8 * SECOND  # memory of the earlier version's outcomes, for what is usual now
 LEAN, USUAL = 20.0, 0.02  # and a guess that it leans on: bad outcomes among so many
 FLOOR = 0.05  # less is never taken for usual
 BEHIND = 150_000  # outcomes are weighed so much later: those of the earlier version from the same time come first
 HEARD = SECOND  # reports older than this do not count among the fronts
-REST = 7 * SECOND // 10  # after all fronts said that nothing goes to the old machines, before they may be stopped
+REST = (
+    7 * SECOND // 10
+)  # after all fronts said that nothing goes to the old machines, before they may be stopped
 DWELL = 0.03  # a stage lasts this part of the time up to the term at least
 WAIT = 0.04  # and waits so much longer for votes
 RENEW = SECOND  # the record is written again after this long, for its elapsed time
 AGAIN = 3 * SECOND // 10  # and what was to be written, if it has not come back
-LIGHT = 300  # requests since the order up to which the trial may go on with less than LEAST outcomes
+LIGHT = (
+    300  # requests since the order up to which the trial may go on with less than LEAST outcomes
+)
 FRONTS = 256  # fronts and machines remembered one by one at most
 
 
@@ -52,13 +69,21 @@
     fronts: dict[str, _Told] = field(default_factory=dict)
     sums: dict[float, float] = field(default_factory=lambda: dict.fromkeys(WORSE, 0.0))
     parts: dict[float, dict[tuple[str, str], float]] = field(
-        default_factory=lambda: {one: defaultdict(float) for one in WORSE})  # of sums, by ("front" or "machine", id)
+        default_factory=lambda: {one: defaultdict(float) for one in WORSE}
+    )  # of sums, by ("front" or "machine", id)
     trial: list[int] = field(default_factory=lambda: [0, 0, 0])  # outcomes, good, failed
     base: list[int] = field(default_factory=lambda: [0, 0, 0])
     counted: dict[str, dict[str, list[float]]] = field(
-        default_factory=lambda: {"front": {}, "machine": {}})  # by id: outcomes, bad ones, how many were to be bad
-    unweighed: deque[tuple[int, str, str, int, int]] = field(default_factory=deque)  # when, front, machine, n, bad
-    usual: tuple[float, float, int] = (0.0, 0.0, 0)  # the earlier version's outcomes, bad ones, faded; when
+        default_factory=lambda: {"front": {}, "machine": {}}
+    )  # by id: outcomes, bad ones, how many were to be bad
+    unweighed: deque[tuple[int, str, str, int, int]] = field(
+        default_factory=deque
+    )  # when, front, machine, n, bad
+    usual: tuple[float, float, int] = (
+        0.0,
+        0.0,
+        0,
+    )  # the earlier version's outcomes, bad ones, faded; when
     quiet_since: int | None = None  # since when no front sends to the old machines
 
     def elapsed(self, now: int) -> float:
@@ -86,15 +111,29 @@
     def __init__(self) -> None:
         self.orders: dict[str, _Order] = {}
 
-    def begin(self, now: int, service: str, target: str, ramp_s: float, present: list[str]) -> Record | Code:
+    def begin(
+        self, now: int, service: str, target: str, ramp_s: float, present: list[str]
+    ) -> Record | Code:
         """An operator's order: the record to put, OK if nothing is to change, CLASH or WRONG. `ramp_s` in seconds;
         `present` names the revisions of the service's listed machines."""
-        if not target or not isinstance(target, str) or isinstance(ramp_s, bool) or not (
-                isinstance(ramp_s, (int, float)) and 0 < ramp_s < float("inf")):
+        if (
+            not target
+            or not isinstance(target, str)
+            or isinstance(ramp_s, bool)
+            or not (isinstance(ramp_s, (int, float)) and 0 < ramp_s < float("inf"))
+        ):
             return Code.WRONG
         held = self.orders.get(service)
-        told = judge_begin(held.record if held else None, ask(target, ramp_s, present), lambda: True)
-        return told.value if told.outcome is Outcome.TAKEN else Code.OK if told.outcome is Outcome.SAME else Code.CLASH
+        told = judge_begin(
+            held.record if held else None, ask(target, ramp_s, present), lambda: True
+        )
+        return (
+            told.value
+            if told.outcome is Outcome.TAKEN
+            else Code.OK
+            if told.outcome is Outcome.SAME
+            else Code.CLASH
+        )
 
     def read(self, service: str) -> dict[str, str] | Code:
         """What an operator reads: state and target."""
@@ -126,7 +165,8 @@
         if last and last.report["since"] == report["since"]:
             known = last.report
             if report["counts"]["trial"][0] < known["counts"]["trial"][0] or (
-                    report["counts"]["base"][0] < known["counts"]["base"][0]):
+                report["counts"]["base"][0] < known["counts"]["base"][0]
+            ):
                 return  # overtaken on the way
         else:
             known = {"counts": {"trial": [0, 0, 0], "base": [0, 0, 0]}, "each": {}}
@@ -137,7 +177,9 @@
             held.since = now - round((report["elapsed"] - held.record["elapsed"]) * SECOND)
         self._count(now, held, front, known, report)
 
-    def _count(self, now: int, held: _Order, front: str, known: dict[str, Any], report: dict[str, Any]) -> None:
+    def _count(
+        self, now: int, held: _Order, front: str, known: dict[str, Any], report: dict[str, Any]
+    ) -> None:
         for pool, side in ((held.trial, "trial"), (held.base, "base")):
             for i in range(3):
                 pool[i] += report["counts"][side][i] - known["counts"][side][i]
@@ -159,10 +201,14 @@
 
     def _weigh(self, now: int, held: _Order) -> None:
         mean, usual = self._usual(held)
-        while held.unweighed and (held.record["stage"] == ALL or now - held.unweighed[0][0] >= BEHIND):
+        while held.unweighed and (
+            held.record["stage"] == ALL or now - held.unweighed[0][0] >= BEHIND
+        ):
             self._add(held, mean, usual, *held.unweighed.popleft()[1:])
 
-    def _add(self, held: _Order, mean: float, usual: float, front: str, machine: str, n: int, bad: int) -> None:
+    def _add(
+        self, held: _Order, mean: float, usual: float, front: str, machine: str, n: int, bad: int
+    ) -> None:
         if machine not in held.counted["machine"] and len(held.counted["machine"]) >= FRONTS:
             machine = ""
         for kind, id in ("front", front), ("machine", machine):
@@ -189,7 +235,13 @@
             left = sum
             for kind, others in (("machine", machines > 1), ("front", len(fresh) > 1)):
                 if others:
-                    left = min(left, sum - max((part for (one, _), part in parts.items() if one == kind), default=0.0))
+                    left = min(
+                        left,
+                        sum
+                        - max(
+                            (part for (one, _), part in parts.items() if one == kind), default=0.0
+                        ),
+                    )
             most = max(most, (min(sum, left + ALARM - ECHO), left), key=lambda pair: pair[0])
         return most
 
@@ -203,11 +255,23 @@
     def _behind(self, now: int, held: _Order) -> bool:
         """Test & Roll on pooled outcomes, also without the machine and the front with most bad ones. The earlier
         mean is the one at the times of the trial's outcomes: a passing trouble of everything is no difference."""
-        n, bad, expected = (sum(count[i] for count in held.counted["front"].values()) for i in range(3))
-        kinds = ["front"] * (len(self._fresh(now, held)) > 1) + ["machine"] * (self._machines(now, held) > 1)
-        worst = [max(held.counted[kind].values(), key=lambda count: count[1] - count[2], default=(0, 0, 0))
-                 for kind in kinds]
-        return all(_trails(n - one[0], bad - one[1], expected - one[2]) for one in ((0, 0, 0), *worst))
+        n, bad, expected = (
+            sum(count[i] for count in held.counted["front"].values()) for i in range(3)
+        )
+        kinds = ["front"] * (len(self._fresh(now, held)) > 1) + ["machine"] * (
+            self._machines(now, held) > 1
+        )
+        worst = [
+            max(
+                held.counted[kind].values(),
+                key=lambda count: count[1] - count[2],
+                default=(0, 0, 0),
+            )
+            for kind in kinds
+        ]
+        return all(
+            _trails(n - one[0], bad - one[1], expected - one[2]) for one in ((0, 0, 0), *worst)
+        )
 
     def tick(self, now: int) -> list[tuple[str, Record]]:
         """Records to be put now; call it at the member that leads, after each report or some ten times a second."""
@@ -217,13 +281,20 @@
                 continue
             changes = self._next(now, held)
             ended = changes.get("state", "running") != "running"
-            if held.put and newer(held.put, held.record) and now - held.put_at < AGAIN and (
-                    not ended or held.put["state"] != "running"):
+            if (
+                held.put
+                and newer(held.put, held.record)
+                and now - held.put_at < AGAIN
+                and (not ended or held.put["state"] != "running")
+            ):
                 continue
             if not changes and now - held.since < RENEW:
                 continue
-            record = held.record | changes | {
-                "serial": held.record["serial"] + 1, "elapsed": round(held.elapsed(now), 3)}
+            record = (
+                held.record
+                | changes
+                | {"serial": held.record["serial"] + 1, "elapsed": round(held.elapsed(now), 3)}
+            )
             held.put, held.put_at = record, now
             puts.append((service, record))
         return puts
@@ -245,20 +316,36 @@
             return self._settle(now, held, fresh)
         asked = sum(told.report["asked"] for told in held.fronts.values())
         enough = held.trial[0] >= (1 if asked <= LIGHT else LEAST)
-        before, there = (max((told.report["listed"][i] for told in fresh), default=0) for i in range(2))
+        before, there = (
+            max((told.report["listed"][i] for told in fresh), default=0) for i in range(2)
+        )
         dwelt = (now - held.staged) / SECOND >= DWELL * record["rampS"]
-        if not (fresh and part >= STARTS[stage + 1] and dwelt and enough and there and 2 * there >= before):
+        if not (
+            fresh
+            and part >= STARTS[stage + 1]
+            and dwelt
+            and enough
+            and there
+            and 2 * there >= before
+        ):
             return {}
         if behind:
             return {"state": "reverted", "why": f"behind: {held.trial}, before {held.base}"}
         follow = sum(told.report["stage"] == stage for told in fresh)
-        if left >= DOUBT or 2 * follow <= len(fresh) or backs > ons and part < STARTS[stage + 1] + WAIT:
+        if (
+            left >= DOUBT
+            or 2 * follow <= len(fresh)
+            or backs > ons
+            and part < STARTS[stage + 1] + WAIT
+        ):
             return {}
         return {"stage": stage + 1}
 
     def _settle(self, now: int, held: _Order, fresh: list[_Told]) -> dict[str, Any]:
         """Settled once no front that is heard sends to the old machines, nothing is under way there, and REST more."""
-        quiet = fresh and all(told.report["stage"] == ALL and not told.report["before"] for told in fresh)
+        quiet = fresh and all(
+            told.report["stage"] == ALL and not told.report["before"] for told in fresh
+        )
         if not quiet:
             held.quiet_since = None
             return {}
--- a/umbermoor/gateway/anemometer/front.py
+++ b/umbermoor/gateway/anemometer/front.py
@@ -5,11 +5,31 @@
 from math import exp, log, sqrt
 from typing import Any, Sequence
 
-from umbermoor.gateway.anemometer.plan import (ALL, EXPOSED, FIRST_MEAN, FRESH, LEASE, LEAST, LONE, MARGIN, SECOND,
-                                               SHARES, SIGMA, SURE, TURN, Record, busy, earliest, newer, speaks)
+from umbermoor.gateway.anemometer.plan import (
+    ALL,
+    EXPOSED,
+    FIRST_MEAN,
+    FRESH,
+    LEASE,
+    LEAST,
+    LONE,
+    MARGIN,
+    SECOND,
+    SHARES,
+    SIGMA,
+    SURE,
+    TURN,
+    Record,
+    busy,
+    earliest,
+    newer,
+    speaks,
+)
 from umbermoor.ground.testroll import needed, posterior, spread, weight
 
-PATIENT = 4 * SECOND  # a stage is judged this long after its newest machine was listed, short of n* or not
+PATIENT = (
+    4 * SECOND
+)  # a stage is judged this long after its newest machine was listed, short of n* or not
 HORIZON = 20 * SECOND  # the requests expected in this time are the paper's N
 STALE = 3 * SECOND // 2  # without news for this long a front sends nothing to a trial
 RENEW = SECOND // 4  # a report is sent again after this long
@@ -17,7 +37,9 @@
 HEAVY = 0.25  # of the requests to the trial at most, where there are few machines
 IN_ROW = 3  # failures in a row that set a machine aside while there is another
 ASIDE = 2 * SECOND
-HOLD = SECOND * 3 // 2  # a front that sees enough bad answers itself keeps off for so long, whatever the core says
+HOLD = (
+    SECOND * 3 // 2
+)  # a front that sees enough bad answers itself keeps off for so long, whatever the core says
 OWN = log(300)  # enough: so much for WORSE, beyond what is usual here
 WORSE = 0.3
 NAMED = 12  # machines counted one by one in a report; the others together
@@ -35,22 +57,36 @@
     since: int = 0  # when this front began to count for the order: names this count to the core
     asked: int = 0
     credit: float = 0.0  # requests that the trial may still be sent
-    due: float | None = None  # at this credit one is sent; by chance, so that many light fronts keep the sum
+    due: float | None = (
+        None  # at this credit one is sent; by chance, so that many light fronts keep the sum
+    )
     reserved: int = 0  # of those promised, not sent yet
     under_way: Counter[str] = field(default_factory=Counter)  # by version
-    scores: dict[bool, list[int]] = field(default_factory=lambda: {True: [0, 0, 0], False: [0, 0, 0]})  # trial?
+    scores: dict[bool, list[int]] = field(
+        default_factory=lambda: {True: [0, 0, 0], False: [0, 0, 0]}
+    )  # trial?
     each: dict[str, list[int]] = field(default_factory=dict)  # trial machine: outcomes, bad ones
-    row: dict[str, tuple[int, int]] = field(default_factory=dict)  # machine: failures in a row, time of the last
-    against: float = 0.0  # what this front's own outcomes since the trial say against the new version
+    row: dict[str, tuple[int, int]] = field(
+        default_factory=dict
+    )  # machine: failures in a row, time of the last
+    against: float = (
+        0.0  # what this front's own outcomes since the trial say against the new version
+    )
     held_until: int = 0
     rate: float = 0.0  # requests in HORIZON / 2, faded
     rated: int = 0
     reported: int | None = None
-    last: tuple[Any, ...] = ()  # what was reported: stage, vote, whether old ones had any, bad answers
+    last: tuple[
+        Any, ...
+    ] = ()  # what was reported: stage, vote, whether old ones had any, bad answers
 
-    base: str | None = None  # the version in use: the one from before the order until that is settled
+    base: str | None = (
+        None  # the version in use: the one from before the order until that is settled
+    )
     before: int = 0  # its machines
-    mine: list[tuple[str, int]] = field(default_factory=list)  # those of the new version, and since when
+    mine: list[tuple[str, int]] = field(
+        default_factory=list
+    )  # those of the new version, and since when
 
     def sort(self) -> None:
         """Derives what the record and the listed machines say together."""
@@ -60,11 +96,16 @@
         elif self.record["state"] == "settled":
             self.base = self.record["target"]
         else:
-            known = self.record["from"] or earliest([one for one in there if one != self.record["target"]])
+            known = self.record["from"] or earliest(
+                [one for one in there if one != self.record["target"]]
+            )
             self.base = next((one for one in known if one in there), known[0] if known else None)
         self.before = there[self.base]
-        self.mine = [(id, at) for id, revision, at in self.machines
-                     if self.record is not None and revision == self.record["target"]]
+        self.mine = [
+            (id, at)
+            for id, revision, at in self.machines
+            if self.record is not None and revision == self.record["target"]
+        ]
 
 
 class Trials:
@@ -102,10 +143,20 @@
         if record is None or not newer(record, one.record):
             return
         if one.record is None or record["order"] != one.record["order"]:
-            fresh = _Service(used=one.used, machines=one.machines, under_way=one.under_way, row=one.row,
-                             rate=one.rate, rated=one.rated, told=True, since=now)
+            fresh = _Service(
+                used=one.used,
+                machines=one.machines,
+                under_way=one.under_way,
+                row=one.row,
+                rate=one.rate,
+                rated=one.rated,
+                told=True,
+                since=now,
+            )
             one = self.services[service] = fresh
-        one.elapsed = max(record["elapsed"], one.elapsed + (now - one.got) / SECOND if one.record else 0.0)
+        one.elapsed = max(
+            record["elapsed"], one.elapsed + (now - one.got) / SECOND if one.record else 0.0
+        )
         if one.record is None or record["stage"] != one.record["stage"]:
             one.staged = now
         one.record, one.got = record, now
@@ -118,7 +169,11 @@
         ids = {id for id, _, _ in machines}
         one.row = {id: row for id, row in one.row.items() if id in ids}
         there = Counter(revision for _, revision, _ in machines)
-        if one.record is None and there and (one.used is None or one.used not in there and one.told):
+        if (
+            one.record is None
+            and there
+            and (one.used is None or one.used not in there and one.told)
+        ):
             # An order may be under way that this front has not heard of: the lower version is the earlier one.
             one.used = earliest(list(there))[0]
         one.sort()
@@ -151,9 +206,9 @@
         warm = [id for id, at in one.mine if now - at >= FRESH]
         sound = [id for id in warm if not self._aside(now, one, id)] or warm
         if record["stage"]:
-            return tuple(sound[:busy(record["stage"], one.before)])
+            return tuple(sound[: busy(record["stage"], one.before)])
         turn = int(one.elapsed * SECOND + now - one.got) // TURN
-        return tuple(sound[:2][turn % 2:][:1] or sound[:1]) if turn % 3 < 2 else ()
+        return tuple(sound[:2][turn % 2 :][:1] or sound[:1]) if turn % 3 < 2 else ()
 
     def target(self, service: str) -> str | None:
         """The new version that an order under way names."""
@@ -194,7 +249,11 @@
         stage, trial = self._stage(now, one), revision == one.record["target"]
         if not trial:
             return stage != ALL and revision == one.base
-        return stage > 0 or stage == 0 and (one.reserved > 0 or one.due is not None and one.credit >= one.due)
+        return (
+            stage > 0
+            or stage == 0
+            and (one.reserved > 0 or one.due is not None and one.credit >= one.due)
+        )
 
     def sent(self, now: int, service: str, revision: str) -> None:
         """A try was sent to a machine of this version."""
@@ -206,8 +265,17 @@
             else:
                 one.credit -= 1
 
-    def ended(self, now: int, service: str, revision: str, machine: str, listed_at: int, in_time: bool, failed: bool,
-              repeat: bool) -> None:
+    def ended(
+        self,
+        now: int,
+        service: str,
+        revision: str,
+        machine: str,
+        listed_at: int,
+        in_time: bool,
+        failed: bool,
+        repeat: bool,
+    ) -> None:
         """A try that was sent ended: within the route's aim or not; `failed` where nothing whole and good came."""
         one = self._of(service)
         one.under_way[revision] -= 1
@@ -231,7 +299,9 @@
                 seen, fine, _ = one.scores[False]
                 usual = min(0.9, LONE + (seen - fine) / max(seen, LEAST))
                 one.against = max(0.0, one.against + speaks(usual, WORSE, 1, not good))
-                if one.against >= OWN:  # threat: the core is busy with its own loss while the version turns bad
+                if (
+                    one.against >= OWN
+                ):  # threat: the core is busy with its own loss while the version turns bad
                     one.against, one.held_until = 0.0, now + HOLD
 
     def vote(self, now: int, service: str) -> str | None:
@@ -260,17 +330,38 @@
             new = one.scores[True]
             before = sum(count for revision, count in one.under_way.items() if revision != target)
             earlier = one.scores[False]
-            last = (self._stage(now, one), vote, before > 0, new[0] - new[1], earlier[0] - earlier[1])
+            last = (
+                self._stage(now, one),
+                vote,
+                before > 0,
+                new[0] - new[1],
+                earlier[0] - earlier[1],
+            )
             since = RENEW if one.reported is None else now - one.reported
-            if since < RENEW and (last == one.last or since < APART and last[:2] == one.last[:2]
-                                  or since < 2 * APART and last[:4] == one.last[:4]):
+            if since < RENEW and (
+                last == one.last
+                or since < APART
+                and last[:2] == one.last[:2]
+                or since < 2 * APART
+                and last[:4] == one.last[:4]
+            ):
                 continue
             one.reported, one.last = now, last
             warm = sum(now - at >= FRESH for _, at in one.mine)
-            reports.append({
-                "service": service, "target": target, "order": record["order"], "stage": last[0], "since": one.since,
-                "elapsed": round(one.elapsed + (now - one.got) / SECOND, 3),
-                "vote": vote, "counts": {"trial": list(new), "base": list(earlier)},
-                "each": {id: list(count) for id, count in one.each.items()}, "before": before, "asked": one.asked,
-                "listed": [one.before, warm]})
+            reports.append(
+                {
+                    "service": service,
+                    "target": target,
+                    "order": record["order"],
+                    "stage": last[0],
+                    "since": one.since,
+                    "elapsed": round(one.elapsed + (now - one.got) / SECOND, 3),
+                    "vote": vote,
+                    "counts": {"trial": list(new), "base": list(earlier)},
+                    "each": {id: list(count) for id, count in one.each.items()},
+                    "before": before,
+                    "asked": one.asked,
+                    "listed": [one.before, warm],
+                }
+            )
         return reports
--- a/umbermoor/gateway/anemometer/plan.py
+++ b/umbermoor/gateway/anemometer/plan.py
@@ -26,19 +26,25 @@
 SURE = 0.985  # a mean above this is taken for this, so that s never vanishes
 
 ROLLOUT = "rollout/"  # begins the register's keys of roll-outs; the service is behind it
-Record = dict[str, Any]  # order, serial, target, from, rampS, state, stage, elapsed, why; of what JSON can hold
+Record = dict[
+    str, Any
+]  # order, serial, target, from, rampS, state, stage, elapsed, why; of what JSON can hold
 
 
 def newer(one: Record, held: Record | None) -> bool:
     """Whether `one` may take the place of `held`: what has ended stays ended for its order."""
     if held is None or one["order"] != held["order"]:
         return held is None or one["order"] > held["order"]
-    return held["state"] == "running" and (one["state"] != "running" or one["serial"] > held["serial"])
+    return held["state"] == "running" and (
+        one["state"] != "running" or one["serial"] > held["serial"]
+    )
 
 
 def earliest(revisions: Sequence[str]) -> list[str]:
     """Revisions, lowest first: by the numbers in their names, then by name."""
-    return sorted(set(revisions), key=lambda one: ([int(part) for part in re.findall(r"\d+", one)], one))
+    return sorted(
+        set(revisions), key=lambda one: ([int(part) for part in re.findall(r"\d+", one)], one)
+    )
 
 
 def busy(stage: int, machines: int) -> int:
--- a/umbermoor/gateway/barograph/asks.py
+++ b/umbermoor/gateway/barograph/asks.py
@@ -60,7 +60,12 @@
         """What is to be sent now in that epoch, marked as sent."""
         found = []
         for number, ask in self._open.items():
-            if ask.epoch == epoch and now - ask.sent < AGAIN or ask.put is not None and ask.epoch not in (0, epoch):
+            if (
+                ask.epoch == epoch
+                and now - ask.sent < AGAIN
+                or ask.put is not None
+                and ask.epoch not in (0, epoch)
+            ):
                 continue
             ask.epoch, ask.sent = epoch, now
             found.append((number, ask))
@@ -77,7 +82,9 @@
     (12, None)
     """
 
-    _lives: OrderedDict[int, tuple[dict[int, tuple[int, Verdict]], list[int]]] = field(default_factory=OrderedDict)
+    _lives: OrderedDict[int, tuple[dict[int, tuple[int, Verdict]], list[int]]] = field(
+        default_factory=OrderedDict
+    )
 
     def find(self, life: int, number: int) -> tuple[int, Verdict] | None:
         """After which write it is done, and its verdict without a value; None if it was not judged; -1 if that cannot
--- a/umbermoor/gateway/barograph/compare.py
+++ b/umbermoor/gateway/barograph/compare.py
@@ -21,17 +21,31 @@
 
     def __init__(self) -> None:
         self.compared = 0
-        self.differing: dict[str, tuple[int, int]] = {}  # by member: the version at which it last differed
+        self.differing: dict[
+            str, tuple[int, int]
+        ] = {}  # by member: the version at which it last differed
         self._own: tuple[tuple[int, int], str] = (0, 0), ""
 
     def tell(self, version: tuple[int, int], committed: Mapping[str, Any]) -> dict[str, Any]:
-        return {"kind": "digest", "version": list(version), "digest": self._digest(version, committed)}
+        return {
+            "kind": "digest",
+            "version": list(version),
+            "digest": self._digest(version, committed),
+        }
 
     def heard(
-        self, sender: str, message: Mapping[str, Any], version: tuple[int, int], committed: Mapping[str, Any]
+        self,
+        sender: str,
+        message: Mapping[str, Any],
+        version: tuple[int, int],
+        committed: Mapping[str, Any],
     ) -> bool:
         """Whether the sender holds another map at the version that is held here."""
-        if message.get("version") != list(version) or not isinstance(message.get("digest"), str) or version == (0, 0):
+        if (
+            message.get("version") != list(version)
+            or not isinstance(message.get("digest"), str)
+            or version == (0, 0)
+        ):
             return False
         self.compared += 1
         if message["digest"] == self._digest(version, committed):
--- a/umbermoor/gateway/barograph/contact.py
+++ b/umbermoor/gateway/barograph/contact.py
@@ -31,7 +31,9 @@
     """
 
     _sent: deque[tuple[int, int]] = field(default_factory=lambda: deque(maxlen=SENT))  # beat, when
-    _proofs: dict[str, tuple[int, int]] = field(default_factory=dict)  # as of when, the epoch promised (-1: blank)
+    _proofs: dict[str, tuple[int, int]] = field(
+        default_factory=dict
+    )  # as of when, the epoch promised (-1: blank)
 
     def sent(self, now: int, beat: int) -> None:
         """This member pings now, under that number."""
@@ -43,14 +45,20 @@
             at: int | None = now
         else:
             theirs, beat = ping["echo"]
-            at = next((when for one, when in self._sent if one == beat), None) if theirs == life else None
+            at = (
+                next((when for one, when in self._sent if one == beat), None)
+                if theirs == life
+                else None
+            )
         if at is not None:
             self._proofs[who] = at, -1 if ping["blank"] else ping["promise"]
 
     def proven(self, now: int, epoch: int, others: Iterable[str]) -> frozenset[str]:
         """Which of the others proved within the lease that they promised nothing above `epoch`."""
         proofs = ((who, *self._proofs.get(who, (now - LEASE, -1))) for who in others)
-        return frozenset(who for who, at, promise in proofs if now - at < LEASE and 0 < promise <= epoch)
+        return frozenset(
+            who for who, at, promise in proofs if now - at < LEASE and 0 < promise <= epoch
+        )
 
     def void(self) -> None:
         """Nothing from before counts any more, nor an answer to a ping from before."""
--- a/umbermoor/gateway/barograph/disk.py
+++ b/umbermoor/gateway/barograph/disk.py
@@ -15,7 +15,10 @@
 AGAIN = 200_000  # until a refused write is tried again
 HANGS = 400_000  # a write that takes longer: the disk is not well
 SLOW = 250_000  # so is one of which two writes after another take longer
-REST, LONGEST = 2_000_000, 32_000_000  # it has to be quick for so long first, and for twice as long each time, at most
+REST, LONGEST = (
+    2_000_000,
+    32_000_000,
+)  # it has to be quick for so long first, and for twice as long each time, at most
 PROBE = 1_000_000  # between two tries of a disk that was slow
 
 Then = Callable[[], None]
--- a/umbermoor/gateway/barograph/member.py
+++ b/umbermoor/gateway/barograph/member.py
@@ -37,14 +37,18 @@
 TARDY = 1200 * MS  # so is the next one if it acknowledges nothing for so long
 LOST = 2000 * MS  # one outside that hears of no chain for so long proposes
 SETTLE = 400 * MS  # a member that has just started waits so long for the others
-COLLECT = 600 * MS  # promises are collected for no longer: less than QUARANTINE, or a lost disk's promise would count
+COLLECT = (
+    600 * MS
+)  # promises are collected for no longer: less than QUARANTINE, or a lost disk's promise would count
 GATHER = 250 * MS  # and beyond a majority of them for so long
 ACCEPT = 1200 * MS  # all of the chain must accept within this
 QUARANTINE = 1000 * MS  # a blank member asks what was promised only so long after its start
 ASK_AGAIN = 150 * MS
 FILL_AGAIN = 400 * MS
 APPEND_AGAIN = 250 * MS
-SHUN = 3000 * MS  # one that did not follow into a view is left out for so long, if a majority remains
+SHUN = (
+    3000 * MS
+)  # one that did not follow into a view is left out for so long, if a majority remains
 FOUND = 500 * MS  # no new member appeared for so long: found
 FETCH = 1000 * MS
 UNCOMMITTED = 64  # writes on their way that a head takes at most
@@ -52,10 +56,14 @@
 BATCH = 16  # entries in a message
 LEARNERS = 8  # strangers that want to be members, known at once
 ZONE_TOLD = 8  # every so many pings
-GONE = 2000 * MS  # a member that nobody has heard for so long may be succeeded, by one that started after that
+GONE = (
+    2000 * MS
+)  # a member that nobody has heard for so long may be succeeded, by one that started after that
 CHANGE = 4000 * MS  # a change of the members that is not active by then is answered LATER
 
-Judge = Callable[[Mapping[str, Any], str, Any, int], Verdict]  # of the map at the head, a key, what is put, the epoch
+Judge = Callable[
+    [Mapping[str, Any], str, Any, int], Verdict
+]  # of the map at the head, a key, what is put, the epoch
 CODES = {Outcome.CLASH: Code.CLASH, Outcome.UNKNOWN: Code.UNKNOWN}  # of the others: OK
 
 
@@ -108,12 +116,24 @@
         self._disk, self._peers, self._asks = Disk(), Peers(me), Asks()
         self._contact = Contact()
         sets = json.loads(stored.get("sets", b"null")) or [None, 0, None]
-        first = membership.founded(self.everyone, json.loads(stored.get("system", b"0"))) if self.everyone else NONE
-        self._held_sets = membership.read(sets[0]) if sets[0] else first  # of the view that was accepted last
-        self._proven: tuple[int, Membership] = (sets[1], membership.read(sets[2])) if sets[2] else (0, first)
-        self._zones_kept: dict[str, str] = json.loads(stored.get("zones", b"{}"))  # of the other members, as last told
+        first = (
+            membership.founded(self.everyone, json.loads(stored.get("system", b"0")))
+            if self.everyone
+            else NONE
+        )
+        self._held_sets = (
+            membership.read(sets[0]) if sets[0] else first
+        )  # of the view that was accepted last
+        self._proven: tuple[int, Membership] = (
+            (sets[1], membership.read(sets[2])) if sets[2] else (0, first)
+        )
+        self._zones_kept: dict[str, str] = json.loads(
+            stored.get("zones", b"{}")
+        )  # of the other members, as last told
         self._outside = Peers(me, LEARNERS)  # learners
-        self._change: tuple[int | None, int, str, str] | None = None  # ask (None: by itself), until when, add, remove
+        self._change: tuple[int | None, int, str, str] | None = (
+            None  # ask (None: by itself), until when, add, remove
+        )
         self._leaving = False
         self._filled = False  # a learner's disk has taken what it learnt
         self._fresh = cold and not self.everyone
@@ -126,7 +146,9 @@
         self._held = View(epoch, tuple(chain))  # accepted last
         self.sets = self._find_sets()  # who counts, as far as is known here
         self.everyone = self.sets.names
-        self._state = {key[6:]: json.loads(value) for key, value in stored.items() if key.startswith("state/")}
+        self._state = {
+            key[6:]: json.loads(value) for key, value in stored.items() if key.startswith("state/")
+        }
         version = json.loads(stored.get("version", b"[0,0]"))
         if version[0] != epoch:
             raise ValueError(f"a version of epoch {version[0]} was stored in view {epoch}")
@@ -161,7 +183,9 @@
         self._taken = Taken()
         # puts that change nothing, until what was before is committed
         self._waiting: list[tuple[int, tuple[str, int, int], Verdict]] = []
-        self._rounds = Rounds()  # those then, and reads, until a majority told that it promised no later epoch
+        self._rounds = (
+            Rounds()
+        )  # those then, and reads, until a majority told that it promised no later epoch
 
     # what a host calls
 
@@ -230,7 +254,9 @@
         self._send_asks()
         return self._effects()
 
-    def change(self, now: int, ask: int, add: str = "", remove: str = "", dry: bool = False) -> list[Effect]:
+    def change(
+        self, now: int, ask: int, add: str = "", remove: str = "", dry: bool = False
+    ) -> list[Effect]:
         """Have the set of members become another: one more, one fewer, or one in the place of another.
 
         Answered OK with what it leaves once the new set is in force (`dry`: at once); CLASH with `why` where it is
@@ -242,8 +268,14 @@
         elif self._is_so(add, remove):
             self._out.append(Answer(ask, Code.OK, self.outlook("", "")._replace(why="").told()))
         elif (look := self.outlook(add, remove)).why or dry:
-            if add and words.name(add) and add not in (*self.everyone, *self._outside.heard(self._now)):
-                self._send(add, "ping", **self._ping(), **self._sets_for(add))  # its seeds may all be gone
+            if (
+                add
+                and words.name(add)
+                and add not in (*self.everyone, *self._outside.heard(self._now))
+            ):
+                self._send(
+                    add, "ping", **self._ping(), **self._sets_for(add)
+                )  # its seeds may all be gone
             self._out.append(Answer(ask, Code.CLASH if look.why else Code.OK, look.told()))
         elif self._change:
             self._out.append(Answer(ask, Code.CLASH, {"why": "another change is under way"}))
@@ -255,7 +287,9 @@
     def outlook(self, add: str, remove: str) -> Outlook:
         """What a change would leave, and why it would be refused."""
         present = self.sets
-        look = membership.outlook(present, self._view.chain, self.learners(), add, remove, self.bear)
+        look = membership.outlook(
+            present, self._view.chain, self.learners(), add, remove, self.bear
+        )
         if not look.why and (zone := crowded(present.members, look.members, self._zones())):
             look = look._replace(why=f"would leave a majority in zone {zone}, where none is now")
         if not look.why and (old := self._of_an_earlier_revision(remove)):
@@ -282,8 +316,12 @@
         found = []
         for who, peer in sorted(self._outside.heard(self._now).items()):
             others = [other for other in self._view.chain if other != self.me]
-            heard = all((known := self._peers.get(other)) and who in known.ping["hears"] for other in others)
-            hears = {self.me, *others} <= {self.me, *peer.ping["hears"]} and self.me in peer.ping["hears"]
+            heard = all(
+                (known := self._peers.get(other)) and who in known.ping["hears"] for other in others
+            )
+            hears = {self.me, *others} <= {self.me, *peer.ping["hears"]} and self.me in peer.ping[
+                "hears"
+            ]
             fit = peer.ping["well"] and (not peer.ping["blank"] or peer.ping["ready"])
             if fit and heard and hears and self._now - peer.since >= STEADY:
                 found.append(who)
@@ -299,7 +337,9 @@
     @property
     def left(self) -> bool:
         """Whether it may end without holding up anything: another chain serves, so a majority holds what it holds."""
-        return self._leaving and (not self._able() or self.me not in self._view.chain and self._hears_serving(HEARD))
+        return self._leaving and (
+            not self._able() or self.me not in self._view.chain and self._hears_serving(HEARD)
+        )
 
     @property
     def thin(self) -> bool:
@@ -360,7 +400,9 @@
             role = "out"
         else:
             place = self._place()
-            role = "head" if place == 0 else "tail" if place == len(self._held.chain) - 1 else "middle"
+            role = (
+                "head" if place == 0 else "tail" if place == len(self._held.chain) - 1 else "middle"
+            )
         return {
             "epoch": self._view.epoch,
             "chain": list(self._view.chain),
@@ -437,7 +479,11 @@
             "hears": self._hearing(),
             "number": self._proven[1].number,
             **({"leaving": True} if self._leaving else {}),
-            **({"zone": self._zone} if self._zone and (self._beat % ZONE_TOLD == 1 or not self.counted) else {}),
+            **(
+                {"zone": self._zone}
+                if self._zone and (self._beat % ZONE_TOLD == 1 or not self.counted)
+                else {}
+            ),
             **({} if self.counted else {"quorum": self._quorum, "age": self._now - self._began}),
         }
 
@@ -486,14 +532,22 @@
         if self._peers.hear(self._now, sender, ping):
             self._grown_at = self._now
             self._shunned.pop(sender, None)
-            self._send(sender, "ping", **self._ping(), **self._echo(sender), **self._sets_for(sender))
+            self._send(
+                sender, "ping", **self._ping(), **self._echo(sender), **self._sets_for(sender)
+            )
         if not self.everyone:
             return
         if "zone" in ping and self.counted:
             self._keep_zones()
         if (peer := self._peers.get(sender)) and peer.ping is ping:
             self._contact.heard(self._now, sender, ping, self._life)
-        if ping["promise"] and not ping["blank"] and self._settled and self._is_founder() and not self._promise:
+        if (
+            ping["promise"]
+            and not ping["blank"]
+            and self._settled
+            and self._is_founder()
+            and not self._promise
+        ):
             self._forget()
         if tuple(ping["committed"])[0] == self._joined:
             self._commit(ping["committed"][1])
@@ -501,7 +555,12 @@
     def _meet_stranger(self, sender: str, ping: dict[str, Any]) -> None:
         """One that is no member: a learner of this system, or one that is to learn that it is none."""
         known = ping.get("system", 0)
-        if "number" in ping and known in (0, self._proven[1].system) and not ping["fresh"] and not self._blank:
+        if (
+            "number" in ping
+            and known in (0, self._proven[1].system)
+            and not ping["fresh"]
+            and not self._blank
+        ):
             if self._outside.hear(self._now, sender, ping):
                 self._send(sender, "ping", **self._ping(), **self._sets_for(sender))
         elif not ping["members"]:
@@ -510,7 +569,13 @@
     def _meet(self, sender: str, ping: dict[str, Any]) -> None:
         """Learn who the members are, if this is one of them that has lost its disk, or a machine that may learn."""
         members = tuple(ping["members"])
-        if not ping["promise"] or ping["blank"] or sender not in members or not ping.get("sets") and ping.get("number"):
+        if (
+            not ping["promise"]
+            or ping["blank"]
+            or sender not in members
+            or not ping.get("sets")
+            and ping.get("number")
+        ):
             return
         if self.me in members or "number" in ping and self._blank:
             self._fresh, self._blank = False, True
@@ -524,8 +589,13 @@
         """A later set that is known to be in force."""
         if not self.everyone:
             return
-        system, trusted = ping.get("system", 0), sender in self.everyone and ping["promise"] and not ping["blank"]
-        if self._blank and trusted and system and system != self._proven[1].system:  # what it founded came to nothing
+        system, trusted = (
+            ping.get("system", 0),
+            sender in self.everyone and ping["promise"] and not ping["blank"],
+        )
+        if (
+            self._blank and trusted and system and system != self._proven[1].system
+        ):  # what it founded came to nothing
             self._proven = self._proven[0], self._proven[1]._replace(system=system)
             self._became()
         if not ping.get("sets"):
@@ -569,11 +639,15 @@
         return bool(self._seeds) and self._seeds[0] == self.me
 
     def _found(self) -> None:
-        known = {who: peer for who, peer in self._peers.heard(self._now).items() if peer.ping["fresh"]}
+        known = {
+            who: peer for who, peer in self._peers.heard(self._now).items() if peer.ping["fresh"]
+        }
         enough = 2 * self.bear + 1 <= len(known) + 1 <= MOST
         if enough and self._now - max(self._grown_at, self._began) >= FOUND:
             drawn = self._chance.getrandbits(48) | 1
-            all_know = all("number" in peer.ping for peer in known.values())  # else it is derived from the names
+            all_know = all(
+                "number" in peer.ping for peer in known.values()
+            )  # else it is derived from the names
             self._settle([*known, self.me], drawn if all_know else 0)
 
     def _settle(self, members: Sequence[str], system: int) -> None:
@@ -589,7 +663,9 @@
         if self._is_founder():
             self._settle_others()
         else:
-            self._send(self._seeds[0], "settled", members=list(self.everyone), promise=self._promise)
+            self._send(
+                self._seeds[0], "settled", members=list(self.everyone), promise=self._promise
+            )
 
     def _settle_others(self) -> None:
         if self._now - self._found_at >= ASK_AGAIN:
@@ -598,7 +674,13 @@
                 peer = self._peers.get(who)
                 if who not in self._settlers and peer:
                     system = self._held_sets.system
-                    self._send(who, "found", members=list(self.everyone), life=peer.ping["life"], system=system)
+                    self._send(
+                        who,
+                        "found",
+                        members=list(self.everyone),
+                        life=peer.ping["life"],
+                        system=system,
+                    )
         if self._settlers.issuperset(self._others()) and not self._attempt:
             self._propose(frozenset())
 
@@ -612,7 +694,12 @@
             self._have_settled()
 
     def _on_settled(self, sender: str, message: dict[str, Any]) -> None:
-        if not self._is_founder() or not self._settled or self._promise or tuple(message["members"]) != self.everyone:
+        if (
+            not self._is_founder()
+            or not self._settled
+            or self._promise
+            or tuple(message["members"]) != self.everyone
+        ):
             return
         if message["promise"]:
             self._forget()
@@ -640,7 +727,11 @@
         return max(self._learnt.values(), default=0)
 
     def _ask_promises(self) -> None:
-        if self._ready() or self._now - self._began < QUARANTINE or self._now - self._learn_at < ASK_AGAIN:
+        if (
+            self._ready()
+            or self._now - self._began < QUARANTINE
+            or self._now - self._learn_at < ASK_AGAIN
+        ):
             return
         self._learn_at = self._now
         self._learn = self._learn or self._chance.getrandbits(48)
@@ -678,13 +769,17 @@
         apart = rank * 50 * MS + self._chance.randrange(50 * MS)
         if not self._serving():
             if self._view.epoch > self._joined and self._hears_serving(HEARD):
-                return ("restarted", apart, nobody) if self.me in self._view.chain else ("", 0, nobody)
+                return (
+                    ("restarted", apart, nobody) if self.me in self._view.chain else ("", 0, nobody)
+                )
             if self._promise > max(self._joined, self._view.epoch) and self._joined:
                 return "fenced", apart, nobody
             if self._joined:
                 return "unserved", SILENCE + apart, nobody
             if self.me in self._view.chain or all(
-                self._peers.mutual(self._now, one, other) for one in self.everyone for other in self.everyone
+                self._peers.mutual(self._now, one, other)
+                for one in self.everyone
+                for other in self.everyone
             ):
                 return "started", apart, nobody
             return "started", (LOST if self._view.epoch else SETTLE) + apart, nobody
@@ -694,10 +789,20 @@
                 return "left", rank * 50 * MS, nobody
             if who != self.me and peer and peer.ping.get("leaving") and self._can_do_without(who):
                 return "leaving", rank * 20 * MS, frozenset((who,))
-            since = max(self._joined_at, peer.joined_at if peer and peer.joined == self._joined else 0)
+            since = max(
+                self._joined_at, peer.joined_at if peer and peer.joined == self._joined else 0
+            )
             if who != self.me and self._now - since > SILENCE and self._dispensable(who):
-                return "silent", rank * 80 * MS + self._chance.randrange(100 * MS), frozenset((who,))
-        if self._acked < self._sent and self._now - self._progress > TARDY and self._disk.well(self._now):
+                return (
+                    "silent",
+                    rank * 80 * MS + self._chance.randrange(100 * MS),
+                    frozenset((who,)),
+                )
+        if (
+            self._acked < self._sent
+            and self._now - self._progress > TARDY
+            and self._disk.well(self._now)
+        ):
             return "tardy", 0, frozenset((self._held.chain[self._place() + 1],))
         if any(self._may_enter(who, peer) for who, peer in self._peers.heard(self._now).items()):
             return "enter", self._place() * 250 * MS + self._chance.randrange(100 * MS), nobody
@@ -707,7 +812,9 @@
         """Whether a chain without it can be: it is not heard, or enough others are whose disks are well."""
         heard = self._peers.heard(self._now)
         well = [other for other, peer in heard.items() if other != who and peer.ping["well"]]
-        return who not in heard or self.sets.quorum([*well, self.me] if self._disk.well(self._now) else well)
+        return who not in heard or self.sets.quorum(
+            [*well, self.me] if self._disk.well(self._now) else well
+        )
 
     def _may_propose(self) -> bool:
         """Whether its disk is well; or it is slow only, and so are too many for the others to go on without it."""
@@ -720,7 +827,9 @@
     def _can_do_without(self, leaver: str) -> bool:
         """Whether the rest of the chain, as far as it is heard, is a majority."""
         heard = self._peers.heard(self._now)
-        return self.sets.quorum([who for who in self._held.chain if who != leaver and (who == self.me or who in heard)])
+        return self.sets.quorum(
+            [who for who in self._held.chain if who != leaver and (who == self.me or who in heard)]
+        )
 
     def _may_enter(self, who: str, peer: Peer) -> bool:
         return (
@@ -734,7 +843,13 @@
         )
 
     def _consider(self) -> None:
-        if self._blank or not self._settled or not self._promise or self._attempt or not self.counted:
+        if (
+            self._blank
+            or not self._settled
+            or not self._promise
+            or self._attempt
+            or not self.counted
+        ):
             return
         if self._now < self._patience or not self._may_propose():
             return
@@ -743,21 +858,31 @@
         self._due = due if cause != self._cause else min(self._due, due)
         self._cause = cause
         if cause and self._now >= self._due:
-            if self.sets.quorum([who for who in self.everyone if self._peers.mutual(self._now, self.me, who)]):
+            if self.sets.quorum(
+                [who for who in self.everyone if self._peers.mutual(self._now, self.me, who)]
+            ):
                 self._propose(shunned)
 
     # a change of the members
 
     def _is_so(self, add: str, remove: str) -> bool:
         members = self.sets.members
-        return bool(add or remove) and (not add or add in members) and (not remove or remove not in members)
+        return (
+            bool(add or remove)
+            and (not add or add in members)
+            and (not remove or remove not in members)
+        )
 
     def _of_an_earlier_revision(self, remove: str) -> str:
         """A member as it was last heard, also one that is away: back, it would fence with the majority that it knows.
         One that is removed knows too few who listen to it then."""
         for who in self.everyone:
             away = who not in self._view.chain
-            if not (away and who == remove) and (peer := self._peers.get(who)) and "number" not in peer.ping:
+            if (
+                not (away and who == remove)
+                and (peer := self._peers.get(who))
+                and "number" not in peer.ping
+            ):
                 return who
         return ""
 
@@ -774,7 +899,10 @@
         if len(missing) != 1 or not set(chain) <= set(members):
             return "", ""
         gone = self._peers.get(missing[0])
-        zone, last = self._zones().get(missing[0]), gone.last if gone else self._began  # not heard in this life
+        zone, last = (
+            self._zones().get(missing[0]),
+            gone.last if gone else self._began,
+        )  # not heard in this life
         if not zone or self._now - last < GONE:
             return "", ""
         others = [self._peers.get(who) for who in chain if who != self.me]
@@ -798,8 +926,15 @@
         if self._is_so(add, remove) and self._proven[0] >= self._held.epoch:
             self._out.append(Answer(ask, Code.OK, self.outlook("", "")._replace(why="").told()))
         elif self._now >= until:
-            self._out.append(Answer(ask, Code.LATER, {"why": "not agreed in time; it may come to be"}))
-        elif self._attempt or not self._serving() or self._now < self._patience or not self._disk.well(self._now):
+            self._out.append(
+                Answer(ask, Code.LATER, {"why": "not agreed in time; it may come to be"})
+            )
+        elif (
+            self._attempt
+            or not self._serving()
+            or self._now < self._patience
+            or not self._disk.well(self._now)
+        ):
             return
         elif (look := self.outlook(add, remove)).why:
             self._out.append(Answer(ask, Code.CLASH, look.told()))
@@ -812,23 +947,38 @@
 
     # agreeing on one
 
-    def _propose(self, shunned: frozenset[str], sets: Membership | None = None, add: str = "") -> None:
+    def _propose(
+        self, shunned: frozenset[str], sets: Membership | None = None, add: str = ""
+    ) -> None:
         self._cause = ""
         highest = max(self._promise, self._peers.highest(), self._outside.highest())
         epoch = epoch_after(highest, self.sets.rank(self.me), self._chance)
         self._shunned = {who: until for who, until in self._shunned.items() if until > self._now}
         self._shunned.update(dict.fromkeys(shunned, self._now + SHUN))
-        leaving = [who for who, peer in self._peers.heard(self._now).items() if peer.ping.get("leaving")]
+        leaving = [
+            who for who, peer in self._peers.heard(self._now).items() if peer.ping.get("leaving")
+        ]
         self._shunned.update(dict.fromkeys(leaving, self._now + SHUN))
         known = max(self._held.epoch, self._proven[0])
         self._attempt = Attempt(
-            epoch, self._now, frozenset(self._shunned), sets or self.sets, self.sets, known, bool(sets), add
+            epoch,
+            self._now,
+            frozenset(self._shunned),
+            sets or self.sets,
+            self.sets,
+            known,
+            bool(sets),
+            add,
         )
         self._give_promise(epoch, self.me, (self._held.epoch, self._last))
 
     def _give_promise(self, epoch: int, to: str, theirs: Version) -> None:
         self._promise = epoch
-        self._disk.want({"promise": write_json(epoch)}, "promise", partial(self._have_promised, epoch, to, theirs))
+        self._disk.want(
+            {"promise": write_json(epoch)},
+            "promise",
+            partial(self._have_promised, epoch, to, theirs),
+        )
 
     def _have_promised(self, epoch: int, to: str, theirs: Version) -> None:
         self._promised = max(self._promised, epoch)
@@ -837,8 +987,15 @@
             state = dict(self._state) if mine > theirs else None
             known, proven = self._proven
             self._send(
-                to, "promise", epoch=epoch, blank=False, version=list(mine), state=state,
-                hears=self._hearing(), held=self._held_sets.told(), proven=[known, proven.told()],
+                to,
+                "promise",
+                epoch=epoch,
+                blank=False,
+                version=list(mine),
+                state=state,
+                hears=self._hearing(),
+                held=self._held_sets.told(),
+                proven=[known, proven.told()],
             )
 
     def _on_prepare(self, sender: str, message: dict[str, Any]) -> None:
@@ -846,7 +1003,15 @@
         if self._blank:
             if self._ready() and epoch > self._floor() and epoch >= self._promise:
                 hears = self._hearing()
-                self._send(sender, "promise", epoch=epoch, blank=True, version=[0, 0], state=None, hears=hears)
+                self._send(
+                    sender,
+                    "promise",
+                    epoch=epoch,
+                    blank=True,
+                    version=[0, 0],
+                    state=None,
+                    hears=hears,
+                )
         elif epoch > self._promise and (self._counts() or self._settled and not self.counted):
             self._attempt = None
             self._patience = self._now + 700 * MS + self._chance.randrange(400 * MS)
@@ -866,7 +1031,11 @@
             hears = frozenset(message["hears"])
             promise = Promise(message["blank"], tuple(message["version"]), message["state"], hears)
             self._weigh_sets(attempt, promise, message)
-            if promise.blank or promise.state is not None or promise.version <= (self._held.epoch, self._last):
+            if (
+                promise.blank
+                or promise.state is not None
+                or promise.version <= (self._held.epoch, self._last)
+            ):
                 attempt.promises.setdefault(sender, promise)
                 self._pursue()
 
@@ -880,17 +1049,29 @@
             return  # of an earlier revision, in which the set never changes
         epoch, proven = message["proven"][0], membership.read(message["proven"][1])
         held, held_sets = promise.version[0], membership.read(message["held"])
-        found, sets = (held, held_sets) if held > epoch and not promise.blank else (epoch, proven.settled())
+        found, sets = (
+            (held, held_sets) if held > epoch and not promise.blank else (epoch, proven.settled())
+        )
         if found < attempt.known or found == attempt.known and sets.old != sets.new:
             return
         attempt.known = found
-        if sets != attempt.before:  # as known when this was begun: what is known here may have moved on since
-            attempt.sets, attempt.before, attempt.change, attempt.add, attempt.sent = sets, sets, False, "", -(2**40)
+        if (
+            sets != attempt.before
+        ):  # as known when this was begun: what is known here may have moved on since
+            attempt.sets, attempt.before, attempt.change, attempt.add, attempt.sent = (
+                sets,
+                sets,
+                False,
+                "",
+                -(2**40),
+            )
 
     def _pursue(self) -> None:
         """Take an attempt as far as it goes now."""
         attempt = self._attempt
-        if attempt and self.me not in attempt.sets.names:  # it learnt that it was taken out: what it holds may be old
+        if (
+            attempt and self.me not in attempt.sets.names
+        ):  # it learnt that it was taken out: what it holds may be old
             self._give_up()
         elif not attempt or self.me not in attempt.promises:  # one's own promise is not synced
             if attempt and self._now - attempt.began >= COLLECT:
@@ -904,7 +1085,12 @@
                 attempt.sent = self._now
                 for who in attempt.sets.names:
                     if who != self.me and who not in attempt.promises:
-                        self._send(who, "prepare", epoch=attempt.epoch, version=[self._held.epoch, self._last])
+                        self._send(
+                            who,
+                            "prepare",
+                            epoch=attempt.epoch,
+                            version=[self._held.epoch, self._last],
+                        )
         elif attempt.accepted.issuperset(attempt.chain):
             self._attempt = None
             self._know(View(attempt.epoch, attempt.chain), attempt.sets)
@@ -928,7 +1114,10 @@
         if attempt.add and attempt.add not in attempt.promises:
             return False
         return all(
-            who in attempt.promises or not peer.ping["well"] or peer.ping["blank"] and not peer.ping["ready"]
+            who in attempt.promises
+            or not peer.ping["well"]
+            or peer.ping["blank"]
+            and not peer.ping["ready"]
             for who, peer in self._peers.heard(self._now).items()
             if who not in attempt.shunned
         )
@@ -986,9 +1175,17 @@
         if self._blank and not self._ready() or not self._blank and not self._settled:
             return
         sets = membership.read(message["sets"]) if message.get("sets") else self.sets
-        if epoch <= self._held.epoch or tuple(message["members"]) != sets.names or self.me not in chain:
+        if (
+            epoch <= self._held.epoch
+            or tuple(message["members"]) != sets.names
+            or self.me not in chain
+        ):
             return
-        if not set(chain) <= set(sets.names) or not sets.quorum(chain) or sets.system != self._proven[1].system:
+        if (
+            not set(chain) <= set(sets.names)
+            or not sets.quorum(chain)
+            or sets.system != self._proven[1].system
+        ):
             return
         if state is None:
             if self._blank or tuple(message["base"]) != (self._held.epoch, self._last):
@@ -998,7 +1195,9 @@
 
     def _state_puts(self, state: Mapping[str, Any]) -> dict[str, bytes | None]:
         """What is to be written for the map to become that one."""
-        puts: dict[str, bytes | None] = {f"state/{key}": None for key in self._state if key not in state}
+        puts: dict[str, bytes | None] = {
+            f"state/{key}": None for key in self._state if key not in state
+        }
         for key, value in state.items():
             if key not in self._state or self._state[key] != value:
                 puts[f"state/{key}"] = write_json(value)
@@ -1043,7 +1242,11 @@
         """That view is active: all of its chain have accepted it."""
         if view.epoch == self._held.epoch:
             sets = self._held_sets
-        if view.epoch <= self._view.epoch or not view.chain or not set(view.chain) <= set(sets.names):
+        if (
+            view.epoch <= self._view.epoch
+            or not view.chain
+            or not set(view.chain) <= set(sets.names)
+        ):
             return
         if view.epoch > self._proven[0]:
             changed = sets.number != self._proven[1].number
@@ -1080,7 +1283,11 @@
         if self._promise != epoch:
             self._send(sender, "refused", epoch=epoch, life=life, id=number)
             return
-        if not self._serving() or len(self._pending) >= UNCOMMITTED or len(self._waiting) >= UNCOMMITTED:
+        if (
+            not self._serving()
+            or len(self._pending) >= UNCOMMITTED
+            or len(self._waiting) >= UNCOMMITTED
+        ):
             return
         verdict = self._judge(self._state, message["key"], message["value"], epoch)
         if verdict.outcome is Outcome.TAKEN:
@@ -1097,7 +1304,9 @@
 
     def _done(self, key: tuple[str, int, int], verdict: Verdict) -> None:
         origin, life, number = key
-        self._send(origin, "done", life=life, id=number, outcome=verdict.outcome.value, why=verdict.why)
+        self._send(
+            origin, "done", life=life, id=number, outcome=verdict.outcome.value, why=verdict.why
+        )
 
     def _committed_here(self) -> int:
         """Up to where this view's writes are known committed; -1: it is not active yet."""
@@ -1213,7 +1422,9 @@
 
     def _send_asks(self) -> None:
         epoch = self._view.epoch
-        until = self._now if self.counted else 1 << 62  # one that was taken out can tell nothing any more: at once
+        until = (
+            self._now if self.counted else 1 << 62
+        )  # one that was taken out can tell nothing any more: at once
         for ask, code in self._asks.over(until, epoch):
             self._out.append(Answer(ask, code))
         if not epoch or not self._able():
@@ -1221,14 +1432,20 @@
         head, tail = self._view.chain[0], self._view.chain[-1]
         for number, ask in self._asks.due(self._now, epoch):
             if ask.put is None:
-                self._send(tail, "read", epoch=epoch, life=self._life, id=number, have=list(self.version))
+                self._send(
+                    tail, "read", epoch=epoch, life=self._life, id=number, have=list(self.version)
+                )
             else:
                 key, value = ask.put
-                self._send(head, "put", epoch=epoch, life=self._life, id=number, key=key, value=value)
+                self._send(
+                    head, "put", epoch=epoch, life=self._life, id=number, key=key, value=value
+                )
 
     def _on_done(self, sender: str, message: dict[str, Any]) -> None:
         if message["life"] == self._life and (ask := self._asks.end(message["id"])):
-            verdict = Verdict(Outcome(message.get("outcome", "taken")), None, message.get("why", ""))
+            verdict = Verdict(
+                Outcome(message.get("outcome", "taken")), None, message.get("why", "")
+            )
             self._out.append(Answer(ask.ask, CODES.get(verdict.outcome, Code.OK), verdict))
 
     def _on_refused(self, sender: str, message: dict[str, Any]) -> None:
@@ -1236,7 +1453,11 @@
             self._asks.refused(message["id"], message["epoch"])
 
     def _on_read(self, sender: str, message: dict[str, Any]) -> None:
-        if message["epoch"] != self._joined or not self._serving() or self._neighbour(+1) is not None:
+        if (
+            message["epoch"] != self._joined
+            or not self._serving()
+            or self._neighbour(+1) is not None
+        ):
             return
         if len(self._rounds) < READERS:
             key = sender, message["life"], message["id"]
@@ -1308,7 +1529,12 @@
 
     def _probe_disk(self) -> None:
         """See whether a disk that was slow still is, by what a change writes, as long as nobody waits for it."""
-        if not self._serving() and not self._blank and self._settled and self._disk.to_be_probed(self._now):
+        if (
+            not self._serving()
+            and not self._blank
+            and self._settled
+            and self._disk.to_be_probed(self._now)
+        ):
             puts = {f"state/{key}": write_json(value) for key, value in self._state.items()}
             self._disk.want(puts, "probe", _nothing)
 
--- a/umbermoor/gateway/barograph/membership.py
+++ b/umbermoor/gateway/barograph/membership.py
@@ -43,7 +43,9 @@
         >>> change.quorum({"b", "c"}), change.quorum({"a", "b"}), change.settled().quorum({"b", "d"})
         (True, False, True)
         """
-        return all(2 * sum(name in who for name, _ in seats) > len(seats) for seats in (self.old, self.new))
+        return all(
+            2 * sum(name in who for name, _ in seats) > len(seats) for seats in (self.old, self.new)
+        )
 
     def blocks(self, who: Collection[str]) -> bool:
         """Whether every majority, of either set, has one of them.
@@ -52,7 +54,8 @@
         (False, True)
         """
         return all(
-            sum(name in who for name, _ in seats) > len(seats) - (len(seats) // 2 + 1) for seats in (self.old, self.new)
+            sum(name in who for name, _ in seats) > len(seats) - (len(seats) // 2 + 1)
+            for seats in (self.old, self.new)
         )
 
     def settled(self) -> "Membership":
@@ -69,13 +72,20 @@
         seats = [seat for seat in self.new if seat[0] != remove]
         if add:
             used = {rank for _, rank in self.new}
-            free = next(rank % MOST for rank in range(number, number + MOST + 1) if rank % MOST not in used)
+            free = next(
+                rank % MOST for rank in range(number, number + MOST + 1) if rank % MOST not in used
+            )
             seats.append((add, free))
         return Membership(self.system, number, self.new, tuple(sorted(seats)))
 
     def told(self) -> list[Any]:
         """As it is stored and sent."""
-        return [self.system, self.number, [list(seat) for seat in self.old], [list(seat) for seat in self.new]]
+        return [
+            self.system,
+            self.number,
+            [list(seat) for seat in self.old],
+            [list(seat) for seat in self.new],
+        ]
 
 
 NONE = Membership(0, 0, (), ())
@@ -102,13 +112,20 @@
 
     number: int
     members: tuple[str, ...]
-    up: tuple[str, ...]  # those of them that are in the chain, or were up to date enough to be taken in
+    up: tuple[
+        str, ...
+    ]  # those of them that are in the chain, or were up to date enough to be taken in
     bears: int  # of those that are up, how many may be lost at once
     why: str  # why it is refused; "": it is not
 
     def told(self) -> dict[str, Any]:
-        return {"number": self.number, "members": list(self.members), "up": list(self.up), "bears": self.bears,
-                **({"why": self.why} if self.why else {})}
+        return {
+            "number": self.number,
+            "members": list(self.members),
+            "up": list(self.up),
+            "bears": self.bears,
+            **({"why": self.why} if self.why else {}),
+        }
 
 
 def crowded(before: Sequence[str], after: Sequence[str], zones: Mapping[str, str]) -> str:
@@ -118,6 +135,7 @@
     >>> crowded("abc", "bcd", zones), crowded("abc", "acd", zones), crowded("bcd", "bd", zones)
     ('east', '', '')
     """
+
     def fullest(members: Sequence[str]) -> str:
         counts = Counter(zone for who in members if (zone := zones.get(who)))
         return next((zone for zone, count in counts.items() if 2 * count > len(members) > 1), "")
@@ -125,8 +143,14 @@
     return "" if fullest(before) else fullest(after)
 
 
-def outlook(present: Membership, chain: Sequence[str], ready: Collection[str], add: str, remove: str,
-            bear: int) -> Outlook:
+def outlook(
+    present: Membership,
+    chain: Sequence[str],
+    ready: Collection[str],
+    add: str,
+    remove: str,
+    bear: int,
+) -> Outlook:
     """What a change of that settled set would leave; `chain`: of its active view, `ready`: learners.
 
     >>> three = founded(["a", "b", "c"], 7)
@@ -161,8 +185,12 @@
         why = f"would leave {len(after.members)} members, {2 * bear + 1} are needed to bear the loss of {bear}"
     elif not why and margin < bear and (margin < before or remove in chain) and margin >= 0:
         down = ", ".join(name for name in after.members if name not in up)
-        why = f"would leave {len(up)} of {len(after.members)} up with {margin or 'none'} to lose: " \
-              f"bring back {down or 'the others'}, or replace it first"
+        why = (
+            f"would leave {len(up)} of {len(after.members)} up with {margin or 'none'} to lose: "
+            f"bring back {down or 'the others'}, or replace it first"
+        )
     elif not why and (margin < 0 or not after.quorum(counted)):
-        why = f"would leave {len(up)} of {len(after.members)} up, of which too few hold what is held"
+        why = (
+            f"would leave {len(up)} of {len(after.members)} up, of which too few hold what is held"
+        )
     return Outlook(after.number, after.members, up, max(0, margin), why)
--- a/umbermoor/gateway/barograph/pages.py
+++ b/umbermoor/gateway/barograph/pages.py
@@ -141,7 +141,11 @@
         raise Torn("the tree is too deep")
     page = _page(file, meta, number, seen)
     flags, lower, upper = struct.unpack_from("<HHH", page, 10)
-    if flags & 0xFF not in (BRANCH, LEAF) or not HEADER <= lower <= upper <= meta.page_size or lower & 1:
+    if (
+        flags & 0xFF not in (BRANCH, LEAF)
+        or not HEADER <= lower <= upper <= meta.page_size
+        or lower & 1
+    ):
         raise Torn(f"page {number} has a garbled header")
     for index in range((lower - HEADER) // 2):
         (at,) = struct.unpack_from("<H", page, HEADER + 2 * index)
--- a/umbermoor/gateway/barograph/peers.py
+++ b/umbermoor/gateway/barograph/peers.py
@@ -51,7 +51,9 @@
             new = new or now - peer.last > SILENT
             peer.last, peer.ping = now, ping
         peer.zone = ping.get("zone", peer.zone)
-        if ping["well"] and ping["joined"] >= peer.joined:  # a lower one is of an earlier life, or newly started
+        if (
+            ping["well"] and ping["joined"] >= peer.joined
+        ):  # a lower one is of an earlier life, or newly started
             peer.joined, peer.joined_at = ping["joined"], now
         return new
 
--- a/umbermoor/gateway/barograph/store.py
+++ b/umbermoor/gateway/barograph/store.py
@@ -61,7 +61,9 @@
         self.path, self.size = path, size
         self.full = False  # the last write found no room
         self._digests: dict[bytes, int] = {}
-        self._unformatted: dict[bytes, bytes] = {}  # records of format 1, still to be written as this one's
+        self._unformatted: dict[
+            bytes, bytes
+        ] = {}  # records of format 1, still to be written as this one's
         os.makedirs(path, exist_ok=True)
         sync_folder(os.path.dirname(os.path.abspath(path)))
         self.lost = ""
@@ -119,7 +121,11 @@
         held.pop(MANIFEST, None)
         if held.keys() - self._digests.keys():
             return None
-        return [key.decode() for key, mark in self._digests.items() if not self._stands(key, held.get(key, b""), mark)]
+        return [
+            key.decode()
+            for key, mark in self._digests.items()
+            if not self._stands(key, held.get(key, b""), mark)
+        ]
 
     @staticmethod
     def _stands(key: bytes, value: bytes, mark: int) -> bool:
@@ -128,7 +134,9 @@
 
     def used(self) -> int:
         """Bytes of the file's pages that were ever in use."""
-        return (self._lmdb.info()["last_pgno"] + 1) * self._lmdb.stat()["psize"] if self._lmdb else 0
+        return (
+            (self._lmdb.info()["last_pgno"] + 1) * self._lmdb.stat()["psize"] if self._lmdb else 0
+        )
 
     @property
     def open(self) -> bool:
@@ -166,7 +174,11 @@
             return
         if not pages.check(path):
             self._remove()
-        elif (first := pages.set_aside(path)) and first[0] == MANIFEST and (txn := numbered(first[1])):
+        elif (
+            (first := pages.set_aside(path))
+            and first[0] == MANIFEST
+            and (txn := numbered(first[1]))
+        ):
             with open(path, "rb") as file:
                 metas = pages.read_metas(file)
             if metas and txn == metas[0].txn + 1:
@@ -191,7 +203,9 @@
                 raise Rotten(f"record {key!r} is not what was written")
             digests[key] = int.from_bytes(mark, "big")
         if numbered(held, "format") > FORMAT:
-            raise Unreadable(f"{self.path}: format {numbered(held, 'format')}, and this revision reads up to {FORMAT}")
+            raise Unreadable(
+                f"{self.path}: format {numbered(held, 'format')}, and this revision reads up to {FORMAT}"
+            )
         if held != manifest(digests, txn):
             raise Rotten("records are missing, or of another moment")
         self._digests = digests
@@ -283,7 +297,9 @@
 def manifest(digests: Mapping[bytes, int], txn: int) -> bytes:
     """What stands under MANIFEST beside records of these digests, written by that commit; digested as they are."""
     total = sum(digests.values()) % (1 << 8 * DIGEST)
-    value = json.dumps({"format": FORMAT, "txn": txn, "records": len(digests), "sum": f"{total:032x}"}).encode()
+    value = json.dumps(
+        {"format": FORMAT, "txn": txn, "records": len(digests), "sum": f"{total:032x}"}
+    ).encode()
     return value + digest(MANIFEST, value)
 
 
--- a/umbermoor/gateway/barograph/view.py
+++ b/umbermoor/gateway/barograph/view.py
@@ -35,8 +35,10 @@
 
 
 def choose_chain(
-    order: Iterable[str], shunned: Iterable[str], enough: Callable[[Collection[str]], bool],
-    mutual: Callable[[str, str], bool]
+    order: Iterable[str],
+    shunned: Iterable[str],
+    enough: Callable[[Collection[str]], bool],
+    mutual: Callable[[str, str], bool],
 ) -> tuple[str, ...]:
     """Of those in `order`, as many as all hear each other, the first ones preferred; all, if that is not enough.
 
@@ -84,11 +86,17 @@
 
     def counting(self) -> list[str]:
         """Who has promised and counts: neither blank nor a learner."""
-        return [who for who, promise in self.promises.items() if not promise.blank and who in self.sets.names]
+        return [
+            who
+            for who, promise in self.promises.items()
+            if not promise.blank and who in self.sets.names
+        ]
 
     def mutual(self, one: str, other: str) -> bool:
         return other in self.promises[one].hears and one in self.promises[other].hears
 
     def newest(self) -> Promise:
         """Whose state is to be taken."""
-        return max((self.promises[who] for who in self.counting()), key=lambda promise: promise.version)
+        return max(
+            (self.promises[who] for who in self.counting()), key=lambda promise: promise.version
+        )
--- a/umbermoor/gateway/barograph/words.py
+++ b/umbermoor/gateway/barograph/words.py
@@ -33,7 +33,12 @@
 
 
 def names(value: Any) -> bool:
-    return type(value) is list and len(value) <= 64 and all(map(name, value)) and len(set(value)) == len(value)
+    return (
+        type(value) is list
+        and len(value) <= 64
+        and all(map(name, value))
+        and len(set(value)) == len(value)
+    )
 
 
 def version(value: Any) -> bool:
@@ -41,7 +46,13 @@
 
 
 def view(value: Any) -> bool:
-    return value is None or type(value) is list and len(value) == 2 and number(value[0]) and names(value[1])
+    return (
+        value is None
+        or type(value) is list
+        and len(value) == 2
+        and number(value[0])
+        and names(value[1])
+    )
 
 
 def key(value: Any) -> bool:
@@ -60,7 +71,11 @@
 def entry(value: Any) -> bool:
     """[key, value, origin, its life, its number there]"""
     return (
-        type(value) is list and len(value) == 5 and key(value[0]) and name(value[2]) and all(map(number, value[3:]))
+        type(value) is list
+        and len(value) == 5
+        and key(value[0])
+        and name(value[2])
+        and all(map(number, value[3:]))
     )
 
 
@@ -84,8 +99,12 @@
 def seats(value: Any) -> bool:
     """[[name, rank], ...]"""
     return (
-        type(value) is list and 0 < len(value) <= 64
-        and all(type(seat) is list and len(seat) == 2 and name(seat[0]) and number(seat[1]) for seat in value)
+        type(value) is list
+        and 0 < len(value) <= 64
+        and all(
+            type(seat) is list and len(seat) == 2 and name(seat[0]) and number(seat[1])
+            for seat in value
+        )
         and len({seat[0] for seat in value}) == len(value)
     )
 
@@ -93,14 +112,23 @@
 def sets(value: Any) -> bool:
     """[system, number, old, new]; null: none."""
     return value is None or (
-        type(value) is list and len(value) == 4 and all(map(number, value[:2])) and all(map(seats, value[2:]))
+        type(value) is list
+        and len(value) == 4
+        and all(map(number, value[:2]))
+        and all(map(seats, value[2:]))
     )
 
 
 def proven(value: Any) -> bool:
     """[epoch, sets]"""
-    return value is None or type(value) is list and len(value) == 2 and number(value[0]) and sets(value[1]) and bool(
-        value[1])
+    return (
+        value is None
+        or type(value) is list
+        and len(value) == 2
+        and number(value[0])
+        and sets(value[1])
+        and bool(value[1])
+    )
 
 
 ASK = {"life": number, "id": number}
@@ -126,9 +154,21 @@
     "learn": {"nonce": number},
     "learnt": {"nonce": number, "promise": number},
     "prepare": {"epoch": number, "version": version},
-    "promise": {"epoch": number, "blank": flag, "version": version, "state": maybe_values, "hears": names},
+    "promise": {
+        "epoch": number,
+        "blank": flag,
+        "version": version,
+        "state": maybe_values,
+        "hears": names,
+    },
     "refuse": {"epoch": number, "promise": number},
-    "newview": {"epoch": number, "chain": names, "members": names, "base": version, "state": maybe_values},
+    "newview": {
+        "epoch": number,
+        "chain": names,
+        "members": names,
+        "base": version,
+        "state": maybe_values,
+    },
     "accept": {"epoch": number},
     "append": {"epoch": number, "first": number, "entries": entries, "committed": number},
     "ack": {"epoch": number, "synced": number, "committed": number},
--- a/umbermoor/gateway/chamber/checks.py
+++ b/umbermoor/gateway/chamber/checks.py
@@ -48,7 +48,11 @@
     def __init__(self, play: Any) -> None:
         self.play, self.time = play, play.time
         margins = {name: round(value * SECOND) for name, value in MARGINS.items()}
-        self.contact, self.ack_s, self.drain_s = margins["contactS"], margins["ackS"], margins["drainS"]
+        self.contact, self.ack_s, self.drain_s = (
+            margins["contactS"],
+            margins["ackS"],
+            margins["drainS"],
+        )
         self.converge, self.stretch = margins["convergenceS"], margins["stretchS"]
         self.settling, self.rollback = margins["settlingS"], margins["rollbackS"]
         self.orders: list[Order] = []
@@ -56,24 +60,32 @@
         self.floor = 0  # the newest configuration that an answer told of
         self.bad: set[int] = set()
         self.contents: dict[int, bytes] = {}  # what was in force under a number
-        self.targets: set[tuple[str, str]] = set()  # services with versions that the register ever held an order for
+        self.targets: set[tuple[str, str]] = (
+            set()
+        )  # services with versions that the register ever held an order for
         # trouble
         self.core_bad = NEVER  # when the core was last not settled, contactS aside
         self.link_bad = NEVER
         self.member_bad = dict.fromkeys(play.members, NEVER)
         self.pair_bad: dict[frozenset[str], int] = {}
         self.front_bad = dict.fromkeys(play.vanes, NEVER)
-        self.wiped_at: dict[str, int] = {}  # members whose disk was lost, and since when they may have been filled
+        self.wiped_at: dict[
+            str, int
+        ] = {}  # members whose disk was lost, and since when they may have been filled
         # what was seen
         self.versions: dict[tuple[int, int], dict[str, str]] = {}
         self.seen: dict[str, tuple[int, tuple[int, int]]] = {}  # member: life, version
         self.in_force: dict[str, int] = {}  # front: configuration, in this life
         self.was_ready: set[str] = set()
-        self.away: dict[str, set[str]] = {}  # front: machines heard to drain or be gone, in this life
+        self.away: dict[
+            str, set[str]
+        ] = {}  # front: machines heard to drain or be gone, in this life
         self.began_floor: dict[str, int] = {}
         self.records: dict[tuple[str, int, int], str] = {}
         self.ended: dict[tuple[str, int], str] = {}
-        self.decided: dict[str, tuple[str, bool]] = {}  # record: who decided on it, whether it was no longer the head
+        self.decided: dict[
+            str, tuple[str, bool]
+        ] = {}  # record: who decided on it, whether it was no longer the head
         self.head, self.head_since = "", 0
         self.rollouts_acked: dict[str, str] = {}  # service: target of the newest acknowledged order
         self.rollouts_sent: dict[str, list[str]] = {}
@@ -100,7 +112,9 @@
             process = member.box.process
             if process is None or process.frozen or process.pace or member.box.disk.mode != "well":
                 self.member_bad[name] = now
-                if process is not None and (process.frozen or process.pace or member.box.disk.mode != "well"):
+                if process is not None and (
+                    process.frozen or process.pace or member.box.disk.mode != "well"
+                ):
                     self.core_bad = now
             if process is not None and not process.frozen:
                 well.append(name)
@@ -112,19 +126,31 @@
         for one, other in combinations(members, 2):
             if net.cut(one, other) or net.cut(other, one):
                 self.pair_bad[frozenset((one, other))] = now
-        reaching = {one: [other for other in well if other == one or not (net.cut(one, other) or net.cut(other, one))]
-                    for one in well}
+        reaching = {
+            one: [
+                other
+                for other in well
+                if other == one or not (net.cut(one, other) or net.cut(other, one))
+            ]
+            for one in well
+        }
         strong = [one for one, others in reaching.items() if 2 * len(others) > len(members)]
         if not strong:
             self.core_bad = now
         for ip, vane in self.play.vanes.items():
             process = vane.box.process
-            if process is None or process.frozen or any(net.cut(ip, one) or net.cut(one, ip) for one in strong):
+            if (
+                process is None
+                or process.frozen
+                or any(net.cut(ip, one) or net.cut(one, ip) for one in strong)
+            ):
                 self.front_bad[ip] = now
         out = {one for one in members if one not in strong}
         if self.wiped_at and len(out | set(self.wiped_at)) > self.play.day.bear:
             self.core_bad = now  # more is lost than is to be borne: nothing is asked of time
-        for name in list(self.wiped_at):  # filled, as far as the pages see it, after settlingS among calm others
+        for name in list(
+            self.wiped_at
+        ):  # filled, as far as the pages see it, after settlingS among calm others
             if now - max(self.core_bad, self.wiped_at[name]) >= self.settling and name in strong:
                 del self.wiped_at[name]
 
@@ -141,8 +167,10 @@
             return False
         calm = [one for one in self.member_bad if self.member_bad[one] < since]
         enough = len(self.member_bad) // 2 + 1
-        return any(all(self.pair_bad.get(frozenset(pair), NEVER) < since for pair in combinations(some, 2))
-                   for some in combinations(calm, enough))
+        return any(
+            all(self.pair_bad.get(frozenset(pair), NEVER) < since for pair in combinations(some, 2))
+            for some in combinations(calm, enough)
+        )
 
     def may_wipe(self, name: str) -> bool:
         """Whether its disk may be lost now: with those lost before, no more than may be lost at once."""
@@ -170,12 +198,18 @@
         if status >= 300:
             again = any(one.body == order.body and one.acked_at is not None for one in self.orders)
             if not order.raced or status != 409 or again:
-                self.broken("refused", f"{order.kind} {order.name}: {status}{', acknowledged before' * again}")
+                self.broken(
+                    "refused",
+                    f"{order.kind} {order.name}: {status}{', acknowledged before' * again}",
+                )
             return
         order.acked_at = self.time.now
         if order.kind == "config":
             if self.contents.get(order.name, order.body) != order.body:
-                self.broken("one number", f"{order.name} is acknowledged, and was in force with another content")
+                self.broken(
+                    "one number",
+                    f"{order.name} is acknowledged, and was in force with another content",
+                )
             self.acked.append((self.time.now, order.name))
             self.floor = max(self.floor, order.name)
         else:
@@ -208,12 +242,16 @@
     def _content(self, number: int, body: bytes, what: str) -> None:
         """A content is in force under a number: one that was sent, and never another one."""
         if body not in (self.play.configs.get(number), self.play.twins.get(number)):
-            self.broken("content", f"{number} {what} with a content that was never sent, or was refused")
+            self.broken(
+                "content", f"{number} {what} with a content that was never sent, or was refused"
+            )
         if self.contents.setdefault(number, body) != body:
             self.broken("one number", f"{number} {what} with another content than before")
         for order in self.orders if number in self.play.twins else ():
             if order.name == number and order.acked_at is not None and order.body != body:
-                self.broken("one number", f"{number} {what}, and another content of it was acknowledged")
+                self.broken(
+                    "one number", f"{number} {what}, and another content of it was acknowledged"
+                )
 
     def reads_rollout(self, service: str) -> tuple[str, str | None]:
         return service, self.rollouts_acked.get(service)
@@ -222,11 +260,18 @@
         service, acked = read
         if status != 200:
             if acked is not None:
-                self.broken("lost", f"{status} to a read of the roll-out of {service}, though {acked} was acknowledged")
+                self.broken(
+                    "lost",
+                    f"{status} to a read of the roll-out of {service}, though {acked} was acknowledged",
+                )
             return
         said = json.loads(body)
         sent = self.rollouts_sent[service]
-        if said["target"] not in sent or acked is not None and sent.index(said["target"]) < sent.index(acked):
+        if (
+            said["target"] not in sent
+            or acked is not None
+            and sent.index(said["target"]) < sent.index(acked)
+        ):
             self.broken("old read", f"{service} rolls out {said}, though {acked} was acknowledged")
         held = self.rollouts_over.get((service, said["target"]))
         if held not in (None, said["state"]):
@@ -260,7 +305,10 @@
         if server.version == held["target"] and self.in_touch(front):
             count["bad"] += 1
             if count["bad"] > 0.1 * count["all"] + 50:
-                self.broken("exposure", f"{count['bad']} of {count['all']} requests of {server.service} went to it")
+                self.broken(
+                    "exposure",
+                    f"{count['bad']} of {count['all']} requests of {server.service} went to it",
+                )
 
     def _may_take(self, front: str, server: Any, what: str) -> None:
         since = server.drained_at
@@ -268,8 +316,11 @@
             return
         most = self.drain_s if server.sure else self.drain_s + self.stretch
         if self.time.now > since + most and not server.ended:
-            self.broken("drain", f"{server.id} {what} by {front} {(self.time.now - since) / SECOND:.2f} s after its "
-                                 f"draining was acknowledged")
+            self.broken(
+                "drain",
+                f"{server.id} {what} by {front} {(self.time.now - since) / SECOND:.2f} s after its "
+                f"draining was acknowledged",
+            )
 
     def answered_badly(self, service: str, front: str) -> None:
         held = self.play.rolled[service]
@@ -281,8 +332,14 @@
         count["wrong"] += 1
         if count["wrong"] == 50:
             count["fifty"] = self.time.now
-        if count["wrong"] > 50 and self.time.now > count["fifty"] + self.rollback and self.in_touch(front):
-            self.broken("exposure", f"{service} {held['target']} gets requests long after 50 bad answers")
+        if (
+            count["wrong"] > 50
+            and self.time.now > count["fifty"] + self.rollback
+            and self.in_touch(front)
+        ):
+            self.broken(
+                "exposure", f"{service} {held['target']} gets requests long after 50 bad answers"
+            )
 
     # what is looked at all the time
 
@@ -302,12 +359,21 @@
         for order in self.orders:
             if not order.over and now - max(order.began, settled_since) > self.ack_s + order.extra:
                 if now - order.began < GIVEN_UP and order.kind == "config":
-                    self.broken("ack", f"{order.kind} {order.name} has no answer since {order.began / SECOND:.3f} s")
+                    self.broken(
+                        "ack",
+                        f"{order.kind} {order.name} has no answer since {order.began / SECOND:.3f} s",
+                    )
         for server in self.play.servers:
-            if server.asked_at is not None and server.drained_at is None and server.left_at is None \
-                    and not server.ended:
+            if (
+                server.asked_at is not None
+                and server.drained_at is None
+                and server.left_at is None
+                and not server.ended
+            ):
                 if now - max(server.asked_at, settled_since) > self.ack_s:
-                    self.broken("ack", f"{server.id} drains unheard since {server.asked_at / SECOND:.3f} s")
+                    self.broken(
+                        "ack", f"{server.id} drains unheard since {server.asked_at / SECOND:.3f} s"
+                    )
 
     def _member(self, name: str, member: Any) -> None:
         core = member.core
@@ -322,6 +388,7 @@
                 for service, record in puts:
                     self.decided[service + pick(record)] = name, self._old(register)
                 return puts
+
             core.steps.tick = decide
         life, version = self.seen.get(name, (0, (0, 0)))
         if life == member.lives and register.version < version:
@@ -330,7 +397,9 @@
             return
         self.seen[name] = member.lives, register.version
         if register.version != (0, 0):
-            self._register(register.version, {key: pick(value) for key, value in register.committed.items()})
+            self._register(
+                register.version, {key: pick(value) for key, value in register.committed.items()}
+            )
 
     def _old(self, register: Any) -> bool:
         """Whether another member has been the head for a while."""
@@ -339,10 +408,16 @@
 
     def _head(self) -> None:
         """Notes who is the head of the newest chain that serves."""
-        stories = [member.core.member.story() for member in self.play.members.values() if member.core is not None
-                   and hasattr(member.core, "member")]
-        newest = max((story for story in stories if story["role"] in ("head", "middle", "tail")),
-                     key=lambda story: story["epoch"], default=None)
+        stories = [
+            member.core.member.story()
+            for member in self.play.members.values()
+            if member.core is not None and hasattr(member.core, "member")
+        ]
+        newest = max(
+            (story for story in stories if story["role"] in ("head", "middle", "tail")),
+            key=lambda story: story["epoch"],
+            default=None,
+        )
         if newest is not None and newest["chain"][0] != self.head:
             self.head, self.head_since = newest["chain"][0], self.time.now
 
@@ -360,7 +435,7 @@
             if key == CONFIG:
                 self._content(value["revision"], value["text"].encode(), "is in the register")
             elif key.startswith(ROLLOUT):
-                self.targets.add((key[len(ROLLOUT):], value["target"]))
+                self.targets.add((key[len(ROLLOUT) :], value["target"]))
         if len(self.versions) > 400:
             del self.versions[min(self.versions)]
         for old, new in ((below, version), (version, above)):
@@ -375,16 +450,24 @@
                 self.broken("lost", f"{key} is gone at {new_at}, and was there at {old_at}")
             before, after = json.loads(text), json.loads(new[key])
             if key == CONFIG and after["revision"] <= before["revision"]:
-                self.broken("back", f"configuration {after['revision']} at {new_at}, {before['revision']} at {old_at}")
+                self.broken(
+                    "back",
+                    f"configuration {after['revision']} at {new_at}, {before['revision']} at {old_at}",
+                )
             if key.startswith(ROLLOUT):
-                service = key[len(ROLLOUT):]
+                service = key[len(ROLLOUT) :]
                 if not newer(after, before):
-                    self.broken("back", f"{key} went from {before} at {old_at} to {after} at {new_at}")
+                    self.broken(
+                        "back", f"{key} went from {before} at {old_at} to {after} at {new_at}"
+                    )
                 self._record(service, after)
                 by, late = self.decided.get(service + new[key], ("", False))
                 forward = after["order"] == before["order"] and after["stage"] > before["stage"]
                 if late and (forward or after["state"] == "settled"):
-                    self.broken("old head", f"{service} went on to {after} by the word of {by}, long replaced")
+                    self.broken(
+                        "old head",
+                        f"{service} went on to {after} by the word of {by}, long replaced",
+                    )
 
     def _record(self, service: str, record: dict[str, Any]) -> None:
         if record["state"] == "running":  # the end of an order may bear the number of its last step
@@ -407,22 +490,37 @@
     def _front(self, name: str, front: Any) -> None:
         held = front.routes.revision if front.routes is not None else 0
         if held < self.in_force[name]:
-            self.broken("revert", f"{name} went back from configuration {self.in_force[name]} to {held}")
+            self.broken(
+                "revert", f"{name} went back from configuration {self.in_force[name]} to {held}"
+            )
         if held != self.in_force[name]:
             self.in_force[name] = held
             names = {route.name for route in front.routes}
-            may = [self.contents.get(held)] if held in self.contents else [  # its member may have ended since it told
-                self.play.configs.get(held), self.play.twins.get(held)]
-            body = next((one for one in may if one and set(json.loads(one)["routes"]) == names), None)
+            may = (
+                [self.contents.get(held)]
+                if held in self.contents
+                else [  # its member may have ended since it told
+                    self.play.configs.get(held),
+                    self.play.twins.get(held),
+                ]
+            )
+            body = next(
+                (one for one in may if one and set(json.loads(one)["routes"]) == names), None
+            )
             if body is None:
-                self.broken("content", f"{name} has {held} in force, which is not what the register holds")
+                self.broken(
+                    "content", f"{name} has {held} in force, which is not what the register holds"
+                )
             self.contents[held] = body
         if front.ready and name not in self.was_ready:
             self.was_ready.add(name)
             self.counts["ready"] += 1
             if held < self.began_floor[name]:
-                self.broken("old ready", f"{name} is ready with {held}, though {self.began_floor[name]} was "
-                                         f"acknowledged before it started")
+                self.broken(
+                    "old ready",
+                    f"{name} is ready with {held}, though {self.began_floor[name]} was "
+                    f"acknowledged before it started",
+                )
         self._late(name, held)
         for id, entry in front.pulls.machines.items():
             if entry.state in (DRAINING, GONE):
@@ -438,15 +536,21 @@
 
     def _late(self, name: str, held: int) -> None:
         now = self.time.now
-        due = max((number for at, number in self.acked[-60:] if now - at > self.converge), default=0)
+        due = max(
+            (number for at, number in self.acked[-60:] if now - at > self.converge), default=0
+        )
         if held >= due:
             return
         if self.in_touch(name):
-            self.broken("late", f"{name} has {held} in force, {due} was acknowledged over convergenceS ago")
+            self.broken(
+                "late", f"{name} has {held} in force, {due} was acknowledged over convergenceS ago"
+            )
         span = self.converge + self.stretch
         long = max((number for at, number in self.acked[-60:] if now - at > span), default=0)
         if held < long and self.outer(name, span + self.contact):
-            self.broken("late", f"{name} has {held} in force, {long} was acknowledged over stretchS ago")
+            self.broken(
+                "late", f"{name} has {held} in force, {long} was acknowledged over stretchS ago"
+            )
 
     # marks of the day
 
@@ -465,14 +569,26 @@
             self.time.run(self.time.now + SECOND)
         self.time.run(self.time.now + 2 * SECOND)
         for name, member in play.members.items():
+
             def told(status: int, body: bytes, name: str = name) -> None:
                 reads.append((name, status, body))
-            play.net.call(play.operator, name, lambda process, back, member=member: member.handle(
-                "GET", "/Config.Read", b"", process, back), told)
+
+            play.net.call(
+                play.operator,
+                name,
+                lambda process, back, member=member: member.handle(
+                    "GET", "/Config.Read", b"", process, back
+                ),
+                told,
+            )
         self.time.run(self.time.now + SECOND)
         newest = max(play.configs)
         for order in self.orders:
-            if order.kind == "rollout" and order.acked_at is not None and tuple(order.name.split()) not in self.targets:
+            if (
+                order.kind == "rollout"
+                and order.acked_at is not None
+                and tuple(order.name.split()) not in self.targets
+            ):
                 self.broken("lost", f"the roll-out of {order.name} was acknowledged, and never was")
         if self.floor != newest:
             self.broken("end", f"{newest} is not acknowledged though all is well, {self.floor} is")
@@ -483,11 +599,14 @@
             self.broken("end", f"only {[name for name, *_ in reads]} answer a read")
         stories = {name: member.core.member.story() for name, member in play.members.items()}
         if len({(story["epoch"], tuple(story["chain"])) for story in stories.values()}) > 1 or any(
-                story["role"] not in ("head", "middle", "tail") for story in stories.values()):
+            story["role"] not in ("head", "middle", "tail") for story in stories.values()
+        ):
             self.broken("end", f"not whole though all is well: {stories}")
         for vane in play.vanes.values():  # no rule is broken: nobody is there to take a request
             self.counts["left and still listed"] += sum(
-                server.known_left and server.id in vane.front.plants.by_id for server in play.servers)
+                server.known_left and server.id in vane.front.plants.by_id
+                for server in play.servers
+            )
         for name, vane in play.vanes.items():
             if vane.front is None or not vane.front.ready or self.in_force[name] != newest:
                 self.broken("end", f"{name} has {self.in_force[name]} in force, or is not ready")
