--- a/umbermoor/http2/session.py
+++ b/umbermoor/http2/session.py
@@ -38,8 +38,13 @@
 
     __slots__ = ("headers", "body", "may_go", "ended", "stand", "over", "stream")
 
-    def __init__(self, headers: list[tuple[str, str]], body: bytes, may_go: Callable[[], bool],
-                 ended: Callable[[Outcome], None]) -> None:
+    def __init__(
+        self,
+        headers: list[tuple[str, str]],
+        body: bytes,
+        may_go: Callable[[], bool],
+        ended: Callable[[Outcome], None],
+    ) -> None:
         self.headers, self.body, self.may_go, self.ended = headers, body, may_go, ended
         self.stand, self.over, self.stream = Stand.UNSENT, False, 0
 
@@ -69,18 +74,28 @@
     def __init__(self, buffers: Buffers, now: int) -> None:
         self._buffers = buffers
         self._splitter = Splitter(now)
-        self._codec = h2.connection.H2Connection(h2.config.H2Configuration(
-            client_side=True, header_encoding="latin-1", validate_inbound_headers=True))
-        self._codec.local_settings = h2.settings.Settings(client=True, initial_values={
-            h2.settings.SettingCodes.ENABLE_PUSH: 0, h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: STREAM_WINDOW,
-            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: 16 * 1024,
-            h2.settings.SettingCodes.HEADER_TABLE_SIZE: 0})  # so that a head which nobody waits for can be passed over
+        self._codec = h2.connection.H2Connection(
+            h2.config.H2Configuration(
+                client_side=True, header_encoding="latin-1", validate_inbound_headers=True
+            )
+        )
+        self._codec.local_settings = h2.settings.Settings(
+            client=True,
+            initial_values={
+                h2.settings.SettingCodes.ENABLE_PUSH: 0,
+                h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: STREAM_WINDOW,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: 16 * 1024,
+                h2.settings.SettingCodes.HEADER_TABLE_SIZE: 0,
+            },
+        )  # so that a head which nobody waits for can be passed over
         self._codec.initiate_connection()
         self._codec.increment_flow_control_window(CONNECTION_WINDOW - 65_535)
         self._streams: dict[int, _Stream] = {}
         self._waiting: deque[Call] = deque()
         self._block_open = False  # a head that the codec has a part of
-        self._written: _Stream | None = None  # its END_STREAM is the last thing that was handed to the kernel
+        self._written: _Stream | None = (
+            None  # its END_STREAM is the last thing that was handed to the kernel
+        )
         self._last = NO_LAST  # of the peer's GOAWAY
         self.going = False  # a GOAWAY came: no new stream
         self.ended = False
@@ -108,12 +123,19 @@
     @property
     def limit(self) -> int:
         """Streams that the peer takes at once."""
-        return min(ASSUMED_STREAMS if not self.settled else 1 << 20, self._codec.remote_settings.max_concurrent_streams)
+        return min(
+            ASSUMED_STREAMS if not self.settled else 1 << 20,
+            self._codec.remote_settings.max_concurrent_streams,
+        )
 
     @property
     def usable(self) -> bool:
         """Whether new calls may be put on it."""
-        return not self.ended and not self.going and self._codec.highest_outbound_stream_id < LAST_STREAM - 2
+        return (
+            not self.ended
+            and not self.going
+            and self._codec.highest_outbound_stream_id < LAST_STREAM - 2
+        )
 
     # What is asked.
 
@@ -181,7 +203,9 @@
         return self._codec.data_to_send()
 
     def _send_rest(self, number: int, stream: _Stream) -> bytes:
-        room = min(self._codec.local_flow_control_window(number), self._codec.max_outbound_frame_size)
+        room = min(
+            self._codec.local_flow_control_window(number), self._codec.max_outbound_frame_size
+        )
         if room <= 0:
             return b""
         part, stream.rest = stream.rest[:room], stream.rest[room:]
@@ -211,10 +235,20 @@
         connection,
         and one query's time-out ends its neighbours."""
         kind, flags, number = frame[3], frame[4], int.from_bytes(frame[5:9]) & 0x7FFFFFFF
-        if kind == Kind.CONTINUATION and self._block_open or kind not in (Kind.HEADERS, Kind.CONTINUATION):
-            self._block_open = self._block_open and not (kind == Kind.CONTINUATION and flags & END_HEADERS)
+        if (
+            kind == Kind.CONTINUATION
+            and self._block_open
+            or kind not in (Kind.HEADERS, Kind.CONTINUATION)
+        ):
+            self._block_open = self._block_open and not (
+                kind == Kind.CONTINUATION and flags & END_HEADERS
+            )
             return False
-        over = number not in self._streams and number % 2 == 1 and 0 < number <= self._codec.highest_outbound_stream_id
+        over = (
+            number not in self._streams
+            and number % 2 == 1
+            and 0 < number <= self._codec.highest_outbound_stream_id
+        )
         self._block_open = not over and kind == Kind.HEADERS and not flags & END_HEADERS
         return over
 
@@ -237,9 +271,15 @@
         """All that came is ours already: the windows open again at once. What we hold of it is bounded by the
         buffers."""
         for event in events:
-            if isinstance(event, h2.events.DataReceived) and event.flow_controlled_length and not self.ended:
+            if (
+                isinstance(event, h2.events.DataReceived)
+                and event.flow_controlled_length
+                and not self.ended
+            ):
                 try:
-                    self._codec.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
+                    self._codec.acknowledge_received_data(
+                        event.flow_controlled_length, event.stream_id
+                    )
                 except h2.exceptions.ProtocolError:  # the stream is over
                     continue
 
@@ -253,8 +293,12 @@
             case h2.events.ResponseReceived():
                 self._head(number, stream, event)
             case h2.events.DataReceived():
-                call.stand = max(call.stand, Stand.ANSWERING) if call.stand >= Stand.WHOLE else call.stand
-                if stream.run.size + len(event.data) > BODY_MOST or not stream.run.add(memoryview(event.data)):
+                call.stand = (
+                    max(call.stand, Stand.ANSWERING) if call.stand >= Stand.WHOLE else call.stand
+                )
+                if stream.run.size + len(event.data) > BODY_MOST or not stream.run.add(
+                    memoryview(event.data)
+                ):
                     self._spoilt(number)
             case h2.events.StreamEnded():
                 self._answered(number, stream)
@@ -271,7 +315,9 @@
         for name, value in event.headers or ():
             headers[name] = f"{headers[name]}, {value}" if name in headers else value
         status = headers.pop(":status", "")
-        if len(headers) > HEADERS_MOST or not (status.isascii() and status.isdigit() and len(status) == 3):
+        if len(headers) > HEADERS_MOST or not (
+            status.isascii() and status.isdigit() and len(status) == 3
+        ):
             self._spoilt(number)
             return
         stream.status, stream.headers = int(status), headers
--- a/umbermoor/interface.py
+++ b/umbermoor/interface.py
@@ -115,7 +115,9 @@
     cap_by_profile: bool
     free_hand_offs: float
     one_way: bool
-    tallied_every: int  # how long the platform counts hand-offs before it tells; 0: it tells nothing
+    tallied_every: (
+        int  # how long the platform counts hand-offs before it tells; 0: it tells nothing
+    )
     complaint_share: float  # of the wrong answers, the share that clients report; 0: none
 
 
@@ -164,17 +166,37 @@
 class Decider(Protocol):
     """The calls on a front. All but ``decide`` only take note."""
 
-    def take_query(self, now: int, query: str, profile: int, key: str | None, due: int, cost: int | None,
-                   repeated: bool) -> None: ...
-    def hand_off_ended(self, now: int, query: str, number: int, machine: str, ending: Ending, took: int,
-                       closed: bool) -> None: ...
+    def take_query(
+        self,
+        now: int,
+        query: str,
+        profile: int,
+        key: str | None,
+        due: int,
+        cost: int | None,
+        repeated: bool,
+    ) -> None: ...
+    def hand_off_ended(
+        self,
+        now: int,
+        query: str,
+        number: int,
+        machine: str,
+        ending: Ending,
+        took: int,
+        closed: bool,
+    ) -> None: ...
     def stream_started(self, now: int, query: str, number: int) -> None: ...
     def client_left(self, now: int, query: str) -> None: ...
     def list_news(self, now: int, kind: Listing, entries: Sequence[Entry]) -> None: ...
     def release_news(self, now: int, news: News) -> None: ...
-    def tally(self, now: int, build: int, profile: int, counted: int, lost: int, took: int, age: int) -> None: ...
+    def tally(
+        self, now: int, build: int, profile: int, counted: int, lost: int, took: int, age: int
+    ) -> None: ...
     def complaint(self, now: int, machine: str, profile: int, age: int) -> None: ...
-    def probe_ended(self, now: int, machine: str, ending: Ending, load: Sequence[float] | None) -> None: ...
+    def probe_ended(
+        self, now: int, machine: str, ending: Ending, load: Sequence[float] | None
+    ) -> None: ...
     def peer_told(self, now: int, peer: int, payload: bytes) -> None: ...
     def woken(self, now: int) -> None: ...
     def decide(self, now: int) -> Decision | None: ...
--- a/umbermoor/keeping.py
+++ b/umbermoor/keeping.py
@@ -28,7 +28,7 @@
         return Unfit("is of another kind")
     if version not in versions:
         return Unfit(f"is of version {version}; this program reads {', '.join(map(str, versions))}")
-    body = data[_HEAD.size:]
+    body = data[_HEAD.size :]
     if len(body) != length or zlib.crc32(body) != checksum:
         return Unfit("is torn or garbled")
     return version, body
--- a/umbermoor/lab/sockets/callers.py
+++ b/umbermoor/lab/sockets/callers.py
@@ -60,7 +60,13 @@
     """One try."""
 
     def __init__(self, crowd: "Crowd", journey: Journey, front: int, query: str, due: int) -> None:
-        self.crowd, self.journey, self.front, self.query, self.due = crowd, journey, front, query, due
+        self.crowd, self.journey, self.front, self.query, self.due = (
+            crowd,
+            journey,
+            front,
+            query,
+            due,
+        )
         self.line: Line | None = None
         self.over = False
         self.timer = reactor.callLater(max(0, due - now()) / 1e6, self.gave_up)
@@ -68,16 +74,26 @@
     def send(self, line: Line) -> None:
         wish, row = self.journey.wish, self.journey.row
         self.line, line.call = line, self
-        headers = {"X-Txn": self.query, "X-Lane": row.name,
-                   "X-Remaining": f"{max(0.001, (self.due - now()) / 1e6):.6f}",
-                   "X-Estimate": str(wish.hint)}
+        headers = {
+            "X-Txn": self.query,
+            "X-Lane": row.name,
+            "X-Remaining": f"{max(0.001, (self.due - now()) / 1e6):.6f}",
+            "X-Estimate": str(wish.hint),
+        }
         if self.journey.tries > 1 and self.crowd.day.clients.marks:
             headers["X-Resent"] = "1"
         target = f"/api?p={wish.profile}&w={wish.work:.1f}"
         binding = row.repeat == "once"
         self.crowd.events.note("taken", f"n{self.front}", self.query, wish.profile, self.due)
-        line.transport.write(write_request("POST" if binding else "GET", target, "api.internal", headers,
-                                           b"order" if binding else b""))
+        line.transport.write(
+            write_request(
+                "POST" if binding else "GET",
+                target,
+                "api.internal",
+                headers,
+                b"order" if binding else b"",
+            )
+        )
 
     def answered(self, response: Response | None) -> None:
         if self.over:
@@ -113,7 +129,9 @@
 
 
 class Crowd:
-    def __init__(self, day: Day, begin: int, ports: list[int], path: str, source: Iterator[Wish]) -> None:
+    def __init__(
+        self, day: Day, begin: int, ports: list[int], path: str, source: Iterator[Wish]
+    ) -> None:
         self.day, self._begin, self._ports, self._path = day, begin, ports, path
         self.chance = Chance(day.seed)
         self.events, self.measure = Events(), Measure(day)
@@ -165,7 +183,9 @@
         factory = Factory.forProtocol(Line)
         factory.noisy = False
         endpoint = TCP4ClientEndpoint(reactor, LOOPBACK, self._ports[front], timeout=3)
-        endpoint.connect(factory).addCallbacks(lambda line: self._connected(call, line), lambda _: call.answered(None))
+        endpoint.connect(factory).addCallbacks(
+            lambda line: self._connected(call, line), lambda _: call.answered(None)
+        )
 
     def _connected(self, call: Call, line: Line) -> None:
         if call.over:
@@ -188,8 +208,12 @@
         if self._ended and not self._open:
             lags = sorted(self._lags) or [0]
             p99 = lags[int(0.99 * (len(lags) - 1))]
-            self.events.write(self._path, figures=self.measure.figures(), series=self.measure.series(),
-                              pace={"p99_lag_us": p99, "most_lag_us": lags[-1], "honest": p99 <= LAG_MOST})
+            self.events.write(
+                self._path,
+                figures=self.measure.figures(),
+                series=self.measure.series(),
+                pace={"p99_lag_us": p99, "most_lag_us": lags[-1], "honest": p99 <= LAG_MOST},
+            )
             reactor.stop()
 
 
--- a/umbermoor/lab/sockets/common.py
+++ b/umbermoor/lab/sockets/common.py
@@ -74,8 +74,12 @@
             self.transport.abortConnection()
 
 
-def listen(reactor, told: Callable[[Served, Request], None], made: Callable[[Served], None] | None = None,
-           kind: Callable[..., Served] = Served):
+def listen(
+    reactor,
+    told: Callable[[Served, Request], None],
+    made: Callable[[Served], None] | None = None,
+    kind: Callable[..., Served] = Served,
+):
     """On a port of the kernel's choice."""
     factory = Factory()
     factory.noisy = False
@@ -88,6 +92,7 @@
             def announced() -> None:
                 connected()
                 made(one)
+
             one.connectionMade = announced
         return one
 
--- a/umbermoor/lifecycle/command.py
+++ b/umbermoor/lifecycle/command.py
@@ -56,8 +56,9 @@
         self.sock.connect(self._path)
 
 
-def ask(where: str, method: str, path: str, body: dict[str, Any] | None = None, token: str | None = None) -> tuple[int,
-                                                                                                                   bytes]:
+def ask(
+    where: str, method: str, path: str, body: dict[str, Any] | None = None, token: str | None = None
+) -> tuple[int, bytes]:
     """One question to the door. Raises Unanswered."""
     try:
         if where.startswith("unix:"):
@@ -91,13 +92,18 @@
         try:
             body = {"deadline_s": float(given["--deadline"])} if given["--deadline"] else None
         except ValueError:
-            print(f"umbermoor: --deadline: expected seconds, not {given['--deadline']!r}", file=sys.stderr)
+            print(
+                f"umbermoor: --deadline: expected seconds, not {given['--deadline']!r}",
+                file=sys.stderr,
+            )
             return 2
         status, said = ask(where, "POST", "/drain", body, token)
     elif given["resume"]:
         status, said = ask(where, "POST", "/resume", None, token)
     else:
-        name = next(one for one in ("status", "hands", "config", "metrics", "members") if given[one])
+        name = next(
+            one for one in ("status", "hands", "config", "metrics", "members") if given[one]
+        )
         status, said = ask(where, "GET", f"/{name}", None, token)
     if status != 200:
         print(f"umbermoor: {status}: {said.decode(errors='replace').strip()}", file=sys.stderr)
@@ -124,12 +130,15 @@
 
 def told(status: dict[str, Any]) -> str:
     left = "" if status["deadline_s"] is None else f", {status['deadline_s']:.1f} s to its deadline"
-    return (f"{status['name']}: {status['state']}{left}; {status['in_hand']} in hand, {status['clients']} clients, "
-            f"{status['machines']} machines, stage {status['stage']}")
+    return (
+        f"{status['name']}: {status['state']}{left}; {status['in_hand']} in hand, {status['clients']} clients, "
+        f"{status['machines']} machines, stage {status['stage']}"
+    )
 
 
 def _view(status: dict[str, Any]):
     from rich.table import Table
+
     table = Table(title=told(status))
     for name in ("profile", "in hand", "oldest ms"):
         table.add_column(name)
@@ -142,6 +151,7 @@
 
 def _watch(where: str, token: str | None, seconds: float, record: str | None) -> int:
     from rich.live import Live
+
     until = time.monotonic() + seconds
     with Live(refresh_per_second=4) as live:
         while time.monotonic() < until:
@@ -156,6 +166,7 @@
 
 def _replay(path: str) -> int:
     from rich.console import Console
+
     console = Console()
     try:
         for line in Path(path).read_bytes().splitlines():
--- a/umbermoor/lifecycle/keeper.py
+++ b/umbermoor/lifecycle/keeper.py
@@ -16,7 +16,9 @@
 RAMP = 5 * SECOND  # from a return until all is taken again
 RAMP_LEAST = 4  # queries at once that a front which is back takes at first
 BACK_IN = SECOND  # when to come back, for who is turned away
-EMPTY_FOR = SECOND // 10  # so long with nothing in hand, and it is drained: a query that crosses is still read
+EMPTY_FOR = (
+    SECOND // 10
+)  # so long with nothing in hand, and it is drained: a query that crosses is still read
 
 
 class Due(Enum):
@@ -64,7 +66,9 @@
 
     def resume(self, now: int) -> str:
         if self.state not in (State.DRAINING, State.DRAINED):
-            return {State.LEAVING: "leaving: there is no way back"}.get(self.state, "in service already")
+            return {State.LEAVING: "leaving: there is no way back"}.get(
+                self.state, "in service already"
+            )
         drained = self.state is State.DRAINED
         self._back_at, self.deadline = now, None
         self._dues = [one for one in self._dues if one is not Due.CLOSE_IDLE]
@@ -89,7 +93,9 @@
         """Queries at once that it takes: few at first, and then more in step with the time since its return."""
         if self.state is not State.RESUMING:
             return self._room
-        return RAMP_LEAST + (self._room - RAMP_LEAST) * max(0, min(RAMP, now - self._back_at)) // RAMP
+        return (
+            RAMP_LEAST + (self._room - RAMP_LEAST) * max(0, min(RAMP, now - self._back_at)) // RAMP
+        )
 
     @property
     def up(self) -> bool:
--- a/umbermoor/lifecycle/scheduler.py
+++ b/umbermoor/lifecycle/scheduler.py
@@ -68,7 +68,9 @@
         for one in (self.cpu, self.moved):
             one.at, one.left = now, one.rate * BURST
 
-    def add(self, name: str, priority: int, make: Callable[[], Work], every: int = 0, after: int = 0) -> Task:
+    def add(
+        self, name: str, priority: int, make: Callable[[], Work], every: int = 0, after: int = 0
+    ) -> Task:
         task = Task(name, priority, make, every)
         self.tasks.append(task)
         task.timer = self._wheel.set(self.clock() + after, task)
@@ -91,7 +93,9 @@
         """When ``run`` is wanted next."""
         now = self.clock()
         if self._ready:
-            short = [-one.left / one.rate * SECOND for one in (self.cpu, self.moved) if one.left <= 0]
+            short = [
+                -one.left / one.rate * SECOND for one in (self.cpu, self.moved) if one.left <= 0
+            ]
             return now + round(max(short, default=0)) + (GRAIN if short else 0)
         return self._wheel.next_at()
 
@@ -106,7 +110,10 @@
         self.moved.fill(now)
         if not self._ready or self.cpu.left <= 0 or self.moved.left <= 0:
             return 0
-        task = min(self._ready, key=lambda one: (one.priority - (now - one.waits_since) // AGEING, one.waits_since))
+        task = min(
+            self._ready,
+            key=lambda one: (one.priority - (now - one.waits_since) // AGEING, one.waits_since),
+        )
         if pressed and now - task.waits_since < PRESSED_WAIT:
             return 0
         return self._slice(task, now)
--- a/umbermoor/lifecycle/snapshot.py
+++ b/umbermoor/lifecycle/snapshot.py
@@ -41,8 +41,11 @@
 
 
 def pack(memory: Memory) -> bytes:
-    return sealed(MAGIC, VERSION, orjson.dumps({**memory._asdict(),
-                                                "machines": [list(one) for one in memory.machines]}))
+    return sealed(
+        MAGIC,
+        VERSION,
+        orjson.dumps({**memory._asdict(), "machines": [list(one) for one in memory.machines]}),
+    )
 
 
 def unpack(data: bytes) -> Memory | Unfit:
@@ -54,7 +57,9 @@
         given: dict[str, Any] = orjson.loads(body)
         machines = tuple(MachineMemory(*one) for one in given.pop("machines"))
         memory = Memory(**given, machines=machines)
-        return memory._replace(usual=tuple(map(float, memory.usual)), at=int(memory.at), name=str(memory.name))
+        return memory._replace(
+            usual=tuple(map(float, memory.usual)), at=int(memory.at), name=str(memory.name)
+        )
     except (orjson.JSONDecodeError, TypeError, ValueError, KeyError) as error:
         return Unfit(f"cannot be read: {type(error).__name__}")
 
@@ -66,7 +71,9 @@
     if memory.fleet != fleet:
         return Unfit("is of a fleet with other settings")
     if not 0 <= now - memory.at <= OLD:
-        return Unfit(f"is {(now - memory.at) / 1e6:.0f} s old" if now > memory.at else "is of the future")
+        return Unfit(
+            f"is {(now - memory.at) / 1e6:.0f} s old" if now > memory.at else "is of the future"
+        )
     return None
 
 
--- a/umbermoor/lifecycle/ways.py
+++ b/umbermoor/lifecycle/ways.py
@@ -1,11 +1,11 @@
 """What operators may ask of a front, and the answers, without I/O: the door on sockets only carries them.
 
-    GET  /status   state, deadline, work in hand, machines, stage
-    GET  /hands    each query in hand: profile, age, machine, time left
-    GET  /metrics  counters in the Prometheus text form
-    GET  /config   what the front runs with
-    GET  /members  who said what of the machines, and what was concluded
-    POST /drain    {"deadline_s": 30}; POST /resume
+GET  /status   state, deadline, work in hand, machines, stage
+GET  /hands    each query in hand: profile, age, machine, time left
+GET  /metrics  counters in the Prometheus text form
+GET  /config   what the front runs with
+GET  /members  who said what of the machines, and what was concluded
+POST /drain    {"deadline_s": 30}; POST /resume
 """
 
 import hmac
@@ -35,9 +35,15 @@
         if self._token and not self._allowed(request.headers.get("authorization", "")):
             return _said(401, {"error": "a token is needed: Authorization: Bearer TOKEN"})
         path = request.target.partition("?")[0]
-        known = {"/status": "GET", "/members": "GET", "/hands": "GET", "/metrics": "GET", "/config": "GET",
-                 "/drain": "POST",
-                 "/resume": "POST"}
+        known = {
+            "/status": "GET",
+            "/members": "GET",
+            "/hands": "GET",
+            "/metrics": "GET",
+            "/config": "GET",
+            "/drain": "POST",
+            "/resume": "POST",
+        }
         if path not in known:
             return _said(404, {"error": f"no such way; there are {', '.join(sorted(known))}"})
         if request.method != known[path]:
@@ -55,7 +61,9 @@
 
     def _allowed(self, given: str) -> bool:
         """In constant time, whatever was given."""
-        return hmac.compare_digest(given.encode("utf-8", "replace"), f"Bearer {self._token}".encode())
+        return hmac.compare_digest(
+            given.encode("utf-8", "replace"), f"Bearer {self._token}".encode()
+        )
 
     def _deadline(self, body: bytes) -> int | None | Said:
         if not body:
@@ -67,8 +75,14 @@
             return _said(400, {"error": f"no JSON: {error}"})
         if within is None and isinstance(given, dict):
             return None
-        if isinstance(within, bool) or not isinstance(within, int | float) or not 0 <= within <= DEADLINE_MOST:
-            return _said(400, {"error": f"deadline_s: expected seconds from 0 to {DEADLINE_MOST:g}"})
+        if (
+            isinstance(within, bool)
+            or not isinstance(within, int | float)
+            or not 0 <= within <= DEADLINE_MOST
+        ):
+            return _said(
+                400, {"error": f"deadline_s: expected seconds from 0 to {DEADLINE_MOST:g}"}
+            )
         return round(within * 1e6)
 
 
--- a/umbermoor/lifecycle/wheel.py
+++ b/umbermoor/lifecycle/wheel.py
@@ -29,7 +29,9 @@
         """``grain``: timers that lie within one may fire together, up to so much late."""
         self._grain = max(1, grain)
         self._tick = now // self._grain
-        self._levels: list[list[dict[int, Timer]]] = [[{} for _ in range(SLOTS)] for _ in range(LEVELS)]
+        self._levels: list[list[dict[int, Timer]]] = [
+            [{} for _ in range(SLOTS)] for _ in range(LEVELS)
+        ]
         self._far: dict[int, Timer] = {}
         self._made = 0
         self.count = 0
--- a/umbermoor/logs.py
+++ b/umbermoor/logs.py
@@ -8,8 +8,12 @@
 
 class KeyValues(logging.Formatter):
     def format(self, record: logging.LogRecord) -> str:
-        pairs: dict[str, Any] = {"at": f"{record.created:.3f}", "level": record.levelname.lower(),
-                                 "in": record.name.removeprefix("umbermoor."), "what": record.getMessage()}
+        pairs: dict[str, Any] = {
+            "at": f"{record.created:.3f}",
+            "level": record.levelname.lower(),
+            "in": record.name.removeprefix("umbermoor."),
+            "what": record.getMessage(),
+        }
         pairs.update(getattr(record, "with_", {}))
         if record.exc_info:
             pairs["trace"] = self.formatException(record.exc_info)
@@ -42,8 +46,13 @@
 
 def _shown(value: Any) -> str:
     text = str(value)
-    return text if text and text.isprintable() and not set(' "=') & set(text) else '"' + "".join(
-        {'"': '\\"', "\\": "\\\\", "\n": "\\n"}.get(sign, sign) for sign in text) + '"'
+    return (
+        text
+        if text and text.isprintable() and not set(' "=') & set(text)
+        else '"'
+        + "".join({'"': '\\"', "\\": "\\\\", "\n": "\\n"}.get(sign, sign) for sign in text)
+        + '"'
+    )
 
 
 def _lines_of_json() -> logging.Formatter:
@@ -52,13 +61,28 @@
 
     def pairs(_logger: Any, _name: str, event: dict[str, Any]) -> dict[str, Any]:
         record = event["_record"]
-        given = {"at": round(record.created, 3), "level": record.levelname.lower(),
-                 "in": record.name.removeprefix("umbermoor."), "what": record.getMessage()}
-        return given | {key: value if isinstance(value, int | float | bool) else str(value)
-                        for key, value in getattr(record, "with_", {}).items()} | (
-            {"trace": logging.Formatter().formatException(record.exc_info)} if record.exc_info else {})
-
-    return structlog.stdlib.ProcessorFormatter(processors=[pairs, structlog.processors.JSONRenderer()])
+        given = {
+            "at": round(record.created, 3),
+            "level": record.levelname.lower(),
+            "in": record.name.removeprefix("umbermoor."),
+            "what": record.getMessage(),
+        }
+        return (
+            given
+            | {
+                key: value if isinstance(value, int | float | bool) else str(value)
+                for key, value in getattr(record, "with_", {}).items()
+            }
+            | (
+                {"trace": logging.Formatter().formatException(record.exc_info)}
+                if record.exc_info
+                else {}
+            )
+        )
+
+    return structlog.stdlib.ProcessorFormatter(
+        processors=[pairs, structlog.processors.JSONRenderer()]
+    )
 
 
 def start_log(level: str = "INFO", form: str = "pairs") -> None:
--- a/umbermoor/membership/answers.py
+++ b/umbermoor/membership/answers.py
@@ -15,7 +15,10 @@
 import dns.rrset
 
 EDNS_SIZE = 1232  # bytes of an answer over UDP that no path cuts up
-TTL_LEAST, TTL_MOST = 1, 3600  # seconds; a lifetime of 0 asks again in one, one of a week does not bind us for it
+TTL_LEAST, TTL_MOST = (
+    1,
+    3600,
+)  # seconds; a lifetime of 0 asks again in one, one of a week does not bind us for it
 NEGATIVE_MOST = 60
 RECORDS_MOST = 1000
 
@@ -90,8 +93,14 @@
         return Failed(dns.rcode.to_text(code))
     if any(one.rdtype == dns.rdatatype.CNAME and one.name == asked for one in message.answer):
         return Failed("a CNAME where the service should be")
-    found = next((one for one in message.answer if one.name == asked and one.rdtype == wanted
-                  and one.rdclass == dns.rdataclass.IN), None)
+    found = next(
+        (
+            one
+            for one in message.answer
+            if one.name == asked and one.rdtype == wanted and one.rdclass == dns.rdataclass.IN
+        ),
+        None,
+    )
     if found is None:
         return NotThere("no such record", _negative(message))
     ttl = max(TTL_LEAST, min(TTL_MOST, found.ttl))
@@ -110,8 +119,13 @@
     for record in found:
         if record.target in aliases:  # RFC 2782: a target must not be an alias
             continue
-        held = [one for one in message.additional if one.name == record.target and one.rdtype == dns.rdatatype.A
-                and one.rdclass == dns.rdataclass.IN]
+        held = [
+            one
+            for one in message.additional
+            if one.name == record.target
+            and one.rdtype == dns.rdatatype.A
+            and one.rdclass == dns.rdataclass.IN
+        ]
         addresses = tuple(sorted(str(address) for one in held for address in one))
         host = record.target.to_text(omit_final_dot=True).lower()
         for one in held:
@@ -124,6 +138,12 @@
 
 def _negative(message: dns.message.Message) -> int:
     """How long a 'no' holds, by the SOA."""
-    soa = next((one for one in message.authority
-                if one.rdtype == dns.rdatatype.SOA and one.rdclass == dns.rdataclass.IN), None)
+    soa = next(
+        (
+            one
+            for one in message.authority
+            if one.rdtype == dns.rdatatype.SOA and one.rdclass == dns.rdataclass.IN
+        ),
+        None,
+    )
     return TTL_LEAST if soa is None else max(TTL_LEAST, min(NEGATIVE_MOST, soa.ttl, soa[0].minimum))
--- a/umbermoor/membership/asking.py
+++ b/umbermoor/membership/asking.py
@@ -16,8 +16,14 @@
 WAIT_LEAST, WAIT_MOST = SECOND // 5, 2 * SECOND  # for one answer
 WAIT_TIMES = 6.0  # so many usual answer times
 LEARN = 0.3
-REFRESH_PART, REFRESH_SPREAD = 0.7, 0.2  # of a lifetime, after which it is asked again; so many fronts not at once
-AGAIN_FIRST, AGAIN_MOST = SECOND // 2, 8 * SECOND  # after a round in which no server answered, doubling
+REFRESH_PART, REFRESH_SPREAD = (
+    0.7,
+    0.2,
+)  # of a lifetime, after which it is asked again; so many fronts not at once
+AGAIN_FIRST, AGAIN_MOST = (
+    SECOND // 2,
+    8 * SECOND,
+)  # after a round in which no server answered, doubling
 HOSTS_MOST = 64  # whose addresses are asked for by themselves
 
 
@@ -37,7 +43,11 @@
     failures: int = 0
 
     def wait(self) -> int:
-        return round(min(WAIT_MOST, max(WAIT_LEAST, WAIT_TIMES * self.usual))) if self.usual else WAIT_MOST // 2
+        return (
+            round(min(WAIT_MOST, max(WAIT_LEAST, WAIT_TIMES * self.usual)))
+            if self.usual
+            else WAIT_MOST // 2
+        )
 
 
 @dataclass(slots=True)
@@ -90,7 +100,11 @@
         took = now - out.sent
         out.server.usual += (took - out.server.usual) * (LEARN if out.server.usual else 1.0)
         if isinstance(read, Cut):
-            return self._failed(now, out.server, "truncated over TCP") if ask.tcp else self._again_over_tcp(now, out)
+            return (
+                self._failed(now, out.server, "truncated over TCP")
+                if ask.tcp
+                else self._again_over_tcp(now, out)
+            )
         if isinstance(read, Failed):
             return self._failed(now, out.server, read.why)
         out.server.failures = 0
@@ -106,8 +120,11 @@
     # Within.
 
     def _ask(self, now: int, tcp: bool) -> Ask | None:
-        server = min((one for one in self.servers if one not in self._tried), default=None,
-                     key=lambda one: (one.failures, one.usual * (0.8 + 0.4 * self.chance())))
+        server = min(
+            (one for one in self.servers if one not in self._tried),
+            default=None,
+            key=lambda one: (one.failures, one.usual * (0.8 + 0.4 * self.chance())),
+        )
         if server is None:
             self._round_over(now)
             return None
@@ -155,9 +172,13 @@
         self._found = found._replace(ttl=max(answers.TTL_LEAST, min(found.ttl, read.ttl)))
         if self._hosts:
             return self._ask(now, False)
-        targets = tuple(one._replace(addresses=one.addresses or self.addresses.get(one.host, ()))
-                        for one in self._found.targets)
-        done = There(targets, self._found.ttl, tuple(one.host for one in targets if not one.addresses))
+        targets = tuple(
+            one._replace(addresses=one.addresses or self.addresses.get(one.host, ()))
+            for one in self._found.targets
+        )
+        done = There(
+            targets, self._found.ttl, tuple(one.host for one in targets if not one.addresses)
+        )
         self._found = None
         return self._settled(now, done)
 
@@ -175,8 +196,12 @@
     if not found.targets:
         return []
     first = min(one.priority for one in found.targets)
-    return [(f"{one.host}:{one.port}", (address, one.port), one.weight)
-            for one in found.targets if one.priority == first for address in one.addresses[:1]]
+    return [
+        (f"{one.host}:{one.port}", (address, one.port), one.weight)
+        for one in found.targets
+        if one.priority == first
+        for address in one.addresses[:1]
+    ]
 
 
 __all__ = ["Asker", "Ask", "Server", "places", "Target"]
--- a/umbermoor/membership/book.py
+++ b/umbermoor/membership/book.py
@@ -16,7 +16,10 @@
 SUDDEN_PART, SUDDEN_LEAST = 0.5, 4  # losing more than that part of so many at once is held
 CONFIRMED_AFTER = 2  # answers that say the same
 HELD_MOST = 10 * SECOND  # and in any case no longer than this
-STEADY_FIRST, STEADY_MOST = SECOND, 60 * SECOND  # who came back after a loss waits this long, doubling with each
+STEADY_FIRST, STEADY_MOST = (
+    SECOND,
+    60 * SECOND,
+)  # who came back after a loss waits this long, doubling with each
 CALM = 300 * SECOND  # without a loss, after which its flapping is forgotten
 ENTRIES_MOST = 20_000  # of one source; what is beyond is left out and told
 EVENTS_MOST = 512  # kept for who asks why
@@ -61,18 +64,24 @@
     failing_since: int = 0
     why: str = ""
     version: int = 0
-    held: dict[str, int] = field(default_factory=dict)  # who it left out, and is not believed yet: since when
+    held: dict[str, int] = field(
+        default_factory=dict
+    )  # who it left out, and is not believed yet: since when
     held_answers: int = 0
     flaps: dict[str, _Flap] = field(default_factory=dict)
 
     def speaks(self, now: int) -> bool:
         """Whether what it last said still counts."""
-        return bool(self.good_at) and (not self.failing_since or not self.keep or now - self.good_at <= self.keep)
+        return bool(self.good_at) and (
+            not self.failing_since or not self.keep or now - self.good_at <= self.keep
+        )
 
 
 class Book:
     def __init__(self, sources: Iterable[tuple[str, bool, int]]) -> None:
-        self.sources = {name: Source(name, authoritative, keep) for name, authoritative, keep in sources}
+        self.sources = {
+            name: Source(name, authoritative, keep) for name, authoritative, keep in sources
+        }
         self.events: list[Event] = []
 
     # What sources say.
@@ -81,12 +90,20 @@
         """All that a source knows. False: it was not believed, as its version goes back."""
         source = self.sources[name]
         if version and source.version and version < source.version:
-            self._tell(now, source, "", f"an older answer, {version} after {source.version}, is passed over")
+            self._tell(
+                now,
+                source,
+                "",
+                f"an older answer, {version} after {source.version}, is passed over",
+            )
             return False
         told = self._bounded(now, source, entries)
         lost = [one for one in source.known if one not in told]
-        sudden = (not source.authoritative and len(source.known) >= SUDDEN_LEAST
-                  and len(lost) > SUDDEN_PART * len(source.known))
+        sudden = (
+            not source.authoritative
+            and len(source.known) >= SUDDEN_LEAST
+            and len(lost) > SUDDEN_PART * len(source.known)
+        )
         if sudden and not self._confirmed(now, source, lost):
             kept = {one: source.known[one] for one in lost}
         else:
@@ -127,7 +144,11 @@
     def tick(self, now: int) -> None:
         """What was held for long enough is believed; what flapped long ago is forgotten."""
         for source in self.sources.values():
-            if source.held and now - min(source.held.values()) >= HELD_MOST and not source.failing_since:
+            if (
+                source.held
+                and now - min(source.held.values()) >= HELD_MOST
+                and not source.failing_since
+            ):
                 for one in list(source.held):
                     source.known.pop(one, None)
                     self._lost(now, source, one)
@@ -143,7 +164,9 @@
         source = self.sources[name]
         if not source.speaks(now):
             return {}
-        return {one: seen for one, seen in source.known.items() if self.steady_at(source, one) <= now}
+        return {
+            one: seen for one, seen in source.known.items() if self.steady_at(source, one) <= now
+        }
 
     def steady_at(self, source: Source, name: str) -> int:
         """When a machine that came back is taken again; it was never lost: at once."""
@@ -155,8 +178,11 @@
     def next_at(self, now: int) -> int | None:
         times = [min(one.held.values()) + HELD_MOST for one in self.sources.values() if one.held]
         for source in self.sources.values():
-            times += [at for name in source.flaps if name in source.known
-                      and (at := self.steady_at(source, name)) > now]
+            times += [
+                at
+                for name in source.flaps
+                if name in source.known and (at := self.steady_at(source, name)) > now
+            ]
             if source.failing_since and source.keep:
                 times.append(source.good_at + source.keep + 1)
         return min((one for one in times if one > now), default=None)
@@ -167,7 +193,12 @@
         told: dict[str, Seen] = {}
         for one in entries:
             if len(told) >= ENTRIES_MOST and one.name not in told:
-                self._tell(now, source, "", f"names more than {ENTRIES_MOST} machines: the rest is left out")
+                self._tell(
+                    now,
+                    source,
+                    "",
+                    f"names more than {ENTRIES_MOST} machines: the rest is left out",
+                )
                 break
             if one.readiness is not Readiness.GONE:
                 told[one.name] = one
@@ -179,13 +210,19 @@
             source.held.setdefault(one, now)
         source.held = {one: at for one, at in source.held.items() if one in lost}
         if source.held_answers == 1:
-            self._tell(now, source, "", f"left out {len(lost)} of {len(source.known)} at once: held until it says so "
-                                        f"again")
+            self._tell(
+                now,
+                source,
+                "",
+                f"left out {len(lost)} of {len(source.known)} at once: held until it says so again",
+            )
         return source.held_answers > CONFIRMED_AFTER or now - min(source.held.values()) >= HELD_MOST
 
     def _good(self, now: int, source: Source, version: int) -> None:
         if source.failing_since:
-            self._tell(now, source, "", f"speaks again after {(now - source.failing_since) / SECOND:.1f} s")
+            self._tell(
+                now, source, "", f"speaks again after {(now - source.failing_since) / SECOND:.1f} s"
+            )
         source.good_at, source.failing_since, source.why = max(1, now), 0, ""
         source.version = version or source.version
 
@@ -200,7 +237,12 @@
         flap = source.flaps.get(name)
         if flap is not None:
             flap.since = now
-        self._tell(now, source, name, "is there" if flap is None else f"is back, after {flap.losses} losses")
+        self._tell(
+            now,
+            source,
+            name,
+            "is there" if flap is None else f"is back, after {flap.losses} losses",
+        )
 
     def _tell(self, now: int, source: Source, machine: str, what: str) -> None:
         self.events.append(Event(now, source.name, machine, what))
--- a/umbermoor/membership/conclude.py
+++ b/umbermoor/membership/conclude.py
@@ -33,7 +33,9 @@
 
 
 class Concluder:
-    def __init__(self, book: Book, rule: Rule, quorum: int = 2, existence: str = "", facts: str = "") -> None:
+    def __init__(
+        self, book: Book, rule: Rule, quorum: int = 2, existence: str = "", facts: str = ""
+    ) -> None:
         self.book, self.rule, self.quorum = book, rule, quorum
         self.existence, self.facts = existence, facts
         self.last = Conclusion({}, True)
@@ -60,23 +62,39 @@
             found.setdefault(present[name].address, present[name])
         return found
 
-    def _there(self, said: dict[str, dict], speaking: list[str]) -> dict[tuple[str, int], tuple[tuple[str, ...], str]]:
+    def _there(
+        self, said: dict[str, dict], speaking: list[str]
+    ) -> dict[tuple[str, int], tuple[tuple[str, ...], str]]:
         """By address: who names it, and why it counts."""
         if self.rule == "split":
-            return {address: (tuple(name for name in speaking if address in said[name]), f"{self.existence} says so")
-                    for address in said[self.existence]}
+            return {
+                address: (
+                    tuple(name for name in speaking if address in said[name]),
+                    f"{self.existence} says so",
+                )
+                for address in said[self.existence]
+            }
         if self.rule == "first":
             first = speaking[0]
-            return {address: (tuple(name for name in speaking if address in said[name]),
-                              f"{first} is the first that speaks")
-                    for address in said[first]}
+            return {
+                address: (
+                    tuple(name for name in speaking if address in said[name]),
+                    f"{first} is the first that speaks",
+                )
+                for address in said[first]
+            }
         every = dict.fromkeys(address for name in speaking for address in said[name])
-        needed = {"any": 1, "all": len(speaking), "quorum": min(self.quorum, len(speaking))}[self.rule]
+        needed = {"any": 1, "all": len(speaking), "quorum": min(self.quorum, len(speaking))}[
+            self.rule
+        ]
         found = {}
         for address in every:
             by = tuple(name for name in speaking if address in said[name])
             if len(by) >= needed:
-                found[address] = by, f"named by {len(by)} of {len(speaking)} that speak; {needed} needed"
+                found[address] = (
+                    by,
+                    f"named by {len(by)} of {len(speaking)} that speak; {needed} needed",
+                )
         return found
 
     def _facts(self, address: tuple[str, int], by: tuple[str, ...], said: dict[str, dict]) -> Seen:
@@ -85,23 +103,42 @@
         views = [said[name][address] for name in dict.fromkeys(order)]
         seen = views[0]
         drains = any(view.readiness is Readiness.DRAINING for view in views)
-        facts = {field: next((value for view in views if (value := getattr(view, field)) is not None), None)
-                 for field in ("build", "born", "zone", "cell", "weight")}
+        facts = {
+            field: next(
+                (value for view in views if (value := getattr(view, field)) is not None), None
+            )
+            for field in ("build", "born", "zone", "cell", "weight")
+        }
         return seen._replace(readiness=Readiness.DRAINING if drains else Readiness.READY, **facts)
 
 
 def entry_of(member: Member) -> Entry:
     """In the module's form. What no source knows is as of a machine that has run for long."""
     seen = member.seen
-    return Entry(seen.name, seen.build or 0, seen.zone or 0, seen.cell or 0, seen.readiness, seen.weight or 1.0,
-                 seen.born or 0)
+    return Entry(
+        seen.name,
+        seen.build or 0,
+        seen.zone or 0,
+        seen.cell or 0,
+        seen.readiness,
+        seen.weight or 1.0,
+        seen.born or 0,
+    )
 
 
 def difference(old: dict[str, Member], new: dict[str, Member]) -> tuple[Listing, list[Entry]]:
     """What has changed, as changes for the module; a machine that moved is told as it is now."""
-    entries = [entry_of(member) for name, member in new.items()
-               if name not in old or (old[name].seen, old[name].seen.address) != (member.seen, member.seen.address)]
-    entries += [entry_of(member)._replace(readiness=Readiness.GONE) for name, member in old.items() if name not in new]
+    entries = [
+        entry_of(member)
+        for name, member in new.items()
+        if name not in old
+        or (old[name].seen, old[name].seen.address) != (member.seen, member.seen.address)
+    ]
+    entries += [
+        entry_of(member)._replace(readiness=Readiness.GONE)
+        for name, member in old.items()
+        if name not in new
+    ]
     return Listing.CHANGES, entries
 
 
@@ -111,17 +148,23 @@
     for source in concluder.book.sources.values():
         age = f"{(now - source.good_at) / 1e6:.1f} s ago" if source.good_at else "never"
         state = f"fails ({source.why})" if source.failing_since else "speaks"
-        lines.append(f"source {source.name}: {state}, {len(source.known)} machines, last good {age}"
-                     + (f", {len(source.held)} held" if source.held else ""))
+        lines.append(
+            f"source {source.name}: {state}, {len(source.known)} machines, last good {age}"
+            + (f", {len(source.held)} held" if source.held else "")
+        )
     for name, member in concluder.last.members.items():
         if machine in (None, name):
-            lines.append(f"{name} {member.seen.address[0]}:{member.seen.address[1]} "
-                         f"{member.seen.readiness.name.lower()}: "
-                         f"{member.why} ({', '.join(member.by)})")
+            lines.append(
+                f"{name} {member.seen.address[0]}:{member.seen.address[1]} "
+                f"{member.seen.readiness.name.lower()}: "
+                f"{member.why} ({', '.join(member.by)})"
+            )
     if machine is not None and machine not in concluder.last.members:
         lines.append(f"{machine}: not in the list")
     for event in concluder.book.events[-20:]:
         if machine in (None, event.machine) or not event.machine:
-            lines.append(f"{(now - event.at) / 1e6:.1f} s ago, {event.source}: {event.machine} "
-                         f"{event.what}".replace(":  ", ": "))
+            lines.append(
+                f"{(now - event.at) / 1e6:.1f} s ago, {event.source}: {event.machine} "
+                f"{event.what}".replace(":  ", ": ")
+            )
     return lines
--- a/umbermoor/membership/lasting.py
+++ b/umbermoor/membership/lasting.py
@@ -17,8 +17,19 @@
 
 
 def pack(lasting: Lasting) -> bytes:
-    rows = [[one.name, *one.address, int(one.readiness), one.build, one.born, one.zone, one.cell, one.weight]
-            for one in lasting.seen]
+    rows = [
+        [
+            one.name,
+            *one.address,
+            int(one.readiness),
+            one.build,
+            one.born,
+            one.zone,
+            one.cell,
+            one.weight,
+        ]
+        for one in lasting.seen
+    ]
     return sealed(MAGIC, VERSION, orjson.dumps({"at": lasting.at, "rows": rows}))
 
 
@@ -28,8 +39,10 @@
         return opened
     try:
         given = orjson.loads(opened[1])
-        seen = tuple(Seen(str(name), (str(host), int(port)), Readiness(ready), *facts)
-                     for name, host, port, ready, *facts in given["rows"])
+        seen = tuple(
+            Seen(str(name), (str(host), int(port)), Readiness(ready), *facts)
+            for name, host, port, ready, *facts in given["rows"]
+        )
         return Lasting(int(given["at"]), seen)
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
         return Unfit(f"cannot be read: {type(error).__name__}")
@@ -47,6 +60,9 @@
         return data
     lasting = unpack(data)
     if isinstance(lasting, Lasting) and not 0 <= now - lasting.at <= keep:
-        return Unfit(f"is {(now - lasting.at) / 1e6:.0f} s old, over {keep / 1e6:.0f}" if now > lasting.at
-                     else "is of the future")
+        return Unfit(
+            f"is {(now - lasting.at) / 1e6:.0f} s old, over {keep / 1e6:.0f}"
+            if now > lasting.at
+            else "is of the future"
+        )
     return lasting
--- a/umbermoor/membership/subsets.py
+++ b/umbermoor/membership/subsets.py
@@ -20,13 +20,20 @@
     """A machine that goes is replaced by one other; load is even as chance has it."""
     if size >= len(machines):
         return sorted(machines)
-    return sorted(sorted(machines, key=lambda one: (xxhash.xxh64_intdigest(f"{front}/{one}".encode()), one))[:size])
+    return sorted(
+        sorted(machines, key=lambda one: (xxhash.xxh64_intdigest(f"{front}/{one}".encode()), one))[
+            :size
+        ]
+    )
 
 
 class Ring:
     def __init__(self, machines: Sequence[str]) -> None:
-        points = sorted((xxhash.xxh64_intdigest(f"{one}#{at}".encode()), one) for one in machines for at
-                        in range(POINTS))
+        points = sorted(
+            (xxhash.xxh64_intdigest(f"{one}#{at}".encode()), one)
+            for one in machines
+            for at in range(POINTS)
+        )
         self._at = [point for point, _ in points]
         self._who = [one for _, one in points]
         self._count = len(set(machines))
@@ -48,7 +55,7 @@
     order = sorted(machines)
     random.Random(front // per_round).shuffle(order)
     start = front % per_round * size
-    return sorted(order[start:start + size])
+    return sorted(order[start : start + size])
 
 
 def spread_rendezvous(front: str, groups: dict[str, Sequence[str]], size: int) -> list[str]:
@@ -64,4 +71,8 @@
     while sum(counts.values()) < size:
         least = max(counts, key=lambda name: (exact[name] - counts[name], name))
         counts[least] += 1
-    return sorted(one for name, some in groups.items() for one in rendezvous(front, some, min(len(some), counts[name])))
+    return sorted(
+        one
+        for name, some in groups.items()
+        for one in rendezvous(front, some, min(len(some), counts[name]))
+    )
--- a/umbermoor/node/budget.py
+++ b/umbermoor/node/budget.py
@@ -26,8 +26,11 @@
 
     def take(self) -> bool:
         """Threat: in one turn many give way to others, and all of them are open until it ends."""
-        if self.used >= self.most + CLOSING_MOST or self.used >= self.most and not any(
-                close() for close in self.spare):
+        if (
+            self.used >= self.most + CLOSING_MOST
+            or self.used >= self.most
+            and not any(close() for close in self.spare)
+        ):
             return False
         self.used += 1
         self.peak = max(self.peak, self.used)
--- a/umbermoor/node/capturing.py
+++ b/umbermoor/node/capturing.py
@@ -15,13 +15,19 @@
 class Capturing:
     def __init__(self, reactor, clock, station: Station, to: CaptureTo) -> None:
         names = sorted(station.profiles, key=station.profiles.__getitem__)
-        profiles = tuple({"name": name, "aim_ms": row.target / 1000, "patience_ms": row.patience / 1000,
-                          "late_value": row.late_value, "repeat": "once"
-                          if row.repeat.value == "binding" else "repeatable"}
-                         for name, row in zip(names, station.charter.profiles))
+        profiles = tuple(
+            {
+                "name": name,
+                "aim_ms": row.target / 1000,
+                "patience_ms": row.patience / 1000,
+                "late_value": row.late_value,
+                "repeat": "once" if row.repeat.value == "binding" else "repeatable",
+            }
+            for name, row in zip(names, station.charter.profiles)
+        )
         self._reactor = reactor
         header = Header(station.name, clock(), profiles)
-        self._files = Segments(to.path, round(to.most_mb * 2 ** 20), lambda: self._recorder.begin())
+        self._files = Segments(to.path, round(to.most_mb * 2**20), lambda: self._recorder.begin())
         self._recorder = Recorder(clock, header, self._files.write)
         self._timer = reactor.callLater(FRAME_EVERY / SECOND, self._flush)
 
--- a/umbermoor/node/clients.py
+++ b/umbermoor/node/clients.py
@@ -32,7 +32,10 @@
 LINGER = 1.0  # seconds that a client has to close after its last answer
 READ_WITHIN = 2.5  # seconds from connecting, and then from a request's first byte, until that request is whole
 READ_LEAST = 0.01  # what came by then and waits unread is read within this, in the next turn
-ONCE_PART, ONCE_LEAST = 6, 16  # one in so many of the budget's connections may have asked once and stay, or so many
+ONCE_PART, ONCE_LEAST = (
+    6,
+    16,
+)  # one in so many of the budget's connections may have asked once and stay, or so many
 STALE = 2 * SECOND  # a connection without an open request may be closed from then on
 
 
@@ -64,9 +67,23 @@
 class Clients(Factory):
     noisy = False
 
-    def __init__(self, reactor, clock: Callable[[], int], buffers: Buffers, budget: Budget,
-                 profiles: Mapping[str, int], repeats: list[Repeat], ask: Ask) -> None:
-        self.reactor, self.clock, self.buffers, self.budget, self.ask = reactor, clock, buffers, budget, ask
+    def __init__(
+        self,
+        reactor,
+        clock: Callable[[], int],
+        buffers: Buffers,
+        budget: Budget,
+        profiles: Mapping[str, int],
+        repeats: list[Repeat],
+        ask: Ask,
+    ) -> None:
+        self.reactor, self.clock, self.buffers, self.budget, self.ask = (
+            reactor,
+            clock,
+            buffers,
+            budget,
+            ask,
+        )
         self.profiles, self.repeats = profiles, repeats
         self.up = self.leaving = False
         self.keeper: Keeper | None = None
@@ -97,7 +114,9 @@
     def close_one(self, after: int = 0) -> bool:
         """The connection that has been idle longest, if that is as long as this."""
         since = self.clock() - after
-        idle = next((one for one in self.open if one.idle and one.since <= since and not one.unread), None)
+        idle = next(
+            (one for one in self.open if one.idle and one.since <= since and not one.unread), None
+        )
         if idle is not None:
             idle.close()
         return idle is not None
@@ -112,9 +131,11 @@
 
     def bound(self, port: Port) -> None:
         """Threat: a turn of a busy front accepts a hundred at once, whatever was said meanwhile."""
+
         def turn() -> None:
             port.numberAccepts = max(1, self.budget.room)
             type(port).doRead(port)
+
         port.doRead = turn
 
     def close_idle(self) -> None:
@@ -141,7 +162,12 @@
         headers = request.headers
         query, profile = headers.get("x-txn", ""), self.profiles.get(headers.get("x-lane", ""))
         remaining = _number(headers.get("x-remaining", ""))
-        if not _ID.fullmatch(query) or profile is None or remaining is None or not 0 < remaining <= LONGEST:
+        if (
+            not _ID.fullmatch(query)
+            or profile is None
+            or remaining is None
+            or not 0 < remaining <= LONGEST
+        ):
             return Answer(400)
         if (request.method == "GET") != (self.repeats[profile] is Repeat.RETRIABLE):
             return Answer(405)
@@ -149,8 +175,17 @@
             return Answer(400)
         cost = _number(headers.get("x-estimate", ""))
         due = came + max(0, round(remaining * SECOND) - WAY)
-        return Query(Asked(query, profile, None, due, round(cost) if cost and 0 < cost < 1e12 else None,
-                           headers.get("x-resent") == "1"), request)
+        return Query(
+            Asked(
+                query,
+                profile,
+                None,
+                due,
+                round(cost) if cost and 0 < cost < 1e12 else None,
+                headers.get("x-resent") == "1",
+            ),
+            request,
+        )
 
 
 class Client(Protocol):
@@ -169,7 +204,12 @@
 
     @property
     def idle(self) -> bool:
-        return self._working is None and not self._waiting and not self._reader.midway and not self._closing
+        return (
+            self._working is None
+            and not self._waiting
+            and not self._reader.midway
+            and not self._closing
+        )
 
     @property
     def unread(self) -> bool:
@@ -199,7 +239,9 @@
         found = self._reader.feed(data)
         self._waiting.extend((read, now) for read in found)
         if len(self._waiting) > QUEUED:
-            self._waiting = deque([*list(self._waiting)[:QUEUED], (Fault(400, "too many requests at once"), now)])
+            self._waiting = deque(
+                [*list(self._waiting)[:QUEUED], (Fault(400, "too many requests at once"), now)]
+            )
         if found:
             self._drop_timer()
         self._await_rest()
@@ -307,7 +349,9 @@
     def _too_slow(self, looked: bool = False) -> None:
         self._timer = None
         if self._working is None and not self._closing:
-            if self.unread and not looked:  # threat: after a long turn its time is up before what came is read
+            if (
+                self.unread and not looked
+            ):  # threat: after a long turn its time is up before what came is read
                 self._timer = self._clients.reactor.callLater(READ_LEAST, self._too_slow, True)
             elif self._reader.midway:
                 self._answer(Answer(408), False)
--- a/umbermoor/node/discovery.py
+++ b/umbermoor/node/discovery.py
@@ -31,13 +31,19 @@
     whole: bool
     entries: list[Entry]
     addresses: dict[str, Address]
-    speaks: dict[str, str] = {}  # what a machine's entry says that it speaks: h2c, or http/1.1; where it says so
+    speaks: dict[
+        str, str
+    ] = {}  # what a machine's entry says that it speaks: h2c, or http/1.1; where it says so
 
 
 def read_list(given: Any, zones: Mapping[str, int]) -> News | None:
     """A list in discovery's form; none where it cannot be read. An entry that cannot be read says nothing, not even
     that a machine which the whole list lacks is gone."""
-    if not isinstance(given, dict) or not isinstance(given.get("hosts"), list) or not _whole(given.get("seq")):
+    if (
+        not isinstance(given, dict)
+        or not isinstance(given.get("hosts"), list)
+        or not _whole(given.get("seq"))
+    ):
         return None
     entries, addresses, speaks, whole = [], {}, {}, given.get("whole") is True
     for host in given["hosts"]:
@@ -63,15 +69,34 @@
     if not isinstance(name, str) or state is None or not (_whole(build) or state is Readiness.GONE):
         return None
     born, cell, share = host.get("born_ms") or 0, host.get("block") or 0, host.get("share")
-    return Entry(name, build if _whole(build) else 0, zones.get(host.get("site"), 0), cell if _whole(cell) else 0,
-                 state, float(share) if isinstance(share, (int, float)) else 1.0,
-                 round(born * 1000) if isinstance(born, (int, float)) else 0)
+    return Entry(
+        name,
+        build if _whole(build) else 0,
+        zones.get(host.get("site"), 0),
+        cell if _whole(cell) else 0,
+        state,
+        float(share) if isinstance(share, (int, float)) else 1.0,
+        round(born * 1000) if isinstance(born, (int, float)) else 0,
+    )
 
 
 class Discovery:
-    def __init__(self, reactor, buffers: Buffers, address: Address, zones: Mapping[str, int],
-                 told: Callable[[Listing, News], None], watching: Watching) -> None:
-        self._reactor, self._buffers, self._address, self._zones, self._told = reactor, buffers, address, zones, told
+    def __init__(
+        self,
+        reactor,
+        buffers: Buffers,
+        address: Address,
+        zones: Mapping[str, int],
+        told: Callable[[Listing, News], None],
+        watching: Watching,
+    ) -> None:
+        self._reactor, self._buffers, self._address, self._zones, self._told = (
+            reactor,
+            buffers,
+            address,
+            zones,
+            told,
+        )
         self._watching = watching
         self._line: Line | None = None
         self._next: IDelayedCall | None = None
@@ -118,14 +143,18 @@
             return
         self.counts["list_calls"] += 1
         call = self._watching.call()
-        target = PATH if call.after is None else f"{PATH}?after={call.after}&wait_ms={call.wait // 1000}"
+        target = (
+            PATH if call.after is None else f"{PATH}?after={call.after}&wait_ms={call.wait // 1000}"
+        )
         attempt = Attempt(self._reactor, write_request("GET", target, "discovery"), call.limit)
         self._asking = attempt.outcome
         if self._line is not None and self._line.clean:
             attempt.on(self._line)
         else:
             attempt.connect(self._address, CONNECT_WITHIN, lambda: Line(self._buffers))
-        attempt.outcome.addCallback(self._answered, attempt, self._address).addErrback(self._faulted)
+        attempt.outcome.addCallback(self._answered, attempt, self._address).addErrback(
+            self._faulted
+        )
 
     def _answered(self, outcome: Outcome, attempt: Attempt, address: Address) -> None:
         self._asking, self._line = None, attempt.line
--- a/umbermoor/node/door.py
+++ b/umbermoor/node/door.py
@@ -46,7 +46,9 @@
                 self.transport.loseConnection()
                 return
             said = self._door.answer(read)
-            self.transport.write(write_response(said.status, said.body, read.keep, {"Content-Type": said.kind}))
+            self.transport.write(
+                write_response(said.status, said.body, read.keep, {"Content-Type": said.kind})
+            )
             if not read.keep:
                 self.transport.loseConnection()
                 return
@@ -112,5 +114,3 @@
     if len(token) < TOKEN_LEAST:
         raise Closed(f"token {path}: expected at least {TOKEN_LEAST} characters")
     return token
-
-
--- a/umbermoor/node/exchange.py
+++ b/umbermoor/node/exchange.py
@@ -6,9 +6,28 @@
 
 from twisted.internet.defer import Deferred
 
-from umbermoor.facade import (Abandoned, Asked, Complaint, Connected, Denied, Desk, Ended, Go, Heard, Held, Left,
-                              Listed, Note,
-                              Probe, Probed, Step, Stop, Tell, Vote, Watch)
+from umbermoor.facade import (
+    Abandoned,
+    Asked,
+    Complaint,
+    Connected,
+    Denied,
+    Desk,
+    Ended,
+    Go,
+    Heard,
+    Held,
+    Left,
+    Listed,
+    Note,
+    Probe,
+    Probed,
+    Step,
+    Stop,
+    Tell,
+    Vote,
+    Watch,
+)
 from umbermoor.http1.reader import Response
 from umbermoor.interface import NEVER_RAN, Ending, Entry, Listing, News, Readiness
 from umbermoor.logs import note, note_failure
@@ -46,12 +65,20 @@
 
 
 class Exchange:
-    def __init__(self, reactor, clock: Callable[[], int], desk: Desk, machines: Machines,
-                 load_fields: tuple[str, ...]) -> None:
+    def __init__(
+        self,
+        reactor,
+        clock: Callable[[], int],
+        desk: Desk,
+        machines: Machines,
+        load_fields: tuple[str, ...],
+    ) -> None:
         self._reactor, self._clock, self._desk, self._machines = reactor, clock, desk, machines
         self._load_fields = load_fields
         self.platform: Platform | None = None
-        self.witness: Witness | None = None  # who notes what is asked and how it ends, if anybody does
+        self.witness: Witness | None = (
+            None  # who notes what is asked and how it ends, if anybody does
+        )
         self.watch: Callable[[], None] = lambda: None
         self.keeper: Keeper | None = None
         self.held: dict[str, _Held] = {}
@@ -66,10 +93,17 @@
         self._stage: tuple | None = None
         self._lost: dict[str, int] = {}  # when the log last had a machine's trouble
         self._do: dict[type, Callable] = {
-            Go: self._go, Stop: self._stop, Denied: self._denied, Abandoned: self._abandoned, Vote: self._vote,
-            Watch: lambda _: self.watch(), Probe: self._probe, Held: lambda _: None,
+            Go: self._go,
+            Stop: self._stop,
+            Denied: self._denied,
+            Abandoned: self._abandoned,
+            Vote: self._vote,
+            Watch: lambda _: self.watch(),
+            Probe: self._probe,
+            Held: lambda _: None,
             Tell: lambda _: None,  # no page says how fronts would reach each other
-            Note: lambda step: note(log, step.text)}
+            Note: lambda step: note(log, step.text),
+        }
 
     # From clients.
 
@@ -111,7 +145,9 @@
             self._giving_up = ""
             if self.witness is not None:
                 self.witness.closed(id, 503 if harmless else 502)
-            held.answer.callback(Answer(503, headers={"Retry-After": "1"}) if harmless else Answer(502))
+            held.answer.callback(
+                Answer(503, headers={"Retry-After": "1"}) if harmless else Answer(502)
+            )
 
     def forget(self) -> None:
         self._desk.forget()
@@ -142,12 +178,27 @@
         whole = kind is not Listing.CHANGES
         if self.witness is not None:
             self.witness.listed(whole, news.entries)
-        self._machines.listed(whole, {
-            entry.machine: (news.addresses[entry.machine], entry.readiness is Readiness.READY)
-            if entry.readiness and entry.machine in news.addresses else None for entry in news.entries}, news.speaks)
+        self._machines.listed(
+            whole,
+            {
+                entry.machine: (news.addresses[entry.machine], entry.readiness is Readiness.READY)
+                if entry.readiness and entry.machine in news.addresses
+                else None
+                for entry in news.entries
+            },
+            news.speaks,
+        )
         if news.entries or whole:
-            note(log, "list", kind=kind.name.lower(), version=news.version,
-                 entries=" ".join(f"{one.machine}:{one.build}:{one.readiness.name.lower()}" for one in news.entries))
+            note(
+                log,
+                "list",
+                kind=kind.name.lower(),
+                version=news.version,
+                entries=" ".join(
+                    f"{one.machine}:{one.build}:{one.readiness.name.lower()}"
+                    for one in news.entries
+                ),
+            )
         self.report(Listed(kind, news.entries))
 
     def told(self, news: Heard) -> None:
@@ -155,14 +206,27 @@
         if isinstance(news, News):
             self._note_stage(news)
         elif isinstance(news, Complaint):
-            note(log, "complaint", machine=news.machine, profile=news.profile, age_ms=news.age // 1000)
+            note(
+                log,
+                "complaint",
+                machine=news.machine,
+                profile=news.profile,
+                age_ms=news.age // 1000,
+            )
         self.report(news)
 
     def _note_stage(self, news: News) -> None:
         stage = news.build, news.stage, news.phase, news.cap
         if news.ending is Ending.OK and stage != self._stage:
             self._stage = stage
-            note(log, "stage", build=news.build, stage=news.stage, phase=news.phase.name.lower(), cap=news.cap)
+            note(
+                log,
+                "stage",
+                build=news.build,
+                stage=news.stage,
+                phase=news.phase.name.lower(),
+                cap=news.cap,
+            )
 
     # What is to be done.
 
@@ -210,11 +274,20 @@
             self.report(Ended(step.query, step.number, step.machine, Ending.MOOT, 0))
             return
         request, sent, key = held.query.request, self._clock(), (step.query, step.number)
-        headers = {"X-Txn": step.query, "X-Lane": request.headers["x-lane"],
-                   "X-Remaining": f"{max(0, step.limit) / SECOND:.3f}"}
+        headers = {
+            "X-Txn": step.query,
+            "X-Lane": request.headers["x-lane"],
+            "X-Remaining": f"{max(0, step.limit) / SECOND:.3f}",
+        }
         outcome = self._machines.hand_off(
-            step.machine, request.method, request.target, headers, request.body, step.limit,
-            lambda: bool(self._desk.report(Connected(step))))
+            step.machine,
+            request.method,
+            request.target,
+            headers,
+            request.body,
+            step.limit,
+            lambda: bool(self._desk.report(Connected(step))),
+        )
         self._out[key] = outcome
         self.counts["handed"] += 1
         if self.witness is not None:
@@ -239,8 +312,12 @@
 
     def _note_loss(self, machine: str, how: Ending) -> None:
         if self._clock() > self._lost.get(machine, 0) + LOST_EVERY:
-            since = self._clock() - LOST_EVERY  # threat: a record of every machine that there ever was
-            self._lost = {one: at for one, at in self._lost.items() if at > since} | {machine: self._clock()}
+            since = (
+                self._clock() - LOST_EVERY
+            )  # threat: a record of every machine that there ever was
+            self._lost = {one: at for one, at in self._lost.items() if at > since} | {
+                machine: self._clock()
+            }
             note(log, "machine lost", logging.WARNING, machine=machine, ending=how.name.lower())
 
     def _faulted(self, failure, id: str) -> None:
@@ -271,7 +348,8 @@
         self.counts["votes"] += 1
         note(log, "vote", build=step.build, stage=step.stage, verdict=step.verdict.name.lower())
         self.platform.vote(step).addCallback(self._voted).addErrback(
-            lambda failure: note_failure(log, "fault in a vote", failure))
+            lambda failure: note_failure(log, "fault in a vote", failure)
+        )
 
     def _voted(self, news: News) -> None:
         if news.ending is not Ending.OK:
@@ -280,7 +358,9 @@
         self.report(news)
 
     def _probe(self, step: Probe) -> None:
-        self._machines.probe(step.machine, bool(self._load_fields)).addCallback(self._probed, step.machine)
+        self._machines.probe(step.machine, bool(self._load_fields)).addCallback(
+            self._probed, step.machine
+        )
 
     def _probed(self, outcome: Outcome, machine: str) -> None:
         load = None
--- a/umbermoor/node/formats.py
+++ b/umbermoor/node/formats.py
@@ -30,7 +30,9 @@
 
 
 def write_form(values: Mapping[str, object]) -> bytes:
-    return "&".join(f"{_escaped(name)}={_escaped(str(value))}" for name, value in values.items()).encode()
+    return "&".join(
+        f"{_escaped(name)}={_escaped(str(value))}" for name, value in values.items()
+    ).encode()
 
 
 def read_form(text: str) -> dict[str, str]:
@@ -44,8 +46,10 @@
 
 def _unescaped(text: str) -> str:
     """What only looks like an escape stands for itself."""
-    return _ESCAPES.sub(lambda run: bytes.fromhex(run[0].replace("%", "")).decode("utf-8", "replace"),
-                        text.replace("+", " "))
+    return _ESCAPES.sub(
+        lambda run: bytes.fromhex(run[0].replace("%", "")).decode("utf-8", "replace"),
+        text.replace("+", " "),
+    )
 
 
 def read_xml(data: bytes) -> Element | None:
@@ -57,14 +61,16 @@
     text = re.sub(r"<\?.*?\?>|<!--.*?-->|<!DOCTYPE[^>]*>", "", text, flags=re.DOTALL)
     stack, at = [Element("", "", [])], 0
     for tag in _TAG.finditer(text):
-        between, at = text[at:tag.start()], tag.end()
+        between, at = text[at : tag.start()], tag.end()
         if "<" in between or ">" in between:
             return None
         if tag[1]:
             done = stack.pop()
             if not stack or done.name != tag[2]:
                 return None
-            stack[-1].inner.append(done._replace(text="" if done.inner else _ENTITY.sub(_plain, between).strip()))
+            stack[-1].inner.append(
+                done._replace(text="" if done.inner else _ENTITY.sub(_plain, between).strip())
+            )
         elif tag[4]:
             stack[-1].inner.append(Element(tag[2], "", []))
         else:
@@ -94,7 +100,9 @@
 
     def feed(self, piece: bytes) -> list[Event]:
         events = []
-        *lines, self._rest = re.split(rb"\r\n|\n|\r(?!\Z)", self._rest + piece)  # a last \r may be half of \r\n
+        *lines, self._rest = re.split(
+            rb"\r\n|\n|\r(?!\Z)", self._rest + piece
+        )  # a last \r may be half of \r\n
         if len(self._rest) > LINE_MOST:
             self._rest = b""
         for line in lines:
--- a/umbermoor/node/lines.py
+++ b/umbermoor/node/lines.py
@@ -87,10 +87,14 @@
 
     def connectionLost(self, reason: Failure) -> None:
         self.open = False
-        last = self._reader.end() if reason.check(ConnectionDone) else None  # threat: a reset taken for a body's end
+        last = (
+            self._reader.end() if reason.check(ConnectionDone) else None
+        )  # threat: a reset taken for a body's end
         self._reader.drop()
         if self._answer is not None:
-            whole = last is not None and not isinstance(last, Fault) and self.progress >= Progress.WHOLE
+            whole = (
+                last is not None and not isinstance(last, Fault) and self.progress >= Progress.WHOLE
+            )
             self._settle(last if whole else Failed(self.progress, Cause.BROKEN))
         self.on_close()
 
@@ -117,15 +121,23 @@
         self._reactor, self._data = reactor, data
         self._connecting: Deferred | None = None
         self.line: Line | None = None
-        self.outcome: Deferred[Outcome] = Deferred(lambda _: self._end(Cause.STOPPED))  # to stop it: cancel
+        self.outcome: Deferred[Outcome] = Deferred(
+            lambda _: self._end(Cause.STOPPED)
+        )  # to stop it: cancel
         self._timer = reactor.callLater(max(0, limit) / SECOND, self._end, Cause.LATE)
 
     def on(self, line: Line) -> None:
         self.line = line
         line.ask(self._data).addCallback(self._settle)
 
-    def connect(self, address: tuple[str, int], within: int, line: Callable[[], Line],
-                may_go: Callable[[], bool] = lambda: True, lost: Callable[[], None] = lambda: None) -> None:
+    def connect(
+        self,
+        address: tuple[str, int],
+        within: int,
+        line: Callable[[], Line],
+        may_go: Callable[[], bool] = lambda: True,
+        lost: Callable[[], None] = lambda: None,
+    ) -> None:
         """May it still go, once the connection is there? Lost is called once there is none, or no longer one."""
         factory = Factory.forProtocol(line)
         factory.noisy = False
--- a/umbermoor/node/machines.py
+++ b/umbermoor/node/machines.py
@@ -13,7 +13,9 @@
 from umbermoor.node.lines import SECOND, Attempt, Line
 from umbermoor.node.outcomes import Cause, Failed, Outcome, Progress
 
-IDLE_SAFE = 2 * SECOND  # a connection is not used again this close to the machine's own limit on idle ones
+IDLE_SAFE = (
+    2 * SECOND
+)  # a connection is not used again this close to the machine's own limit on idle ones
 PROBE_LIMIT = SECOND // 4
 
 
@@ -27,25 +29,57 @@
 class Carrier(Protocol):
     """Another way to machines than a line for each hand-off; see streams.py."""
 
-    def listed(self, machine: str, address: tuple[str, int] | None, ready: bool, speaks: str) -> None: ...
+    def listed(
+        self, machine: str, address: tuple[str, int] | None, ready: bool, speaks: str
+    ) -> None: ...
     def speaks(self, machine: str) -> bool: ...
-    def hand_off(self, machine: str, address: tuple[str, int], method: str, target: str, headers: Mapping[str, str],
-                 body: bytes, limit: int, may_go: Callable[[], bool],
-                 plain: "Callable[[], Deferred[Outcome]]") -> "Deferred[Outcome]": ...
+    def hand_off(
+        self,
+        machine: str,
+        address: tuple[str, int],
+        method: str,
+        target: str,
+        headers: Mapping[str, str],
+        body: bytes,
+        limit: int,
+        may_go: Callable[[], bool],
+        plain: "Callable[[], Deferred[Outcome]]",
+    ) -> "Deferred[Outcome]": ...
     def stop(self) -> None: ...
 
 
 class Machines:
-    def __init__(self, reactor, clock: Callable[[], int], buffers: Buffers, budget: Budget, connect_within: int,
-                 idle_close: int, host: str) -> None:
-        self._reactor, self._clock, self._buffers, self._budget, self._host = reactor, clock, buffers, budget, host
-        self._connect_within, self._idle_most = connect_within, max(idle_close // 2, idle_close - IDLE_SAFE)
+    def __init__(
+        self,
+        reactor,
+        clock: Callable[[], int],
+        buffers: Buffers,
+        budget: Budget,
+        connect_within: int,
+        idle_close: int,
+        host: str,
+    ) -> None:
+        self._reactor, self._clock, self._buffers, self._budget, self._host = (
+            reactor,
+            clock,
+            buffers,
+            budget,
+            host,
+        )
+        self._connect_within, self._idle_most = (
+            connect_within,
+            max(idle_close // 2, idle_close - IDLE_SAFE),
+        )
         self._places: dict[str, _Place] = {}
         self.carrier: Carrier | None = None
         self.counts: Counter[str] = Counter()
 
-    def listed(self, whole: bool, places: Mapping[str, tuple[tuple[str, int], bool] | None],
-               speaks: Mapping[str, str] = {}) -> None:
+    def listed(
+        self,
+        whole: bool,
+        places: Mapping[str, tuple[tuple[str, int], bool] | None],
+        speaks: Mapping[str, str] = {},
+    ) -> None:
         """Where machines listen and whether they are ready; none: gone."""
         gone = [id for id in self._places if id not in places] if whole else []
         if self.carrier is not None:
@@ -63,39 +97,82 @@
             place = self._places.get(id)
             if place and (place.address != address or not ready):
                 self._hang_up(place)
-            if place is None or place.address != address:  # threat: the old place's line kept as one to it
+            if (
+                place is None or place.address != address
+            ):  # threat: the old place's line kept as one to it
                 self._places[id] = place = _Place(address)
             place.ready = ready
 
-    def hand_off(self, machine: str, method: str, target: str, headers: Mapping[str, str], body: bytes, limit: int,
-                 may_go: Callable[[], bool]) -> "Deferred[Outcome]":
+    def hand_off(
+        self,
+        machine: str,
+        method: str,
+        target: str,
+        headers: Mapping[str, str],
+        body: bytes,
+        limit: int,
+        may_go: Callable[[], bool],
+    ) -> "Deferred[Outcome]":
         """Cancel the result to call it off; the outcome then comes all the same."""
         place = self._places.get(machine)
         if self.carrier is not None and place is not None and self.carrier.speaks(machine):
             until = self._clock() + limit
             return self.carrier.hand_off(
-                machine, place.address, method, target, headers, body, limit, may_go,
-                lambda: self._plain(machine, method, target, headers, body, until - self._clock(), may_go))
+                machine,
+                place.address,
+                method,
+                target,
+                headers,
+                body,
+                limit,
+                may_go,
+                lambda: self._plain(
+                    machine, method, target, headers, body, until - self._clock(), may_go
+                ),
+            )
         return self._plain(machine, method, target, headers, body, limit, may_go)
 
-    def _plain(self, machine: str, method: str, target: str, headers: Mapping[str, str], body: bytes, limit: int,
-               may_go: Callable[[], bool]) -> "Deferred[Outcome]":
+    def _plain(
+        self,
+        machine: str,
+        method: str,
+        target: str,
+        headers: Mapping[str, str],
+        body: bytes,
+        limit: int,
+        may_go: Callable[[], bool],
+    ) -> "Deferred[Outcome]":
         """In HTTP/1.1, on a line of its own."""
         place = self._places.get(machine)
-        attempt = Attempt(self._reactor, write_request(method, target, self._host, headers, body), limit)
+        attempt = Attempt(
+            self._reactor, write_request(method, target, self._host, headers, body), limit
+        )
         line = place and self._kept(place)
         if line:
             attempt.on(line)
         elif place and self._budget.take():
             self.counts["opened"] += 1
-            attempt.connect(place.address, self._connect_within, lambda: Line(self._buffers), may_go, self._budget.give)
+            attempt.connect(
+                place.address,
+                self._connect_within,
+                lambda: Line(self._buffers),
+                may_go,
+                self._budget.give,
+            )
         else:
             attempt.refuse()
         return attempt.outcome.addCallback(self._over, machine, place, attempt)
 
     def probe(self, machine: str, reports: bool) -> "Deferred[Outcome]":
-        return self.hand_off(machine, "GET", "/metrics/load" if reports else "/alive", {}, b"", PROBE_LIMIT,
-                             lambda: True)
+        return self.hand_off(
+            machine,
+            "GET",
+            "/metrics/load" if reports else "/alive",
+            {},
+            b"",
+            PROBE_LIMIT,
+            lambda: True,
+        )
 
     def close(self) -> None:
         for place in self._places.values():
@@ -103,7 +180,9 @@
         if self.carrier is not None:
             self.carrier.stop()
 
-    def _over(self, outcome: Outcome, machine: str, place: _Place | None, attempt: Attempt) -> Outcome:
+    def _over(
+        self, outcome: Outcome, machine: str, place: _Place | None, attempt: Attempt
+    ) -> Outcome:
         line = attempt.line
         if line and line.open:
             unused = outcome == Failed(Progress.UNCONNECTED, Cause.WITHDRAWN)
--- a/umbermoor/node/members.py
+++ b/umbermoor/node/members.py
@@ -36,7 +36,9 @@
     """A port of its own for one question. Threat: answers by who only guesses; what comes from elsewhere is passed
     over."""
 
-    def __init__(self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]) -> None:
+    def __init__(
+        self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
+    ) -> None:
         self._ask, self._told, self._broke = ask, told, broke
 
     def startProtocol(self) -> None:
@@ -54,7 +56,9 @@
 class _Stream(Protocol):
     """The same over TCP: two bytes of length, then the message (RFC 7766)."""
 
-    def __init__(self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]) -> None:
+    def __init__(
+        self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
+    ) -> None:
         self._ask, self._told, self._broke, self._data, self._done = ask, told, broke, b"", False
 
     def connectionMade(self) -> None:
@@ -62,9 +66,13 @@
 
     def dataReceived(self, data: bytes) -> None:
         self._data += data
-        if len(self._data) >= 2 and len(self._data) >= 2 + int.from_bytes(self._data[:2]) and not self._done:
+        if (
+            len(self._data) >= 2
+            and len(self._data) >= 2 + int.from_bytes(self._data[:2])
+            and not self._done
+        ):
             self._done = True
-            self._told(self._ask, self._data[2:2 + int.from_bytes(self._data[:2])])
+            self._told(self._ask, self._data[2 : 2 + int.from_bytes(self._data[:2])])
             self.transport.loseConnection()
         elif len(self._data) > ANSWER_MOST + 2:
             self.transport.abortConnection()
@@ -76,8 +84,14 @@
 
 
 class SrvSource:
-    def __init__(self, reactor, clock, given: SrvFrom, chance,
-                 told: Callable[[str, There | NotThere | Failed], None]) -> None:
+    def __init__(
+        self,
+        reactor,
+        clock,
+        given: SrvFrom,
+        chance,
+        told: Callable[[str, There | NotThere | Failed], None],
+    ) -> None:
         self._reactor, self._clock, self._name, self._told = reactor, clock, given.called, told
         self._asker = Asker(given.name, [Server(one) for one in given.servers], chance)
         self._port = self._timer = None
@@ -119,10 +133,14 @@
             factory.noisy = False
             factory.buildProtocol = lambda _: _Stream(ask, self._heard, self._broke)
             host, _, port = ask.server.rpartition(":")
-            made: Deferred = TCP4ClientEndpoint(self._reactor, host, int(port), timeout=2).connect(factory)
+            made: Deferred = TCP4ClientEndpoint(self._reactor, host, int(port), timeout=2).connect(
+                factory
+            )
             made.addErrback(lambda failure: self._broke(ask, "refused over TCP"))
         else:
-            self._port = self._reactor.listenUDP(0, _Datagram(ask, self._heard, self._broke), "127.0.0.1", ANSWER_MOST)
+            self._port = self._reactor.listenUDP(
+                0, _Datagram(ask, self._heard, self._broke), "127.0.0.1", ANSWER_MOST
+            )
 
     def _heard(self, ask: Ask, data: bytes) -> None:
         self._take(self._asker.heard(self._clock(), ask, data))
@@ -156,20 +174,38 @@
 
 def read_members(path: str) -> list[Seen]:
     """Raises Misread."""
-    return [Seen(one.name, read_address(one.at), Readiness.DRAINING if one.draining else Readiness.READY, one.build)
-            for one in read_sheet(path, "members", Members).machine]
+    return [
+        Seen(
+            one.name,
+            read_address(one.at),
+            Readiness.DRAINING if one.draining else Readiness.READY,
+            one.build,
+        )
+        for one in read_sheet(path, "members", Members).machine
+    ]
 
 
 class Membership:
     """Stands between the sources and the exchange."""
 
-    def __init__(self, reactor, clock, given: MembersFrom, told: Callable[[Listing, News], None]) -> None:
+    def __init__(
+        self, reactor, clock, given: MembersFrom, told: Callable[[Listing, News], None]
+    ) -> None:
         self._reactor, self._clock, self._given, self._told = reactor, clock, given, told
         keep = round(given.keep_s * SECOND)
-        order = list(given.order) or [LIST, *(one.called for one in given.srv), *(one.called for one in given.file)]
+        order = list(given.order) or [
+            LIST,
+            *(one.called for one in given.srv),
+            *(one.called for one in given.file),
+        ]
         sure = {one.called: one.authoritative for one in (*given.srv, *given.file)} | {LIST: True}
-        self.concluder = Concluder(Book([(name, sure[name], keep) for name in order]), given.rule, given.quorum,
-                                   given.existence, given.facts)
+        self.concluder = Concluder(
+            Book([(name, sure[name], keep) for name in order]),
+            given.rule,
+            given.quorum,
+            given.existence,
+            given.facts,
+        )
         self._members: dict = {}
         self._first = True
         self._saved = None
@@ -180,15 +216,31 @@
 
     def start(self) -> None:
         if self._given.state:
-            lasting = load(self._given.state, time.time_ns() // 1000, round(self._given.keep_s * SECOND))
+            lasting = load(
+                self._given.state, time.time_ns() // 1000, round(self._given.keep_s * SECOND)
+            )
             if isinstance(lasting, Unfit):
                 note(log, "last list not used", logging.WARNING, why=lasting.why)
             elif lasting is not None:
                 note(log, "last list used", machines=len(lasting.seen))
-                self._told(Listing.CACHED, self._news([Entry(one.name, one.build or 0, one.zone or 0, one.cell or 0,
-                                                             one.readiness,
-                                                             one.weight or 1.0, one.born or 0) for one in lasting.seen],
-                                                      {one.name: one.address for one in lasting.seen}))
+                self._told(
+                    Listing.CACHED,
+                    self._news(
+                        [
+                            Entry(
+                                one.name,
+                                one.build or 0,
+                                one.zone or 0,
+                                one.cell or 0,
+                                one.readiness,
+                                one.weight or 1.0,
+                                one.born or 0,
+                            )
+                            for one in lasting.seen
+                        ],
+                        {one.name: one.address for one in lasting.seen},
+                    ),
+                )
             self._repeat(SAVE_EVERY, self._save)
         for one in self._srv:
             one.start()
@@ -216,9 +268,20 @@
     # Sources.
 
     def list_told(self, kind: Listing, news: News) -> None:
-        seen = [Seen(one.machine, news.addresses.get(one.machine, ("", 0)), one.readiness, one.build, one.born,
-                     one.zone,
-                     one.cell, one.size) for one in news.entries if one.machine in news.addresses or not one.readiness]
+        seen = [
+            Seen(
+                one.machine,
+                news.addresses.get(one.machine, ("", 0)),
+                one.readiness,
+                one.build,
+                one.born,
+                one.zone,
+                one.cell,
+                one.size,
+            )
+            for one in news.entries
+            if one.machine in news.addresses or not one.readiness
+        ]
         self._speaks = {**(self._speaks if kind is Listing.CHANGES else {}), **news.speaks}
         if kind is Listing.CHANGES:
             self.concluder.book.changes(self._clock(), LIST, seen)
@@ -259,23 +322,37 @@
         self._members, self._first = found.members, False
         if entries or kind is Listing.FULL:
             note(log, "members", machines=len(found.members), changes=len(entries))
-            self._told(kind, self._news(entries, {name: one.seen.address for name, one in found.members.items()}))
+            self._told(
+                kind,
+                self._news(
+                    entries, {name: one.seen.address for name, one in found.members.items()}
+                ),
+            )
 
     def _news(self, entries: list[Entry], addresses: dict) -> News:
-        return News(0, False, entries, {one.machine: addresses[one.machine] for one in entries if one.machine
-                                        in addresses},
-                    {one.machine: self._speaks[one.machine] for one in entries if one.machine in self._speaks})
+        return News(
+            0,
+            False,
+            entries,
+            {one.machine: addresses[one.machine] for one in entries if one.machine in addresses},
+            {
+                one.machine: self._speaks[one.machine]
+                for one in entries
+                if one.machine in self._speaks
+            },
+        )
 
     def _save(self) -> None:
         members = self.concluder.last.members
         if members and members is not self._saved and not self.concluder.last.stands:
             self._saved = members
             try:
-                save(self._given.state, Lasting(time.time_ns() // 1000, tuple(one.seen for one in members.values())))
+                save(
+                    self._given.state,
+                    Lasting(time.time_ns() // 1000, tuple(one.seen for one in members.values())),
+                )
             except OSError as error:
                 note(log, "list not kept", logging.WARNING, why=error.strerror)
 
     def explain(self, machine: str | None = None) -> list[str]:
         return explained(self._clock(), self.concluder, machine)
-
-
--- a/umbermoor/node/operations.py
+++ b/umbermoor/node/operations.py
@@ -27,7 +27,9 @@
 class Operations:
     """It is a witness of the exchange, too: it counts."""
 
-    def __init__(self, reactor, clock, station: Station, house: House, buffers, exchange, clients, machines) -> None:
+    def __init__(
+        self, reactor, clock, station: Station, house: House, buffers, exchange, clients, machines
+    ) -> None:
         self._reactor, self._clock, self._station, self._house = reactor, clock, station, house
         self._exchange, self._clients, self._machines = exchange, clients, machines
         self._room = max(8, (station.sockets - 32) // 3)
@@ -38,14 +40,31 @@
         self._listed: dict[str, tuple[int, int]] = {}
         self.members = None  # the sources of membership, if there are several
         self._timer = self._work_timer = None
-        self._scheduler = Scheduler(clock, told=lambda task, what: note(
-            log, "background work", logging.WARNING, task=task.name, what=what))
+        self._scheduler = Scheduler(
+            clock,
+            told=lambda task, what: note(
+                log, "background work", logging.WARNING, task=task.name, what=what
+            ),
+        )
         self._door = self._where = None
         if house.door is not None:
             token = read_token(house.door.token) if house.door.token else ""
-            self._door = Door(reactor, buffers, Ways({
-                "status": self.status, "hands": self.hands, "config": self.config, "metrics": self.metrics,
-                "members": self.explained, "drain": self.drain, "resume": self.resume}, token))
+            self._door = Door(
+                reactor,
+                buffers,
+                Ways(
+                    {
+                        "status": self.status,
+                        "hands": self.hands,
+                        "config": self.config,
+                        "metrics": self.metrics,
+                        "members": self.explained,
+                        "drain": self.drain,
+                        "resume": self.resume,
+                    },
+                    token,
+                ),
+            )
 
     def start(self) -> None:
         if self._door is not None:
@@ -56,8 +75,13 @@
                 note(log, "the door stays shut", logging.ERROR, why=fault)
         if self._house.remember is not None:
             self._recall(self._house.remember.path)
-            self._scheduler.add("snapshot", 1, self._snapshot, every=round(self._house.remember.every_s * SECOND),
-                                after=round(self._house.remember.every_s * SECOND))
+            self._scheduler.add(
+                "snapshot",
+                1,
+                self._snapshot,
+                every=round(self._house.remember.every_s * SECOND),
+                after=round(self._house.remember.every_s * SECOND),
+            )
         self._look()
         self._work()
 
@@ -97,38 +121,90 @@
         for profile, came, _ in self._open.values():
             ages.setdefault(profile, []).append(now - came)
         return {
-            "name": self._station.name, "state": keeper.state.value, "up": self._clients.up and keeper.up,
-            "deadline_s": None if keeper.deadline is None else round((keeper.deadline - now) / SECOND, 3),
-            "in_hand": len(self._exchange.held), "clients": len(self._clients.open), "machines": len(self._listed),
-            "stage": str(self._exchange.stage), "takes_at_once": keeper.most(now),
-            "profiles": {name: {"in_hand": len(ages.get(at, ())), "oldest_ms": round(max(ages.get(at, (0,))) / 1000, 1)}
-                         for at, name in enumerate(self._names)},
-            "history": [[round((now - one.at) / SECOND, 1), one.state.value, one.why] for one in keeper.history]}
+            "name": self._station.name,
+            "state": keeper.state.value,
+            "up": self._clients.up and keeper.up,
+            "deadline_s": None
+            if keeper.deadline is None
+            else round((keeper.deadline - now) / SECOND, 3),
+            "in_hand": len(self._exchange.held),
+            "clients": len(self._clients.open),
+            "machines": len(self._listed),
+            "stage": str(self._exchange.stage),
+            "takes_at_once": keeper.most(now),
+            "profiles": {
+                name: {
+                    "in_hand": len(ages.get(at, ())),
+                    "oldest_ms": round(max(ages.get(at, (0,))) / 1000, 1),
+                }
+                for at, name in enumerate(self._names)
+            },
+            "history": [
+                [round((now - one.at) / SECOND, 1), one.state.value, one.why]
+                for one in keeper.history
+            ],
+        }
 
     def hands(self) -> list[dict[str, Any]]:
         now = self._clock()
-        return [{"query": query, "profile": self._names[profile], "age_ms": round((now - came) / 1000, 1),
-                 "left_ms": round((due - now) / 1000, 1)} for query, (profile, came, due) in self._open.items()]
+        return [
+            {
+                "query": query,
+                "profile": self._names[profile],
+                "age_ms": round((now - came) / 1000, 1),
+                "left_ms": round((due - now) / 1000, 1),
+            }
+            for query, (profile, came, due) in self._open.items()
+        ]
 
     def config(self) -> dict[str, Any]:
         station = self._station
-        return {"name": station.name, "listen": "{}:{}".format(*station.listen), "sockets": station.sockets,
-                "memory_mb": station.memory >> 20, "profiles": self._names, "fronts": station.charter.fronts,
-                "fleet": self._fleet()}
+        return {
+            "name": station.name,
+            "listen": "{}:{}".format(*station.listen),
+            "sockets": station.sockets,
+            "memory_mb": station.memory >> 20,
+            "profiles": self._names,
+            "fronts": station.charter.fronts,
+            "fleet": self._fleet(),
+        }
 
     def explained(self) -> list[str]:
         return self.members.explain() if self.members is not None else ["the platform's list alone"]
 
     def metrics(self) -> bytes:
-        rows = [("answers_total", "counter", "Answers by profile and kind.", {"profile": profile, "kind": kind}, count)
-                for (profile, kind), count in sorted(self._counts.items())]
-        rows += [("in_hand", "gauge", "Queries in hand.", {}, len(self._exchange.held)),
-                 ("clients", "gauge", "Clients' connections.", {}, len(self._clients.open)),
-                 ("machines", "gauge", "Machines listed.", {}, len(self._listed)),
-                 ("state", "gauge", "1 for the state that the front is in.", {"state": self.keeper.state.value}, 1)]
-        rows += [("background_longest_us", "gauge", "The longest slice of background work.", {"task": one.name},
-                  one.longest)
-                 for one in self._scheduler.tasks]
+        rows = [
+            (
+                "answers_total",
+                "counter",
+                "Answers by profile and kind.",
+                {"profile": profile, "kind": kind},
+                count,
+            )
+            for (profile, kind), count in sorted(self._counts.items())
+        ]
+        rows += [
+            ("in_hand", "gauge", "Queries in hand.", {}, len(self._exchange.held)),
+            ("clients", "gauge", "Clients' connections.", {}, len(self._clients.open)),
+            ("machines", "gauge", "Machines listed.", {}, len(self._listed)),
+            (
+                "state",
+                "gauge",
+                "1 for the state that the front is in.",
+                {"state": self.keeper.state.value},
+                1,
+            ),
+        ]
+        rows += [
+            (
+                "background_longest_us",
+                "gauge",
+                "The longest slice of background work.",
+                {"task": one.name},
+                one.longest,
+            )
+            for one in self._scheduler.tasks
+        ]
         return metrics_text(rows)
 
     # A witness.
@@ -173,7 +249,9 @@
             self._timer.cancel()
         self._timer = None
         if at is not None:
-            self._timer = self._reactor.callLater(max(0.005, min(0.05, (at - now) / SECOND)), self._look)
+            self._timer = self._reactor.callLater(
+                max(0.005, min(0.05, (at - now) / SECOND)), self._look
+            )
 
     def _work(self) -> None:
         self._scheduler.run(len(self._exchange.held) > PRESSED * self._room)
@@ -184,8 +262,10 @@
     # Memory.
 
     def _fleet(self) -> str:
-        return blake2b(repr((self._station.charter._replace(seed=0, me=0), self._names)).encode(),
-                       digest_size=8).hexdigest()
+        return blake2b(
+            repr((self._station.charter._replace(seed=0, me=0), self._names)).encode(),
+            digest_size=8,
+        ).hexdigest()
 
     def _snapshot(self):
         took, work, carried, usual, rows = self._exchange.remember()
@@ -194,8 +274,16 @@
             machines.append(MachineMemory(*row))
             if at % 200 == 199:
                 yield 0
-        memory = Memory(time.time_ns() // 1000, self._station.name, self._fleet(), took, work, carried, usual,
-                        tuple(machines))
+        memory = Memory(
+            time.time_ns() // 1000,
+            self._station.name,
+            self._fleet(),
+            took,
+            work,
+            carried,
+            usual,
+            tuple(machines),
+        )
         try:
             yield write(self._house.remember.path, memory)
         except OSError as error:
@@ -206,7 +294,11 @@
         now = time.time_ns() // 1000
         if memory is None:
             return
-        wrong = memory if isinstance(memory, Unfit) else fit(memory, now, self._station.name, self._fleet())
+        wrong = (
+            memory
+            if isinstance(memory, Unfit)
+            else fit(memory, now, self._station.name, self._fleet())
+        )
         if wrong is not None:
             note(log, "snapshot not used", logging.WARNING, path=path, why=wrong.why)
             return
--- a/umbermoor/node/outcomes.py
+++ b/umbermoor/node/outcomes.py
@@ -32,17 +32,29 @@
 
 Outcome = Response | Failed
 
-_AFTER = {Cause.REFUSED: Ending.RESET, Cause.BROKEN: Ending.RESET, Cause.GARBLED: Ending.RESET,
-          Cause.LATE: Ending.TIMEOUT, Cause.STOPPED: Ending.CANCELLED, Cause.WITHDRAWN: Ending.CANCELLED,
-          Cause.TURNED_AWAY: Ending.FULL, Cause.UNRUN: Ending.MOOT}
+_AFTER = {
+    Cause.REFUSED: Ending.RESET,
+    Cause.BROKEN: Ending.RESET,
+    Cause.GARBLED: Ending.RESET,
+    Cause.LATE: Ending.TIMEOUT,
+    Cause.STOPPED: Ending.CANCELLED,
+    Cause.WITHDRAWN: Ending.CANCELLED,
+    Cause.TURNED_AWAY: Ending.FULL,
+    Cause.UNRUN: Ending.MOOT,
+}
 _BEFORE = dict.fromkeys(Cause, Ending.CONNECT_FAILED) | {
-    Cause.STOPPED: Ending.CANCELLED, Cause.WITHDRAWN: Ending.MOOT, Cause.TURNED_AWAY: Ending.FULL,
-    Cause.UNRUN: Ending.MOOT}
+    Cause.STOPPED: Ending.CANCELLED,
+    Cause.WITHDRAWN: Ending.MOOT,
+    Cause.TURNED_AWAY: Ending.FULL,
+    Cause.UNRUN: Ending.MOOT,
+}
 
 # Threat: calling a hand-off that may have run one that never did. Once the last byte is written it may have.
 ENDINGS: dict[Failed, Ending] = {
     Failed(progress, cause): (_AFTER if progress >= Progress.WHOLE else _BEFORE)[cause]
-    for progress in Progress for cause in Cause}
+    for progress in Progress
+    for cause in Cause
+}
 
 
 def shown(outcome: Outcome) -> str:
