--- a/umbermoor/node/platform.py
+++ b/umbermoor/node/platform.py
@@ -26,11 +26,24 @@
 CONNECT_WITHIN = 2 * SECOND
 FOR_EVER = 366 * 86400 * SECOND
 
-_PHASES = {"trial": Phase.TRIAL, "rolling_back": Phase.GOING_BACK, "released": Phase.RELEASED,
-           "withdrawn": Phase.WITHDRAWN}
-_VERDICTS = {Verdict.NONE: "WITHDRAW", Verdict.ON: "PROCEED", Verdict.HOLD: "HOLD", Verdict.BACK: "ROLLBACK"}
-_ERRORS = {"Throttling": Ending.FULL, "ConditionFailed": Ending.MOOT, "ValidationError": Ending.MOOT,
-           "InternalFailure": Ending.ERROR}
+_PHASES = {
+    "trial": Phase.TRIAL,
+    "rolling_back": Phase.GOING_BACK,
+    "released": Phase.RELEASED,
+    "withdrawn": Phase.WITHDRAWN,
+}
+_VERDICTS = {
+    Verdict.NONE: "WITHDRAW",
+    Verdict.ON: "PROCEED",
+    Verdict.HOLD: "HOLD",
+    Verdict.BACK: "ROLLBACK",
+}
+_ERRORS = {
+    "Throttling": Ending.FULL,
+    "ConditionFailed": Ending.MOOT,
+    "ValidationError": Ending.MOOT,
+    "InternalFailure": Ending.ERROR,
+}
 
 
 def _number(values: Mapping[str, Any], name: str) -> float:
@@ -43,8 +56,15 @@
 def read_stage(values: Mapping[str, Any], answers_vote: bool = False) -> News | None:
     """The newest build's state, as any of the platform's forms gives it."""
     try:
-        return News(int(_number(values, "Revision")), int(_number(values, "Wave")), _PHASES[str(values["State"])],
-                    min(1.0, _number(values, "MaxShare")), micros(_number(values, "AgeMs")), answers_vote, Ending.OK)
+        return News(
+            int(_number(values, "Revision")),
+            int(_number(values, "Wave")),
+            _PHASES[str(values["State"])],
+            min(1.0, _number(values, "MaxShare")),
+            micros(_number(values, "AgeMs")),
+            answers_vote,
+            Ending.OK,
+        )
     except (KeyError, ValueError, TypeError):
         return None
 
@@ -57,10 +77,18 @@
         if event.kind == "tally":
             counted, lost = int(_number(values, "Samples")), int(_number(values, "Errors"))
             took = micros(_number(values, "MeanMs")) if lost < counted else 0
-            return Tally(int(_number(values, "Revision")), profiles[values["Lane"]], counted, lost, took,
-                         micros(_number(values, "AgeMs")))
+            return Tally(
+                int(_number(values, "Revision")),
+                profiles[values["Lane"]],
+                counted,
+                lost,
+                took,
+                micros(_number(values, "AgeMs")),
+            )
         if event.kind == "flag":
-            return Complaint(values["InstanceId"], profiles[values["Lane"]], micros(_number(values, "AgeMs")))
+            return Complaint(
+                values["InstanceId"], profiles[values["Lane"]], micros(_number(values, "AgeMs"))
+            )
     except (KeyError, ValueError):
         pass
     return None
@@ -82,9 +110,22 @@
 
 
 class Platform:
-    def __init__(self, reactor, buffers: Buffers, address: Address, vote_wait: int, profiles: Mapping[str, int],
-                 told: Callable[[News | Tally | Complaint], None], chance: Callable[[], float]) -> None:
-        self._reactor, self._buffers, self._address, self._vote_wait = reactor, buffers, address, vote_wait
+    def __init__(
+        self,
+        reactor,
+        buffers: Buffers,
+        address: Address,
+        vote_wait: int,
+        profiles: Mapping[str, int],
+        told: Callable[[News | Tally | Complaint], None],
+        chance: Callable[[], float],
+    ) -> None:
+        self._reactor, self._buffers, self._address, self._vote_wait = (
+            reactor,
+            buffers,
+            address,
+            vote_wait,
+        )
         self._profiles, self._told = profiles, told
         self._streams: list[_Stream] = []  # one; two while the older is silent
         self._again = Again(AGAIN_FIRST, AGAIN_MOST, chance)
@@ -92,10 +133,18 @@
         self.counts: Counter[str] = Counter()
 
     def vote(self, vote: Vote) -> "Deferred[News]":
-        body = write_form({"Action": "RecordOpinion", "Revision": vote.build, "Wave": vote.stage,
-                           "Decision": _VERDICTS[vote.verdict]})
+        body = write_form(
+            {
+                "Action": "RecordOpinion",
+                "Revision": vote.build,
+                "Wave": vote.stage,
+                "Decision": _VERDICTS[vote.verdict],
+            }
+        )
         headers = {"Content-Type": "application/x-www-form-urlencoded", "Connection": "close"}
-        attempt = Attempt(self._reactor, write_request("POST", "/v1/", "platform", headers, body), self._vote_wait)
+        attempt = Attempt(
+            self._reactor, write_request("POST", "/v1/", "platform", headers, body), self._vote_wait
+        )
         attempt.connect(self._address, self._vote_wait, lambda: Line(self._buffers))
         return attempt.outcome.addCallback(lambda outcome: self._voted(outcome, attempt))
 
@@ -156,8 +205,12 @@
 class _Stream:
     def __init__(self, platform: Platform) -> None:
         self._platform, self._events, self.address = platform, EventStream(), platform._address
-        self._attempt = Attempt(platform._reactor, write_request("GET", "/v1/bulletin", "platform"), FOR_EVER)
-        self._attempt.connect(platform._address, CONNECT_WITHIN, lambda: Line(platform._buffers, self._piece))
+        self._attempt = Attempt(
+            platform._reactor, write_request("GET", "/v1/bulletin", "platform"), FOR_EVER
+        )
+        self._attempt.connect(
+            platform._address, CONNECT_WITHIN, lambda: Line(platform._buffers, self._piece)
+        )
         self._quiet = platform._reactor.callLater(SILENT, self._silent)
         self._attempt.outcome.addCallback(self._over)
 
--- a/umbermoor/node/service.py
+++ b/umbermoor/node/service.py
@@ -58,49 +58,102 @@
         def tell(*words) -> None:
             for one in self._witnesses:
                 getattr(one, name)(*words)
+
         return tell
 
 
 class Service:
     def __init__(self, reactor, station: Station, clock: Clock, house=None) -> None:
         self._reactor, self._station = reactor, station
-        buffers, budget = self._buffers, self._budget = Buffers(station.memory), Budget(station.sockets)
+        buffers, budget = self._buffers, self._budget = (
+            Buffers(station.memory),
+            Budget(station.sockets),
+        )
         charter, chance = station.charter, random.Random(station.charter.seed ^ PAUSES).random
-        self._machines = Machines(reactor, clock, buffers, budget, station.connect_within, station.idle_close,
-                                  station.service)
-        self._exchange = exchange = Exchange(reactor, clock, Desk(charter, clock), self._machines,
-                                             station.load_fields)
-        self._clients = Clients(reactor, clock, buffers, budget, station.profiles,
-                                [row.repeat for row in charter.profiles], exchange.ask)
-        budget.spare = [self._clients.close_stale, self._machines.close_one, self._clients.close_one]
-        self._platform = exchange.platform = Platform(reactor, buffers, station.platform, charter.vote_wait,
-                                                      station.profiles, self._told, chance)
-        self._discovery = Discovery(reactor, buffers, station.discovery, station.zones, self._listed,
-                                    Watching(charter.fronts, charter.list_asked, chance))
+        self._machines = Machines(
+            reactor,
+            clock,
+            buffers,
+            budget,
+            station.connect_within,
+            station.idle_close,
+            station.service,
+        )
+        self._exchange = exchange = Exchange(
+            reactor, clock, Desk(charter, clock), self._machines, station.load_fields
+        )
+        self._clients = Clients(
+            reactor,
+            clock,
+            buffers,
+            budget,
+            station.profiles,
+            [row.repeat for row in charter.profiles],
+            exchange.ask,
+        )
+        budget.spare = [
+            self._clients.close_stale,
+            self._machines.close_one,
+            self._clients.close_one,
+        ]
+        self._platform = exchange.platform = Platform(
+            reactor,
+            buffers,
+            station.platform,
+            charter.vote_wait,
+            station.profiles,
+            self._told,
+            chance,
+        )
+        self._discovery = Discovery(
+            reactor,
+            buffers,
+            station.discovery,
+            station.zones,
+            self._listed,
+            Watching(charter.fronts, charter.list_asked, chance),
+        )
         exchange.watch = self._discovery.start
         self._machines.counts = self._discovery.counts = self._platform.counts = exchange.counts
         if house is not None and house.http2 is not None:
             from umbermoor.node.streams import Streams  # only here, as captures
-            streams = self._machines.carrier = Streams(reactor, clock, buffers, budget, station.connect_within,
-                                                       station.service, house.http2.machines == "listed")
+
+            streams = self._machines.carrier = Streams(
+                reactor,
+                clock,
+                buffers,
+                budget,
+                station.connect_within,
+                station.service,
+                house.http2.machines == "listed",
+            )
             budget.spare.insert(1, streams.close_one)
         self._capture = None
         if house is not None and house.capture is not None:
-            from umbermoor.node.capturing import Capturing  # only here: it is no part of a front that has none
+            from umbermoor.node.capturing import (
+                Capturing,
+            )  # only here: it is no part of a front that has none
+
             self._capture = exchange.witness = Capturing(reactor, clock, station, house.capture)
         self._membership = None
         if house is not None and house.members is not None:
             from umbermoor.node.members import Membership  # only here, as captures
+
             self._membership = Membership(reactor, clock, house.members, self._concluded)
         self._operations = None
         if house is not None and (house.door is not None or house.remember is not None):
             from umbermoor.node.operations import Operations  # only here, as captures
-            self._operations = Operations(reactor, clock, station, house, buffers, exchange, self._clients,
-                                          self._machines)
+
+            self._operations = Operations(
+                reactor, clock, station, house, buffers, exchange, self._clients, self._machines
+            )
             self._operations.members = self._membership
             self._clients.in_hand = lambda: len(exchange.held)
-            exchange.witness = self._operations if exchange.witness is None else Both(exchange.witness,
-                                                                                      self._operations)
+            exchange.witness = (
+                self._operations
+                if exchange.witness is None
+                else Both(exchange.witness, self._operations)
+            )
         self._heard: set[str] = set()
         self._port = self._counting = None
         self._drop_at = 0.0
@@ -108,10 +161,20 @@
 
     def start(self) -> None:
         station, charter = self._station, self._station.charter
-        note(log, "start", name=station.name, listen="{}:{}".format(*station.listen), fronts=charter.fronts,
-             sockets=station.sockets)
+        note(
+            log,
+            "start",
+            name=station.name,
+            listen="{}:{}".format(*station.listen),
+            fronts=charter.fronts,
+            sockets=station.sockets,
+        )
         if charter.may_tell:
-            note(log, "fronts may send each other messages here, but no page says how: none are sent", logging.WARNING)
+            note(
+                log,
+                "fronts may send each other messages here, but no page says how: none are sent",
+                logging.WARNING,
+            )
         known = read_list(station.known, station.zones) if station.known else None
         if station.known and not known:
             note(log, "the list at the start cannot be read", logging.WARNING)
@@ -139,7 +202,9 @@
             self._reactor.stop()
             return
         self._clients.bound(self._port)
-        self._clients.accept = lambda on: (self._port.startReading if on else self._port.stopReading)()
+        self._clients.accept = lambda on: (
+            self._port.startReading if on else self._port.stopReading
+        )()
         self._reactor.callLater(UP_WITHIN, self._go_up)
         self._counting = self._reactor.callLater(COUNT_EVERY, self._count)
         self._exchange.tick()
@@ -195,9 +260,20 @@
             return [name for name in names if getattr(old, name) != getattr(station, name)]
 
         moved = changed("discovery", "platform", "sockets", "memory")
-        kept = changed("name", "listen", "charter", "profiles", "zones", "connect_within", "idle_close", "service",
-                       "load_fields")
-        note(log, "configuration read again", changed=" ".join(moved), needs_a_restart=" ".join(kept))
+        kept = changed(
+            "name",
+            "listen",
+            "charter",
+            "profiles",
+            "zones",
+            "connect_within",
+            "idle_close",
+            "service",
+            "load_fields",
+        )
+        note(
+            log, "configuration read again", changed=" ".join(moved), needs_a_restart=" ".join(kept)
+        )
         self._budget.resize(station.sockets)
         self._buffers.resize(station.memory)
         if "discovery" in moved:
@@ -232,8 +308,13 @@
         self._counting.cancel()
         note(log, "counts", **self._exchange.counts)
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        note(log, "end", peak_kb=usage.ru_maxrss, peak_sockets=self._budget.peak,
-             cpu_s=f"{usage.ru_utime + usage.ru_stime:.2f}")
+        note(
+            log,
+            "end",
+            peak_kb=usage.ru_maxrss,
+            peak_sockets=self._budget.peak,
+            cpu_s=f"{usage.ru_utime + usage.ru_stime:.2f}",
+        )
         self._discovery.stop()
         self._platform.stop()
         self._exchange.stop()
--- a/umbermoor/node/streams.py
+++ b/umbermoor/node/streams.py
@@ -27,10 +27,19 @@
 
 SECOND = 1_000_000
 LOOK_EVERY = 0.1  # seconds between two looks at silent and idle connections
-_PROGRESS = {Stand.UNSENT: Progress.UNCONNECTED, Stand.PART: Progress.PART, Stand.WHOLE: Progress.WHOLE,
-             Stand.ANSWERING: Progress.ANSWERING}
-_CAUSES = {End.LATE: Cause.LATE, End.STOPPED: Cause.STOPPED, End.WITHDRAWN: Cause.WITHDRAWN, End.GARBLED: Cause.GARBLED,
-           End.UNCONNECTED: Cause.REFUSED}
+_PROGRESS = {
+    Stand.UNSENT: Progress.UNCONNECTED,
+    Stand.PART: Progress.PART,
+    Stand.WHOLE: Progress.WHOLE,
+    Stand.ANSWERING: Progress.ANSWERING,
+}
+_CAUSES = {
+    End.LATE: Cause.LATE,
+    End.STOPPED: Cause.STOPPED,
+    End.WITHDRAWN: Cause.WITHDRAWN,
+    End.GARBLED: Cause.GARBLED,
+    End.UNCONNECTED: Cause.REFUSED,
+}
 
 
 def outcome_of(answer: Answer) -> Outcome:
@@ -101,7 +110,11 @@
         """What the pool sees of it."""
         session, link = self.session, self.link
         link.settled, link.usable = session.settled, session.usable
-        link.streams, link.limit, link.pinged = session.open + session.waiting, session.limit, session.pinged
+        link.streams, link.limit, link.pinged = (
+            session.open + session.waiting,
+            session.limit,
+            session.pinged,
+        )
         if not session.open:
             link.busy_since = 0
         elif not link.busy_since:
@@ -111,9 +124,22 @@
 class _Attempt:
     """One hand-off from its beginning to its outcome, whatever connection it comes to."""
 
-    def __init__(self, streams: "Streams", machine: str, address: tuple[str, int], call: Call, limit: int,
-                 plain: "Callable[[], Deferred[Outcome]]") -> None:
-        self.streams, self.machine, self.address, self.call, self.plain = streams, machine, address, call, plain
+    def __init__(
+        self,
+        streams: "Streams",
+        machine: str,
+        address: tuple[str, int],
+        call: Call,
+        limit: int,
+        plain: "Callable[[], Deferred[Outcome]]",
+    ) -> None:
+        self.streams, self.machine, self.address, self.call, self.plain = (
+            streams,
+            machine,
+            address,
+            call,
+            plain,
+        )
         self.line: StreamLine | None = None
         self.other: Deferred[Outcome] | None = None  # in HTTP/1.1 after all
         self.outcome: Deferred[Outcome] = Deferred(lambda _: self.end(End.STOPPED))
@@ -151,10 +177,24 @@
 
 
 class Streams:
-    def __init__(self, reactor, clock: Callable[[], int], buffers: Buffers, budget: Budget, connect_within: int,
-                 host: str, only_listed: bool = False) -> None:
+    def __init__(
+        self,
+        reactor,
+        clock: Callable[[], int],
+        buffers: Buffers,
+        budget: Budget,
+        connect_within: int,
+        host: str,
+        only_listed: bool = False,
+    ) -> None:
         self._only_listed = only_listed
-        self.reactor, self.clock, self.buffers, self._budget, self._host = reactor, clock, buffers, budget, host
+        self.reactor, self.clock, self.buffers, self._budget, self._host = (
+            reactor,
+            clock,
+            buffers,
+            budget,
+            host,
+        )
         self._connect_within = connect_within
         self._lots: dict[str, Lot] = {}
         self._addresses: dict[str, tuple[str, int]] = {}
@@ -167,7 +207,9 @@
 
     # The list.
 
-    def listed(self, machine: str, address: tuple[str, int] | None, ready: bool, speaks: str) -> None:
+    def listed(
+        self, machine: str, address: tuple[str, int] | None, ready: bool, speaks: str
+    ) -> None:
         """Where it is; none: gone. Streams that are out go on to their ends. ``speaks``: what its entry says."""
         if address is None or self._addresses.get(machine, address) != address or not ready:
             self._retire(machine)
@@ -193,13 +235,27 @@
 
     # Hand-offs.
 
-    def hand_off(self, machine: str, address: tuple[str, int], method: str, target: str, headers: Mapping[str, str],
-                 body: bytes, limit: int, may_go: Callable[[], bool],
-                 plain: "Callable[[], Deferred[Outcome]]") -> "Deferred[Outcome]":
+    def hand_off(
+        self,
+        machine: str,
+        address: tuple[str, int],
+        method: str,
+        target: str,
+        headers: Mapping[str, str],
+        body: bytes,
+        limit: int,
+        may_go: Callable[[], bool],
+        plain: "Callable[[], Deferred[Outcome]]",
+    ) -> "Deferred[Outcome]":
         """Cancel the result to call it off. ``plain`` asks the same in HTTP/1.1."""
         fresh = [True]  # what goes at once has just passed the gate
-        fields = [(":method", method), (":scheme", "http"), (":authority", self._host), (":path", target),
-                  *((name.lower(), value) for name, value in headers.items())]
+        fields = [
+            (":method", method),
+            (":scheme", "http"),
+            (":authority", self._host),
+            (":path", target),
+            *((name.lower(), value) for name, value in headers.items()),
+        ]
         if body or method not in ("GET", "HEAD", "DELETE"):
             fields.append(("content-length", str(len(body))))
         call = Call(fields, body, lambda: fresh[0] or may_go(), lambda _: None)
@@ -242,11 +298,13 @@
         lot.opening += 1
         factory = Factory()
         factory.noisy = False
-        factory.buildProtocol = lambda _: StreamLine(self, machine, Link(self.clock(), heard=self.clock()))
+        factory.buildProtocol = lambda _: StreamLine(
+            self, machine, Link(self.clock(), heard=self.clock())
+        )
         endpoint = TCP4ClientEndpoint(self.reactor, *address, timeout=self._connect_within / SECOND)
-        endpoint.connect(factory).addCallbacks(self._opened, self._unopened, (machine, lot),
-                                               errbackArgs=(machine, lot)) \
-            .addErrback(lambda failure: note_failure(log, "fault on a new connection", failure))
+        endpoint.connect(factory).addCallbacks(
+            self._opened, self._unopened, (machine, lot), errbackArgs=(machine, lot)
+        ).addErrback(lambda failure: note_failure(log, "fault on a new connection", failure))
 
     def _opened(self, line: StreamLine, machine: str, lot: Lot) -> None:
         lot.opening -= 1
@@ -273,7 +331,9 @@
         attempt.line = None
         if attempt.call.over:
             return
-        if attempt.call.may_go():  # asked again when its turn comes; here so that no connection is opened in vain
+        if (
+            attempt.call.may_go()
+        ):  # asked again when its turn comes; here so that no connection is opened in vain
             self._place(attempt)
         else:
             attempt.call.fail(End.WITHDRAWN)
@@ -289,10 +349,22 @@
             lot = self._lots.get(line.machine)
             if lot is not None and session.ended and not session.speaks:
                 if lot.speaks(now):
-                    note(log, "machine does not speak HTTP/2", logging.WARNING, machine=line.machine, why=session.wrong)
+                    note(
+                        log,
+                        "machine does not speak HTTP/2",
+                        logging.WARNING,
+                        machine=line.machine,
+                        why=session.wrong,
+                    )
                 lot.spoke_other(now)
             elif session.wrong and session.ended:
-                note(log, "HTTP/2 connection given up", logging.WARNING, machine=line.machine, why=session.wrong)
+                note(
+                    log,
+                    "HTTP/2 connection given up",
+                    logging.WARNING,
+                    machine=line.machine,
+                    why=session.wrong,
+                )
                 session.wrong = ""
             for call in session.take_back():
                 if attempt := self._attempts.get(call):
@@ -309,7 +381,11 @@
 
     def close_one(self) -> bool:
         """The one without streams that was heard longest ago."""
-        idle = [line for line in self._lines.values() if not line.session.open and not line.session.waiting]
+        idle = [
+            line
+            for line in self._lines.values()
+            if not line.session.open and not line.session.waiting
+        ]
         line = min(idle, key=lambda one: one.link.heard, default=None)
         if line is None:
             return False
@@ -327,7 +403,13 @@
             self._lines[link].pump()
         for link in dead:
             if line := self._lines.get(link):
-                note(log, "HTTP/2 connection silent", logging.WARNING, machine=line.machine, streams=line.session.open)
+                note(
+                    log,
+                    "HTTP/2 connection silent",
+                    logging.WARNING,
+                    machine=line.machine,
+                    streams=line.session.open,
+                )
                 line.session.give_up(End.SILENT, "")
                 line.close()
                 self.told(line)
--- a/umbermoor/planner/check.py
+++ b/umbermoor/planner/check.py
@@ -32,21 +32,37 @@
     note: str = ""
 
 
-def check(demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]], seconds: float, out: str | None,
-          quiet: bool) -> int:
+def check(
+    demand: Demand,
+    fleet: Fleet,
+    arrivals: list[tuple[int, int]],
+    seconds: float,
+    out: str | None,
+    quiet: bool,
+) -> int:
     console = Console(stderr=True, quiet=quiet)
     rows = measure(demand, fleet, arrivals, seconds, lambda text: console.print(text))
-    shown = Table("what", "predicted", "measured on loopback", "within", "note", title=f"fleet {fleet.name}")
+    shown = Table(
+        "what", "predicted", "measured on loopback", "within", "note", title=f"fleet {fleet.name}"
+    )
     for one in rows:
-        shown.add_row(one.what, *("-" if value is None else f"{value:.4g}" for value in (one.predicted, one.measured)),
-                      "yes" if one.within else "NO", one.note)
+        shown.add_row(
+            one.what,
+            *("-" if value is None else f"{value:.4g}" for value in (one.predicted, one.measured)),
+            "yes" if one.within else "NO",
+            one.note,
+        )
     Console().print(shown)
     if out:
-        Path(out).write_bytes(orjson.dumps([one._asdict() for one in rows], option=orjson.OPT_INDENT_2) + b"\n")
+        Path(out).write_bytes(
+            orjson.dumps([one._asdict() for one in rows], option=orjson.OPT_INDENT_2) + b"\n"
+        )
     return 0 if all(one.within for one in rows) else 1
 
 
-def measure(demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]], seconds: float, told) -> list[Row]:
+def measure(
+    demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]], seconds: float, told
+) -> list[Row]:
     planner = Planner(demand, fleet)
     players = Players(demand, fleet, arrivals)
     try:
@@ -56,22 +72,39 @@
         wanted = ["load", f"machines {growth}"]
         found = gather({name: searches[name] for name in wanted if name in searches}, players.ask)
         edge: Edge | None = found.get("load")
-        if lost and edge is not None and edge.mid:  # near the limit of what is left, where a share tells something
+        if (
+            lost and edge is not None and edge.mid
+        ):  # near the limit of what is left, where a share tells something
             left = 1 - _capacity(fleet.group[0]) / fleet.capacity
-            loss = Question("loss", float(f"{max(planner.now, edge.mid * left):.4g}"), fleet.machines, 1, lost)
-            found["loss"] = list(players.ask([loss._replace(seed=seed) for seed in (1, 2, 3)]).values())
+            loss = Question(
+                "loss", float(f"{max(planner.now, edge.mid * left):.4g}"), fleet.machines, 1, lost
+            )
+            found["loss"] = list(
+                players.ask([loss._replace(seed=seed) for seed in (1, 2, 3)]).values()
+            )
     finally:
         players.close()
     if edge is None or not edge.mid:
-        return [Row("load at which the goal breaks", 0.0, None, True,
-                    "the goal cannot be held by any number of machines")]
+        return [
+            Row(
+                "load at which the goal breaks",
+                0.0,
+                None,
+                True,
+                "the goal cannot be held by any number of machines",
+            )
+        ]
     told(f"predicted: the goal breaks at {edge.mid:.1f} queries/s")
-    questions: dict[str, Question] = {f"load {part:g}": Question("steady", edge.mid * part, fleet.machines, 1)
-                                      for part in AT}
+    questions: dict[str, Question] = {
+        f"load {part:g}": Question("steady", edge.mid * part, fleet.machines, 1) for part in AT
+    }
     count = found[f"machines {growth}"].high
     if count is not None:
         load = planner.now * float(growth)
-        for name, machines in (("fewer", int(count / (1 + WITHIN))), ("more", ceil(count * (1 + WITHIN)))):
+        for name, machines in (
+            ("fewer", int(count / (1 + WITHIN))),
+            ("more", ceil(count * (1 + WITHIN))),
+        ):
             questions[name] = Question("steady", load, max(1, machines), 1)
     if lost:
         questions["loss"] = loss
@@ -81,21 +114,37 @@
         rows.append(_machines_row(count, growth, questions, outcomes, planner))
     if lost:
         rows.append(_loss_row(lost, found["loss"], outcomes, demand))
-    rows.append(Row("rules broken on loopback", 0, sum(one["audit"]["breaches"] for one in outcomes.values()),
-                    not any(one["audit"]["breaches"] for one in outcomes.values())))
+    rows.append(
+        Row(
+            "rules broken on loopback",
+            0,
+            sum(one["audit"]["breaches"] for one in outcomes.values()),
+            not any(one["audit"]["breaches"] for one in outcomes.values()),
+        )
+    )
     return rows
 
 
-def _play_all(questions: dict[str, Question], demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]],
-              seconds: float, told) -> dict[str, dict[str, Any]]:
+def _play_all(
+    questions: dict[str, Question],
+    demand: Demand,
+    fleet: Fleet,
+    arrivals: list[tuple[int, int]],
+    seconds: float,
+    told,
+) -> dict[str, dict[str, Any]]:
     def one(name: str) -> tuple[str, dict[str, Any]]:
         day = day_for(questions[name], demand, fleet)
-        day = day.changed(length_s=min(day.length_s, seconds * (2 if name == "loss" else 1) + day.settle_s),
-                          front=structs.replace(day.front, cpu_us=0))
+        day = day.changed(
+            length_s=min(day.length_s, seconds * (2 if name == "loss" else 1) + day.settle_s),
+            front=structs.replace(day.front, cpu_us=0),
+        )
         some = replayed(day, demand, arrivals)
         outcome = play_on_sockets(day, given=None if some is None else list(some))
-        told(f"{name}: {questions[name].load:.1f} queries/s, {questions[name].machines} machines: in time "
-             f"{outcome['in_time']:.4f}{'' if outcome['honest'] else ' (the load fell behind its pace)'}")
+        told(
+            f"{name}: {questions[name].load:.1f} queries/s, {questions[name].machines} machines: in time "
+            f"{outcome['in_time']:.4f}{'' if outcome['honest'] else ' (the load fell behind its pace)'}"
+        )
         return name, outcome
 
     with ThreadPoolExecutor(SIDE_BY_SIDE) as pool:
@@ -104,7 +153,11 @@
 
 def _worst(outcome: dict[str, Any], planner: Planner) -> float:
     """How far the worst profile lies above its goal."""
-    return min(row["in_time"] - goal for row, goal in zip(outcome["profiles"].values(), planner.goals) if row["asked"])
+    return min(
+        row["in_time"] - goal
+        for row, goal in zip(outcome["profiles"].values(), planner.goals)
+        if row["asked"]
+    )
 
 
 def _load_row(edge: Edge, outcomes: dict[str, dict[str, Any]], planner: Planner) -> Row:
@@ -114,9 +167,20 @@
     if measured is None:
         bound = curve[0][0] if curve[0][1] < 0 else curve[-1][0]
         where = "below" if curve[0][1] < 0 else "above"
-        return Row("load at which the goal breaks", edge.mid, bound, False, f"{where} all loads that were played")
-    return Row("load at which the goal breaks", edge.mid, measured, abs(measured / edge.mid - 1) <= WITHIN,
-               f"{measured / edge.mid - 1:+.1%}")
+        return Row(
+            "load at which the goal breaks",
+            edge.mid,
+            bound,
+            False,
+            f"{where} all loads that were played",
+        )
+    return Row(
+        "load at which the goal breaks",
+        edge.mid,
+        measured,
+        abs(measured / edge.mid - 1) <= WITHIN,
+        f"{measured / edge.mid - 1:+.1%}",
+    )
 
 
 def _capacity(group: Group) -> float:
@@ -131,21 +195,42 @@
     return None
 
 
-def _machines_row(count: float, growth: str, questions: dict[str, Question], outcomes: dict[str, dict[str, Any]],
-                  planner: Planner) -> Row:
+def _machines_row(
+    count: float,
+    growth: str,
+    questions: dict[str, Question],
+    outcomes: dict[str, dict[str, Any]],
+    planner: Planner,
+) -> Row:
     fewer, more = (_worst(outcomes[name], planner) >= 0 for name in ("fewer", "more"))
-    words = (f"{questions['fewer'].machines} {'held' if fewer else 'did not hold'}, {questions['more'].machines} "
-             f"{'held' if more else 'did not hold'}")
+    words = (
+        f"{questions['fewer'].machines} {'held' if fewer else 'did not hold'}, {questions['more'].machines} "
+        f"{'held' if more else 'did not hold'}"
+    )
     if questions["fewer"].machines >= count:  # there is no smaller fleet
-        fewer, words = False, f"{questions['more'].machines} {'held' if more else 'did not hold'}; fewer there are none"
-    measured = count if more and not fewer else float(questions["fewer"].machines
-                                                      if fewer else questions["more"].machines)
+        fewer, words = (
+            False,
+            f"{questions['more'].machines} {'held' if more else 'did not hold'}; fewer there are none",
+        )
+    measured = (
+        count
+        if more and not fewer
+        else float(questions["fewer"].machines if fewer else questions["more"].machines)
+    )
     return Row(f"machines for {growth} times the load", count, measured, more and not fewer, words)
 
 
 def _loss_row(lost: str, answers: list, outcomes: dict[str, dict[str, Any]], demand: Demand) -> Row:
     asked = [sum(one.asked[place] for one in answers) for place in range(len(demand.profiles))]
-    good = [sum(one.asked[place] * one.in_time[place] for one in answers) for place in range(len(demand.profiles))]
+    good = [
+        sum(one.asked[place] * one.in_time[place] for one in answers)
+        for place in range(len(demand.profiles))
+    ]
     predicted, measured = sum(good) / max(1, sum(asked)), outcomes["loss"]["in_time"]
-    return Row(f"share in time without group {lost}", predicted, measured, abs(predicted - measured) <= SHARE_WITHIN,
-               f"{measured - predicted:+.4f}")
+    return Row(
+        f"share in time without group {lost}",
+        predicted,
+        measured,
+        abs(predicted - measured) <= SHARE_WITHIN,
+        f"{measured - predicted:+.4f}",
+    )
--- a/umbermoor/planner/command.py
+++ b/umbermoor/planner/command.py
@@ -59,8 +59,15 @@
             return 0
         if given["check"]:
             from umbermoor.planner.check import check
-            return check(demand, fleet, arrivals, float(_number(given["--seconds"], "--seconds")), given["--json"],
-                         given["--quiet"])
+
+            return check(
+                demand,
+                fleet,
+                arrivals,
+                float(_number(given["--seconds"], "--seconds")),
+                given["--json"],
+                given["--quiet"],
+            )
         return _plan(given, demand, fleet, arrivals)
     except (Misread, Unreadable, Refused) as fault:
         print(f"umbermoor: {fault}", file=sys.stderr)
@@ -88,8 +95,10 @@
                 raise ValueError
             fleet = structs.replace(fleet, growth=growth)
     except ValueError:
-        raise Refused("--goal: expected a percentage between 0 and 100; --growth: numbers above 0, comma "
-                      "between") from None
+        raise Refused(
+            "--goal: expected a percentage between 0 and 100; --growth: numbers above 0, comma "
+            "between"
+        ) from None
     return fleet
 
 
@@ -99,19 +108,29 @@
         print(f"umbermoor: {told(damage, len(capture.rows))}", file=sys.stderr)
     names = [one["name"] for one in capture.header.profiles]
     if strange := next((one.name for one in fleet.profile if one.name not in names), None):
-        raise Refused(f"{given['FLEET']}: profile {strange!r} is not in the capture, which has {', '.join(names)}")
+        raise Refused(
+            f"{given['FLEET']}: profile {strange!r} is not in the capture, which has {', '.join(names)}"
+        )
     work = {one.name: one.work_ms for one in fleet.profile if one.work_ms is not None}
     warm = micros(max(one.warm_s for one in fleet.group))
     try:
-        demand = fit(capture.header.profiles, capture.rows, fleet.front.count, fleet.workers, warm,
-                     not given["--unmarked"],
-                     work)
+        demand = fit(
+            capture.header.profiles,
+            capture.rows,
+            fleet.front.count,
+            fleet.workers,
+            warm,
+            not given["--unmarked"],
+            work,
+        )
     except ValueError as error:
         raise Refused(f"{given['CAPTURE']}: {error}") from None
     return demand, arrivals_of(capture.rows, not given["--unmarked"])
 
 
-def _plan(given: dict[str, Any], demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]]) -> int:
+def _plan(
+    given: dict[str, Any], demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]]
+) -> int:
     planner = Planner(demand, fleet, _number(given["--seeds"], "--seeds"))
     quiet = given["--quiet"] or given["--json"] == "-" or not sys.stderr.isatty()
     kept = Path(given["--keep"]) if given["--keep"] else None
@@ -120,8 +139,14 @@
     with Progress(console=Console(stderr=True), disable=quiet, transient=True) as progress:
         bar = progress.add_task("plays", total=None)
         workers = _number(given["--workers"], "--workers") if given["--workers"] else None
-        players = Players(demand, fleet, arrivals, kept,
-                          lambda done, asked: progress.update(bar, completed=done, total=asked), workers)
+        players = Players(
+            demand,
+            fleet,
+            arrivals,
+            kept,
+            lambda done, asked: progress.update(bar, completed=done, total=asked),
+            workers,
+        )
         try:
             found = planner.run(players.ask, found)
         except KeyboardInterrupt:
@@ -138,6 +163,7 @@
         show(answer)
     if given["--html"]:
         from umbermoor.planner.page import plan_page
+
         Path(given["--html"]).write_text(plan_page(answer))
     return 130 if partial else 0
 
@@ -148,17 +174,23 @@
     mid, low, high = one
     if mid is None:
         return "at no load"
-    return f"{mid:.{digits}f} [{'-' if low is None else format(low, f'.{digits}f')}, " \
-           f"{'-' if high is None else format(high, f'.{digits}f')}]"
+    return (
+        f"{mid:.{digits}f} [{'-' if low is None else format(low, f'.{digits}f')}, "
+        f"{'-' if high is None else format(high, f'.{digits}f')}]"
+    )
 
 
 def show_demand(demand: Demand) -> None:
     console, rows = Console(), Table("profile", "queries/s", "work ms", "work cv", "hint cv")
     for one in demand.profiles:
-        rows.add_row(one.name, str(one.rate), str(one.work_ms), f"{one.work_cv:.2f}", f"{one.hint_cv:.2f}")
+        rows.add_row(
+            one.name, str(one.rate), str(one.work_ms), f"{one.work_cv:.2f}", f"{one.hint_cv:.2f}"
+        )
     console.print(rows)
-    console.print(f"{demand.rows} queries in {demand.seconds:.1f} s; peak {demand.peak:.2f} times the mean, bursts "
-                  f"{demand.burstiness}, asked again {demand.retry_share}, cold rows {demand.cold_rows}")
+    console.print(
+        f"{demand.rows} queries in {demand.seconds:.1f} s; peak {demand.peak:.2f} times the mean, bursts "
+        f"{demand.burstiness}, asked again {demand.retry_share}, cold rows {demand.cold_rows}"
+    )
     for one in demand.assumptions:
         console.print(f"  assumed: {one}")
 
@@ -167,35 +199,64 @@
     console = Console()
     if answer["partial"]:
         console.print("[bold red]A partial answer: it was ended before all was played.[/]")
-    console.print(f"fleet {answer['fleet']}: load now {_span(answer['load_now'])} queries/s; first limit reached: "
-                  f"[bold]{answer['first']}[/], then {answer['runner_up']}")
+    console.print(
+        f"fleet {answer['fleet']}: load now {_span(answer['load_now'])} queries/s; first limit reached: "
+        f"[bold]{answer['first']}[/], then {answer['runner_up']}"
+    )
     rows = Table("limit", "reached at, queries/s", "times now", "by", "why", title="Limits")
     for one in answer["limits"]:
         if "reached_at" in one:
-            rows.add_row(one["limit"], _span(one["reached_at"]), str(one["times_now"] or "-"),
-                         f"{one['by']}; when {one['case']}" if one["case"] else one["by"], one["why"])
+            rows.add_row(
+                one["limit"],
+                _span(one["reached_at"]),
+                str(one["times_now"] or "-"),
+                f"{one['by']}; when {one['case']}" if one["case"] else one["by"],
+                one["why"],
+            )
         else:
-            rows.add_row(one["limit"], f"below {_span(one['reached_below'])}", "-", one["by"], one["why"])
+            rows.add_row(
+                one["limit"], f"below {_span(one['reached_below'])}", "-", one["by"], one["why"]
+            )
     console.print(rows)
     if answer["goal_breaks_at"]:
         console.print(f"the goal breaks at {_span(answer['goal_breaks_at']['load'])} queries/s")
     for growth, one in answer["machines"].items():
         count = one["machines"]
-        said = "no number that was tried holds it" if count is None else f"{count} machines hold the goal"
+        said = (
+            "no number that was tried holds it"
+            if count is None
+            else f"{count} machines hold the goal"
+        )
         console.print(f"at {growth} times the load: {said}")
-    rows = Table("what", *answer["goals"], "service", "rules broken", title="Share in time at the present load")
+    rows = Table(
+        "what",
+        *answer["goals"],
+        "service",
+        "rules broken",
+        title="Share in time at the present load",
+    )
     for name, one in situations(answer):
-        rows.add_row(name, *(_span(one[profile], 4) for profile in answer["goals"]), f"{one['service']:.4f}",
-                     str(one["rules_broken"]))
+        rows.add_row(
+            name,
+            *(_span(one[profile], 4) for profile in answer["goals"]),
+            f"{one['service']:.4f}",
+            str(one["rules_broken"]),
+        )
     console.print(rows)
     for name, one in answer["loss"].items():
         if one["goal_breaks_at"]:
-            console.print(f"without {name} the goal breaks at {_span(one['goal_breaks_at']['load'])} queries/s")
+            console.print(
+                f"without {name} the goal breaks at {_span(one['goal_breaks_at']['load'])} queries/s"
+            )
     if answer["burst_drains_below"]:
-        console.print(f"a burst of three times the load drains by itself below "
-                      f"{_span(answer['burst_drains_below']['load'])} queries/s")
+        console.print(
+            f"a burst of three times the load drains by itself below "
+            f"{_span(answer['burst_drains_below']['load'])} queries/s"
+        )
     for one in answer["assumptions"]:
         console.print(f"  assumed: {one}")
     plays = answer["plays"]
-    console.print(f"{plays['searches']} plays for the searches; a plain scan of the same step would take "
-                  f"{plays['plain_scan']}")
+    console.print(
+        f"{plays['searches']} plays for the searches; a plain scan of the same step would take "
+        f"{plays['plain_scan']}"
+    )
--- a/umbermoor/planner/limits.py
+++ b/umbermoor/planner/limits.py
@@ -28,10 +28,21 @@
 
 
 def limits(demand: Demand, fleet: Fleet) -> list[Limit]:
-    rows = [_work(demand, fleet), *_goals(demand, fleet), _queue(demand, fleet), _connections(demand, fleet),
-            _cpu(demand, fleet), _descriptors(demand, fleet), _memory(demand, fleet), _platform(demand, fleet),
-            _list(demand, fleet), _cold(demand, fleet), _retries(demand, fleet), _evidence(demand, fleet),
-            _guarded(demand, fleet)]
+    rows = [
+        _work(demand, fleet),
+        *_goals(demand, fleet),
+        _queue(demand, fleet),
+        _connections(demand, fleet),
+        _cpu(demand, fleet),
+        _descriptors(demand, fleet),
+        _memory(demand, fleet),
+        _platform(demand, fleet),
+        _list(demand, fleet),
+        _cold(demand, fleet),
+        _retries(demand, fleet),
+        _evidence(demand, fleet),
+        _guarded(demand, fleet),
+    ]
     return sorted(rows, key=lambda row: (row.below, row.reached.mid, row.name))
 
 
@@ -39,9 +50,14 @@
     """Mean work in seconds of a query of the mix, and its coefficient of variation."""
     total = demand.rate.mid or 1.0
     mean = sum(one.rate.mid * one.work_ms.mid for one in demand.profiles) / total / 1000
-    square = sum(one.rate.mid * (one.work_ms.mid / 1000) ** 2 * (1 + one.work_cv ** 2) for one
-                 in demand.profiles) / total
-    return mean, sqrt(max(0.0, square / mean ** 2 - 1))
+    square = (
+        sum(
+            one.rate.mid * (one.work_ms.mid / 1000) ** 2 * (1 + one.work_cv**2)
+            for one in demand.profiles
+        )
+        / total
+    )
+    return mean, sqrt(max(0.0, square / mean**2 - 1))
 
 
 def widened(value: float, error: float) -> Interval:
@@ -79,8 +95,11 @@
         factor = work / mean  # loads of the mix for loads of this profile's work
         workers = max(1, round(fleet.capacity))
         pooled = highest_rate(mean, workers, max(own, cv), aim, late)
-        lone = sum(group.machines * highest_rate(mean / group.speed, group.workers, max(own, cv), aim, late)
-                   for group in fleet.group)
+        lone = sum(
+            group.machines
+            * highest_rate(mean / group.speed, group.workers, max(own, cv), aim, late)
+            for group in fleet.group
+        )
         lows.append(lone / factor * min(1.0, slowest))
         highs.append(pooled / factor)
     return min(lows), min(highs)
@@ -88,8 +107,11 @@
 
 def _work(demand: Demand, fleet: Fleet) -> Limit:
     work, _ = mixed_work(demand)
-    return Limit("machine work", widened(fleet.capacity / work, demand.work_error),
-                 f"{fleet.capacity:g} workers at speed 1, {work * 1000:.1f} ms of work a query")
+    return Limit(
+        "machine work",
+        widened(fleet.capacity / work, demand.work_error),
+        f"{fleet.capacity:g} workers at speed 1, {work * 1000:.1f} ms of work a query",
+    )
 
 
 def _goals(demand: Demand, fleet: Fleet) -> list[Limit]:
@@ -97,16 +119,32 @@
     low, high = goal_bracket(demand, fleet)
     for one in demand.profiles:
         goal = fleet.goal_of(one.name)
-        alone = late_share(1e-9, one.work_ms.mid / 1000 / max(group.speed for group in fleet.group), 1, one.work_cv,
-                           one.aim_ms / 1000)
+        alone = late_share(
+            1e-9,
+            one.work_ms.mid / 1000 / max(group.speed for group in fleet.group),
+            1,
+            one.work_cv,
+            one.aim_ms / 1000,
+        )
         if alone > 1 - goal:
-            rows.append(Limit(f"target time of {one.name}", Interval(0.0, 0.0, 0.0),
-                              f"{alone:.2%} of it takes longer than {one.aim_ms:g} ms on an idle machine: no number of "
-                              f"machines holds {goal:.2%}"))
+            rows.append(
+                Limit(
+                    f"target time of {one.name}",
+                    Interval(0.0, 0.0, 0.0),
+                    f"{alone:.2%} of it takes longer than {one.aim_ms:g} ms on an idle machine: no number of "
+                    f"machines holds {goal:.2%}",
+                )
+            )
     if not rows:
-        rows.append(Limit("target time", Interval((low + high) / 2, low * (1 - demand.work_error),
-                                                  high * (1 + demand.work_error)),
-                          "bracket in closed form; the play decides within it"))
+        rows.append(
+            Limit(
+                "target time",
+                Interval(
+                    (low + high) / 2, low * (1 - demand.work_error), high * (1 + demand.work_error)
+                ),
+                "bracket in closed form; the play decides within it",
+            )
+        )
     return rows
 
 
@@ -126,8 +164,11 @@
 
     top = saturation(demand, fleet)
     found = highest(fits, top * 1.01)
-    return Limit("machine queue", widened(min(found, top), demand.work_error),
-                 f"queues of {', '.join(str(group.queue) for group in fleet.group)} turn away over {most:.2%}")
+    return Limit(
+        "machine queue",
+        widened(min(found, top), demand.work_error),
+        f"queues of {', '.join(str(group.queue) for group in fleet.group)} turn away over {most:.2%}",
+    )
 
 
 def _held(load: float, demand: Demand, fleet: Fleet) -> float:
@@ -135,6 +176,7 @@
     work, cv = mixed_work(demand)
     workers = max(1, round(fleet.capacity))
     from umbermoor.planner.queueing import mean_wait
+
     wait = mean_wait(load, work, workers, cv)
     longest = max(one.patience_ms for one in demand.profiles) / 1000
     return load * min(longest, work + wait)
@@ -142,22 +184,30 @@
 
 def _connections(demand: Demand, fleet: Fleet) -> Limit:
     def fits(load: float) -> bool:
-        each = _held(load, demand, fleet) / fleet.machines / fleet.front.count  # a front's at one machine
+        each = (
+            _held(load, demand, fleet) / fleet.machines / fleet.front.count
+        )  # a front's at one machine
         lines = fleet.front.count * (each + 3 * sqrt(each) + 1)
         return lines <= min(group.connections for group in fleet.group)
 
     found = highest(fits, saturation(demand, fleet))
-    return Limit("machine connections", widened(found, demand.work_error),
-                 f"{fleet.front.count} fronts keep a line for each hand-off of their busiest moment; the least "
-                 f"machine takes "
-                 f"{min(group.connections for group in fleet.group)}")
+    return Limit(
+        "machine connections",
+        widened(found, demand.work_error),
+        f"{fleet.front.count} fronts keep a line for each hand-off of their busiest moment; the least "
+        f"machine takes "
+        f"{min(group.connections for group in fleet.group)}",
+    )
 
 
 def _cpu(demand: Demand, fleet: Fleet) -> Limit:
     cost = fleet.front.cpu_us or fleet.limits.front_cpu_us
     tries = 1 / max(0.2, 1 - demand.retry_share.mid)
-    return Limit("front CPU", widened(fleet.front.count * 1e6 / cost / tries, 0.05),
-                 f"{fleet.front.count} cores, {cost:g} us a query, {tries:.2f} tries a query")
+    return Limit(
+        "front CPU",
+        widened(fleet.front.count * 1e6 / cost / tries, 0.05),
+        f"{fleet.front.count} cores, {cost:g} us a query, {tries:.2f} tries a query",
+    )
 
 
 def _descriptors(demand: Demand, fleet: Fleet) -> Limit:
@@ -168,8 +218,11 @@
         return peak <= budget / CLIENTS_PART and 2 * peak + min(fleet.machines, peak) <= budget
 
     found = highest(fits, saturation(demand, fleet))
-    return Limit("front descriptors", widened(found, demand.work_error),
-                 f"{fleet.front.descriptors} of each front, a third for clients; one for each hand-off besides")
+    return Limit(
+        "front descriptors",
+        widened(found, demand.work_error),
+        f"{fleet.front.descriptors} of each front, a third for clients; one for each hand-off besides",
+    )
 
 
 def _memory(demand: Demand, fleet: Fleet) -> Limit:
@@ -179,24 +232,35 @@
         each = _held(load, demand, fleet) / fleet.front.count
         return (each + 3 * sqrt(each)) * fleet.limits.query_kb / 1024 <= room
 
-    return Limit("front memory", widened(highest(fits, saturation(demand, fleet)), demand.work_error),
-                 f"{room:g} MB beside the program, {fleet.limits.query_kb:g} KB an open query")
+    return Limit(
+        "front memory",
+        widened(highest(fits, saturation(demand, fleet)), demand.work_error),
+        f"{room:g} MB beside the program, {fleet.limits.query_kb:g} KB an open query",
+    )
 
 
 def _platform(demand: Demand, fleet: Fleet) -> Limit:
-    votes = fleet.front.count * (1 / (0.7 * fleet.platform.vote_life_s) + 1 / fleet.platform.least_stage_s)
+    votes = fleet.front.count * (
+        1 / (0.7 * fleet.platform.vote_life_s) + 1 / fleet.platform.least_stage_s
+    )
     reached = 0.0 if votes > fleet.limits.platform_calls_s else inf
-    return Limit("platform calls", Interval(reached, reached, reached),
-                 f"{votes:.1f} votes a second at the most, {fleet.limits.platform_calls_s:g} taken; it grows with "
-                 f"fronts, "
-                 f"not with load")
+    return Limit(
+        "platform calls",
+        Interval(reached, reached, reached),
+        f"{votes:.1f} votes a second at the most, {fleet.limits.platform_calls_s:g} taken; it grows with "
+        f"fronts, "
+        f"not with load",
+    )
 
 
 def _list(demand: Demand, fleet: Fleet) -> Limit:
     calls = fleet.front.count / LIST_EVERY
     reached = 0.0 if calls > fleet.limits.list_calls_s else inf
-    return Limit("list calls", Interval(reached, reached, reached),
-                 f"{calls:.1f} a second, {fleet.limits.list_calls_s:g} taken; it grows with fronts, not with load")
+    return Limit(
+        "list calls",
+        Interval(reached, reached, reached),
+        f"{calls:.1f} a second, {fleet.limits.list_calls_s:g} taken; it grows with fronts, not with load",
+    )
 
 
 def _cold(demand: Demand, fleet: Fleet) -> Limit:
@@ -205,9 +269,12 @@
     largest = max(fleet.group, key=lambda one: one.machines * one.workers * one.speed)
     lost = largest.machines * largest.workers * largest.speed
     carried = fleet.capacity - lost * (1 - largest.cold_from)
-    return Limit("cold return", widened(carried / work, demand.work_error),
-                 f"while group {largest.name} is cold it has {largest.cold_from:.0%} of its capacity",
-                 case=f"group {largest.name} returns cold")
+    return Limit(
+        "cold return",
+        widened(carried / work, demand.work_error),
+        f"while group {largest.name} is cold it has {largest.cold_from:.0%} of its capacity",
+        case=f"group {largest.name} returns cold",
+    )
 
 
 def _retries(demand: Demand, fleet: Fleet) -> Limit:
@@ -218,33 +285,55 @@
     fronts = fleet.front.count * 1e6 / cost / (1 + fleet.clients.retries)
     low = min(top / (1 + fleet.clients.retries), fronts)
     high = min(top, max(fronts, low))
-    return Limit("retry amplification", Interval(high, low, high),
-                 f"up to {1 + fleet.clients.retries} tries a query; above it a burst may not drain by itself. The "
-                 f"lower "
-                 f"figure is the load from which it surely does; the play decides between them", case="a burst comes")
+    return Limit(
+        "retry amplification",
+        Interval(high, low, high),
+        f"up to {1 + fleet.clients.retries} tries a query; above it a burst may not drain by itself. The "
+        f"lower "
+        f"figure is the load from which it surely does; the play decides between them",
+        case="a burst comes",
+    )
 
 
 def _evidence(demand: Demand, fleet: Fleet) -> Limit:
     """Too little load to judge the first stage by its own outcomes."""
     first = fleet.platform.stages[0]
-    safe = sum(one.rate.mid for one in demand.profiles if one.repeat == "repeatable" or not fleet.platform.guarded)
+    safe = sum(
+        one.rate.mid
+        for one in demand.profiles
+        if one.repeat == "repeatable" or not fleet.platform.guarded
+    )
     part = safe / (demand.rate.mid or 1.0) * min(1.0, first)
     needed = TELLING * fleet.front.count / fleet.platform.least_stage_s / max(part, 1e-9)
-    return Limit("evidence in the first stage", widened(needed, 0.3),
-                 f"below it a front sees fewer than {TELLING} outcomes of the trial in "
-                 f"{fleet.platform.least_stage_s:g} s",
-                 below=True)
+    return Limit(
+        "evidence in the first stage",
+        widened(needed, 0.3),
+        f"below it a front sees fewer than {TELLING} outcomes of the trial in "
+        f"{fleet.platform.least_stage_s:g} s",
+        below=True,
+    )
 
 
 def _guarded(demand: Demand, fleet: Fleet) -> Limit:
     """The cap on the trial, by its machines' share: hand-offs that it may have for those that its machines could
     take."""
     first = fleet.platform.stages[0]
-    machines = max(1, round(first * fleet.machines)) / (fleet.machines + max(1, round(first * fleet.machines)))
+    machines = max(1, round(first * fleet.machines)) / (
+        fleet.machines + max(1, round(first * fleet.machines))
+    )
     cap = min(1.0, first * fleet.platform.slack)
-    needed = fleet.platform.free * fleet.front.count / fleet.platform.window_s / max(1e-9, machines - cap)
+    needed = (
+        fleet.platform.free
+        * fleet.front.count
+        / fleet.platform.window_s
+        / max(1e-9, machines - cap)
+    )
     reached = needed if machines > cap else 0.0
-    return Limit("trial cap", Interval(reached, reached, reached),
-                 f"the trial's machines are {machines:.1%} of the listed, its cap is {cap:.1%}; below it the free "
-                 f"hand-offs "
-                 f"fill the rest", below=True)
+    return Limit(
+        "trial cap",
+        Interval(reached, reached, reached),
+        f"the trial's machines are {machines:.1%} of the listed, its cap is {cap:.1%}; below it the free "
+        f"hand-offs "
+        f"fill the rest",
+        below=True,
+    )
--- a/umbermoor/planner/page.py
+++ b/umbermoor/planner/page.py
@@ -11,25 +11,63 @@
     parts = []
     if answer["partial"]:
         parts.append("<p class=bad>A partial answer: it was ended before all was played.</p>")
-    parts.append(f"<p>Load now {_span(answer['load_now'])} queries/s. First limit reached: "
-                 f"<b>{escape(str(answer['first']))}"
-                 f"</b>, then {escape(str(answer['runner_up']))}. Played in virtual time around the real decision "
-                 f"module; "
-                 f"limits marked so are in closed form.</p>")
-    parts += ["<h2>Limits</h2>", drawing(lambda axes: _limits(axes, answer), 3.6),
-              table(["limit", "reached at", "times now", "by", "why"], [
-                  [one["limit"], _span(one.get("reached_at") or one.get("reached_below")), one.get("times_now") or "",
-                   one["by"], one["why"]] for one in answer["limits"]])]
+    parts.append(
+        f"<p>Load now {_span(answer['load_now'])} queries/s. First limit reached: "
+        f"<b>{escape(str(answer['first']))}"
+        f"</b>, then {escape(str(answer['runner_up']))}. Played in virtual time around the real decision "
+        f"module; "
+        f"limits marked so are in closed form.</p>"
+    )
+    parts += [
+        "<h2>Limits</h2>",
+        drawing(lambda axes: _limits(axes, answer), 3.6),
+        table(
+            ["limit", "reached at", "times now", "by", "why"],
+            [
+                [
+                    one["limit"],
+                    _span(one.get("reached_at") or one.get("reached_below")),
+                    one.get("times_now") or "",
+                    one["by"],
+                    one["why"],
+                ]
+                for one in answer["limits"]
+            ],
+        ),
+    ]
     if answer["curve"]:
-        parts += ["<h2>Share in time against load</h2>", drawing(lambda axes: _curves(axes, answer))]
+        parts += [
+            "<h2>Share in time against load</h2>",
+            drawing(lambda axes: _curves(axes, answer)),
+        ]
     if answer["machines"]:
-        parts += ["<h2>Machines that hold the goal</h2>", drawing(lambda axes: _machines(axes, answer), 2.8)]
-    rows = [[name, *(_span(one[profile], 4) for profile in answer["goals"]), one["service"], one["rules_broken"]]
-            for name, one in situations(answer)]
-    parts += ["<h2>At the present load</h2>", table(["what", *answer["goals"], "service", "rules broken"], rows)]
+        parts += [
+            "<h2>Machines that hold the goal</h2>",
+            drawing(lambda axes: _machines(axes, answer), 2.8),
+        ]
+    rows = [
+        [
+            name,
+            *(_span(one[profile], 4) for profile in answer["goals"]),
+            one["service"],
+            one["rules_broken"],
+        ]
+        for name, one in situations(answer)
+    ]
+    parts += [
+        "<h2>At the present load</h2>",
+        table(["what", *answer["goals"], "service", "rules broken"], rows),
+    ]
     for one in answer["bad_builds"]:
-        parts += [f"<h3>Bad build: {escape(one['build'])}</h3>", table(["stage", "share in time"], one["stages"])]
-    parts += ["<h2>What was assumed</h2><ul>", *(f"<li>{escape(one)}</li>" for one in answer["assumptions"]), "</ul>"]
+        parts += [
+            f"<h3>Bad build: {escape(one['build'])}</h3>",
+            table(["stage", "share in time"], one["stages"]),
+        ]
+    parts += [
+        "<h2>What was assumed</h2><ul>",
+        *(f"<li>{escape(one)}</li>" for one in answer["assumptions"]),
+        "</ul>",
+    ]
     return page(f"Capacity plan: {answer['fleet']}", parts)
 
 
@@ -53,7 +91,13 @@
 
 def _curves(axes, answer: dict[str, Any]) -> None:
     for name, points in answer["curve"].items():
-        axes.plot([one[0] for one in points], [one[1] for one in points], marker="o", markersize=3, label=name)
+        axes.plot(
+            [one[0] for one in points],
+            [one[1] for one in points],
+            marker="o",
+            markersize=3,
+            label=name,
+        )
     axes.axhline(min(answer["goals"].values()), color="#c62828", linewidth=0.8)
     axes.axvline(answer["load_now"][0], color="#666", linewidth=0.8)
     axes.set(xlabel="load, queries/s", ylabel="share in time, the worst profile's")
@@ -61,6 +105,10 @@
 
 
 def _machines(axes, answer: dict[str, Any]) -> None:
-    rows = [(float(growth), one["machines"]) for growth, one in answer["machines"].items() if one["machines"]]
+    rows = [
+        (float(growth), one["machines"])
+        for growth, one in answer["machines"].items()
+        if one["machines"]
+    ]
     axes.plot([one[0] for one in rows], [one[1] for one in rows], marker="o")
     axes.set(xlabel="load, in times of the present one", ylabel="machines", ylim=(0, None))
--- a/umbermoor/planner/plan.py
+++ b/umbermoor/planner/plan.py
@@ -7,7 +7,15 @@
 from umbermoor.planner.fit import Demand
 from umbermoor.planner.limits import goal_bracket, limits, saturation
 from umbermoor.planner.questions import Answer, Question, by_stage, drains, holds, shares
-from umbermoor.planner.search import Answers, Edge, Search, falling, fewest_machines, gather, highest_load
+from umbermoor.planner.search import (
+    Answers,
+    Edge,
+    Search,
+    falling,
+    fewest_machines,
+    gather,
+    highest_load,
+)
 from umbermoor.planner.sheets import Fleet
 
 STEP = 0.03  # relative, to which a load is searched
@@ -40,11 +48,17 @@
         found["now"] = self._once(Question("steady", self.now, fleet.machines, 1))
         for group in fleet.group:
             if len(fleet.group) > 1:
-                found[f"loss {group.name}"] = self._once(Question("loss", self.now, fleet.machines, 1, group.name))
-            found[f"cold {group.name}"] = self._once(Question("cold", self.now, fleet.machines, 1, group.name))
+                found[f"loss {group.name}"] = self._once(
+                    Question("loss", self.now, fleet.machines, 1, group.name)
+                )
+            found[f"cold {group.name}"] = self._once(
+                Question("cold", self.now, fleet.machines, 1, group.name)
+            )
         found["replace"] = self._once(Question("replace", self.now, fleet.machines, 1))
         for place in range(len(fleet.build)):
-            found[f"build {place}"] = self._once(Question("build", self.now, fleet.machines, 1, str(place)))
+            found[f"build {place}"] = self._once(
+                Question("build", self.now, fleet.machines, 1, str(place))
+            )
         found["burst"] = self._burst()
         return found
 
@@ -60,28 +74,47 @@
             group = next(one for one in self.fleet.group if one.name == what)
             part = 1 - group.machines * group.workers * group.speed / self.fleet.capacity
         low, high = 0.9 * self.low * part, min(self.high, self.top) * part
-        return highest_load(low, high, STEP, lambda load: self._seeded(
-            Question(kind, load, self.fleet.machines, 1, what)), self._holds, FLOOR_PART * self.top, 1.5 * self.top)
+        return highest_load(
+            low,
+            high,
+            STEP,
+            lambda load: self._seeded(Question(kind, load, self.fleet.machines, 1, what)),
+            self._holds,
+            FLOOR_PART * self.top,
+            1.5 * self.top,
+        )
 
     def _machines(self, growth: float) -> Search:
         load = self.now * growth
         per = self.fleet.machines
-        return fewest_machines(int(0.9 * per * load / max(self.high, 1e-9)),
-                               int(1.1 * per * load / max(self.low, 1e-9)) + 1,
-                               lambda count: self._seeded(Question("steady", load, count, 1)), self._holds,
-                               per * MACHINES_MOST)
+        return fewest_machines(
+            int(0.9 * per * load / max(self.high, 1e-9)),
+            int(1.1 * per * load / max(self.low, 1e-9)) + 1,
+            lambda count: self._seeded(Question("steady", load, count, 1)),
+            self._holds,
+            per * MACHINES_MOST,
+        )
 
     def _burst(self) -> Search:
-        return highest_load(0.4 * self.top, 1.05 * self.top, 0.05, lambda load: self._seeded(
-            Question("burst", load, self.fleet.machines, 1)), lambda answers: drains(list(answers.values())),
-            0.2 * self.top, 1.4 * self.top)
+        return highest_load(
+            0.4 * self.top,
+            1.05 * self.top,
+            0.05,
+            lambda load: self._seeded(Question("burst", load, self.fleet.machines, 1)),
+            lambda answers: drains(list(answers.values())),
+            0.2 * self.top,
+            1.4 * self.top,
+        )
 
     def _once(self, question: Question) -> Search:
         answers = yield self._seeded(question)
         return list(answers.values())
 
-    def run(self, play: Callable[[list[Question]], Answers], found: dict[str, Any] | None = None) -> dict[str, Any]:
+    def run(
+        self, play: Callable[[list[Question]], Answers], found: dict[str, Any] | None = None
+    ) -> dict[str, Any]:
         """What each search found, put into ``found`` as it is: who ends the run early has what is there by then."""
+
         def noted(questions: list[Question]) -> Answers:
             answers = play(questions)
             self.played.update(answers)
@@ -96,9 +129,18 @@
             if question.kind in ("steady", "loss") and question.machines == self.fleet.machines:
                 name = "all machines" if question.kind == "steady" else f"without {question.what}"
                 found.setdefault(name, {}).setdefault(question.load, []).append(answer)
-        return {name: [(load, round(share, 5)) for load, share in falling(
-            [(load, min(one.mid for one in shares(answers)), len(answers)) for load, answers in loads.items()])]
-            for name, loads in sorted(found.items())}
+        return {
+            name: [
+                (load, round(share, 5))
+                for load, share in falling(
+                    [
+                        (load, min(one.mid for one in shares(answers)), len(answers))
+                        for load, answers in loads.items()
+                    ]
+                )
+            ]
+            for name, loads in sorted(found.items())
+        }
 
     # What the answer says.
 
@@ -109,40 +151,78 @@
         def share(answers: list[Answer]) -> dict[str, Any]:
             return {name: _interval(_clipped(one)) for name, one in zip(names, shares(answers))} | {
                 "service": round(sum(one.service for one in answers) / len(answers), 4),
-                "rules_broken": sum(one.breaches for one in answers)}
-
-        edges = {name: self._edge(one) for name, one in found.items() if isinstance(one, Edge) and not
-                 name.startswith("machines")}
+                "rules_broken": sum(one.breaches for one in answers),
+            }
+
+        edges = {
+            name: self._edge(one)
+            for name, one in found.items()
+            if isinstance(one, Edge) and not name.startswith("machines")
+        }
         plays = sum(one.plays for one in found.values() if isinstance(one, Edge))
         scan = sum(one.scan for one in found.values() if isinstance(one, Edge))
         rows = self._rows(found)
         always = [row["limit"] for row in rows if "reached_at" in row and not row["case"]]
         return {
-            "fleet": fleet.name, "partial": partial, "load_now": _interval(demand.rate),
+            "fleet": fleet.name,
+            "partial": partial,
+            "load_now": _interval(demand.rate),
             "goals": dict(zip(names, self.goals)),
-            "demand": {one.name: {"rate": _interval(one.rate), "work_ms": _interval(one.work_ms),
-                                  "work_cv": one.work_cv,
-                                  "hint_cv": one.hint_cv} for one in demand.profiles},
-            "burstiness": _interval(demand.burstiness), "peak": demand.peak, "retries": _interval(demand.retry_share),
+            "demand": {
+                one.name: {
+                    "rate": _interval(one.rate),
+                    "work_ms": _interval(one.work_ms),
+                    "work_cv": one.work_cv,
+                    "hint_cv": one.hint_cv,
+                }
+                for one in demand.profiles
+            },
+            "burstiness": _interval(demand.burstiness),
+            "peak": demand.peak,
+            "retries": _interval(demand.retry_share),
             "assumptions": [*demand.assumptions, *self._assumptions()],
-            "first": always[0], "runner_up": always[1],
-            "limits": rows, "goal_breaks_at": edges.get("load"),
-            "machines": {name.partition(" ")[2]: _count(one) for name, one in found.items()
-                         if name.startswith("machines ")},
+            "first": always[0],
+            "runner_up": always[1],
+            "limits": rows,
+            "goal_breaks_at": edges.get("load"),
+            "machines": {
+                name.partition(" ")[2]: _count(one)
+                for name, one in found.items()
+                if name.startswith("machines ")
+            },
             "now": share(found["now"]) if "now" in found else None,
-            "loss": {group.name: {"share": share(found[f"loss {group.name}"]),
-                                  "goal_breaks_at": edges.get(f"load without {group.name}")}
-                     for group in fleet.group if f"loss {group.name}" in found},
-            "cold_return": {group.name: share(found[f"cold {group.name}"]) for group in fleet.group
-                            if f"cold {group.name}" in found},
+            "loss": {
+                group.name: {
+                    "share": share(found[f"loss {group.name}"]),
+                    "goal_breaks_at": edges.get(f"load without {group.name}"),
+                }
+                for group in fleet.group
+                if f"loss {group.name}" in found
+            },
+            "cold_return": {
+                group.name: share(found[f"cold {group.name}"])
+                for group in fleet.group
+                if f"cold {group.name}" in found
+            },
             "replacement": share(found["replace"]) if "replace" in found else None,
-            "bad_builds": [{"build": f"{build.fault_kind} {build.size:g}", **share(found[f"build {place}"]),
-                            "stages": by_stage(found[f"build {place}"][0]),
-                            "taken_back": sum(any(row[3] in ("going_back", "withdrawn") for row in one.stages)
-                                              for one in found[f"build {place}"]) / len(found[f"build {place}"])}
-                           for place, build in enumerate(fleet.build) if f"build {place}" in found],
-            "burst_drains_below": edges.get("burst"), "curve": self.curve(),
-            "plays": {"searches": plays, "plain_scan": scan, "seeds": self.seeds, "step": STEP}}
+            "bad_builds": [
+                {
+                    "build": f"{build.fault_kind} {build.size:g}",
+                    **share(found[f"build {place}"]),
+                    "stages": by_stage(found[f"build {place}"][0]),
+                    "taken_back": sum(
+                        any(row[3] in ("going_back", "withdrawn") for row in one.stages)
+                        for one in found[f"build {place}"]
+                    )
+                    / len(found[f"build {place}"]),
+                }
+                for place, build in enumerate(fleet.build)
+                if f"build {place}" in found
+            ],
+            "burst_drains_below": edges.get("burst"),
+            "curve": self.curve(),
+            "plays": {"searches": plays, "plain_scan": scan, "seeds": self.seeds, "step": STEP},
+        }
 
     def _rows(self, found: dict[str, Any]) -> list[dict[str, Any]]:
         """The limits in the order in which load reaches them; those that the plays decided stand with what they
@@ -152,15 +232,38 @@
             if one.below:
                 continue
             reached, by = one.reached, "closed form"
-            edge = found.get({"target time": "load", "retry amplification": "burst"}.get(one.name, ""))
+            edge = found.get(
+                {"target time": "load", "retry amplification": "burst"}.get(one.name, "")
+            )
             if isinstance(edge, Edge):
                 reached, by = self._widened(edge), "plays"
-            rows.append({"limit": one.name, "reached_at": _interval(reached),
-                         "times_now": _round(reached.mid / self.now),
-                         "by": by, "case": one.case, "why": one.why})
-        rows.sort(key=lambda row: (row["reached_at"][0] is None, row["reached_at"][0] or 0.0, row["limit"]))
-        return rows + [{"limit": one.name, "reached_below": _interval(one.reached), "by": "closed form", "why": one.why}
-                       for one in self.rows if one.below]
+            rows.append(
+                {
+                    "limit": one.name,
+                    "reached_at": _interval(reached),
+                    "times_now": _round(reached.mid / self.now),
+                    "by": by,
+                    "case": one.case,
+                    "why": one.why,
+                }
+            )
+        rows.sort(
+            key=lambda row: (
+                row["reached_at"][0] is None,
+                row["reached_at"][0] or 0.0,
+                row["limit"],
+            )
+        )
+        return rows + [
+            {
+                "limit": one.name,
+                "reached_below": _interval(one.reached),
+                "by": "closed form",
+                "why": one.why,
+            }
+            for one in self.rows
+            if one.below
+        ]
 
     def _widened(self, edge: Edge) -> Interval:
         error = self.demand.work_error
@@ -169,15 +272,22 @@
 
     def _edge(self, edge: Edge) -> dict[str, Any]:
         reached = self._widened(edge)
-        return {"load": _interval(reached), "times_now": _round(reached.mid / self.now),
-                "held_at": _round(edge.low), "broke_at": _round(edge.high)}
+        return {
+            "load": _interval(reached),
+            "times_now": _round(reached.mid / self.now),
+            "held_at": _round(edge.low),
+            "broke_at": _round(edge.high),
+        }
 
     def _assumptions(self) -> list[str]:
         cpu = self.fleet.front.cpu_us or self.fleet.limits.front_cpu_us
-        return [f"a query costs a front {cpu:g} us of its core",
-                f"clients ask again up to {self.fleet.clients.retries} times, {self.fleet.clients.heed:.0%} of them "
-                f"heed "
-                f"advice on when", "machines serve their queue in turn, each worker one query at a time"]
+        return [
+            f"a query costs a front {cpu:g} us of its core",
+            f"clients ask again up to {self.fleet.clients.retries} times, {self.fleet.clients.heed:.0%} of them "
+            f"heed "
+            f"advice on when",
+            "machines serve their queue in turn, each worker one query at a time",
+        ]
 
 
 def situations(answer: dict[str, Any]) -> list[tuple[str, dict[str, Any]]]:
@@ -195,8 +305,11 @@
 
 
 def _count(edge: Edge) -> dict[str, Any]:
-    return {"machines": None if edge.high is None else int(edge.high),
-            "at_least": int(edge.low or 0) + 1, "plays": edge.plays}
+    return {
+        "machines": None if edge.high is None else int(edge.high),
+        "at_least": int(edge.low or 0) + 1,
+        "plays": edge.plays,
+    }
 
 
 def _interval(one: Interval) -> list[float | None]:
@@ -204,4 +317,8 @@
 
 
 def _round(value: float | None) -> float | None:
-    return None if value is None or value != value or value in (float("inf"), float("-inf")) else float(f"{value:.5g}")
+    return (
+        None
+        if value is None or value != value or value in (float("inf"), float("-inf"))
+        else float(f"{value:.5g}")
+    )
--- a/umbermoor/planner/players.py
+++ b/umbermoor/planner/players.py
@@ -33,15 +33,32 @@
 class Players:
     """A pool for one plan. ``kept`` is a file of answers, or None."""
 
-    def __init__(self, demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]], kept: Path | None = None,
-                 told: Callable[[int, int], None] = lambda done, asked: None, workers: int | None = None) -> None:
+    def __init__(
+        self,
+        demand: Demand,
+        fleet: Fleet,
+        arrivals: list[tuple[int, int]],
+        kept: Path | None = None,
+        told: Callable[[int, int], None] = lambda done, asked: None,
+        workers: int | None = None,
+    ) -> None:
         self._told, self._kept = told, kept
-        self._sign = blake2b(orjson.dumps([list(map(str, demand)), msgspec.json.encode(fleet).decode(), len(arrivals),
-                                           arrivals[:1] + arrivals[-1:]]), digest_size=8).hexdigest()
+        self._sign = blake2b(
+            orjson.dumps(
+                [
+                    list(map(str, demand)),
+                    msgspec.json.encode(fleet).decode(),
+                    len(arrivals),
+                    arrivals[:1] + arrivals[-1:],
+                ]
+            ),
+            digest_size=8,
+        ).hexdigest()
         self._known = self._read()
         self._done = self._asked = 0
-        self._pool = ProcessPoolExecutor(workers or os.cpu_count() or 1, initializer=_tell,
-                                         initargs=(demand, fleet, arrivals))
+        self._pool = ProcessPoolExecutor(
+            workers or os.cpu_count() or 1, initializer=_tell, initargs=(demand, fleet, arrivals)
+        )
 
     def _read(self) -> dict[Question, Answer]:
         """What an earlier run of the same plan left; a torn line is passed over."""
@@ -49,7 +66,9 @@
         if self._kept is not None and self._kept.exists():
             for line in self._kept.read_bytes().splitlines():
                 try:
-                    sign, question, answer = msgspec.json.decode(line, type=tuple[str, Question, Answer])
+                    sign, question, answer = msgspec.json.decode(
+                        line, type=tuple[str, Question, Answer]
+                    )
                 except msgspec.MsgspecError:
                     continue
                 if sign == self._sign:
--- a/umbermoor/planner/questions.py
+++ b/umbermoor/planner/questions.py
@@ -17,7 +17,11 @@
 SHORTEST, LONGEST = 8.0, 60.0  # seconds of a play
 SETTLE = 2.0
 LEAST_PART = 0.2  # of a play's queries that a capture must hold to be replayed
-BURST_TIMES, BURST_FOR, DRAINED = 3.0, 4.0, 8.0  # a burst, and seconds after it in which it should have drained
+BURST_TIMES, BURST_FOR, DRAINED = (
+    3.0,
+    4.0,
+    8.0,
+)  # a burst, and seconds after it in which it should have drained
 
 
 class Question(NamedTuple):
@@ -46,9 +50,11 @@
     exact = [one.machines * machines / total for one in groups]
     counts = [int(one) for one in exact]
     order = sorted(range(len(groups)), key=lambda at: (counts[at] - exact[at], at))
-    for at in order[:machines - sum(counts)]:
+    for at in order[: machines - sum(counts)]:
         counts[at] += 1
-    return tuple(structs.replace(one, machines=count) for one, count in zip(groups, counts) if count)
+    return tuple(
+        structs.replace(one, machines=count) for one, count in zip(groups, counts) if count
+    )
 
 
 def day_for(question: Question, demand: Demand, fleet: Fleet) -> Day:
@@ -69,40 +75,72 @@
         troubles = (Trouble(kind="replace", at_s=SETTLE, for_s=length - SETTLE - 4),)
     elif question.kind == "build":
         build = fleet.build[int(question.what)]
-        length = max(length, (fleet.platform.least_stage_s + fleet.platform.boot_s + 3) * len(fleet.platform.stages)
-                     + 8)
+        length = max(
+            length,
+            (fleet.platform.least_stage_s + fleet.platform.boot_s + 3) * len(fleet.platform.stages)
+            + 8,
+        )
         builds = (structs.replace(build, at_s=SETTLE),)
     elif question.kind == "burst":
         length = SETTLE + 6 + BURST_FOR + DRAINED + 6
         burst = (Burst(at_s=SETTLE + 6, for_s=BURST_FOR, times=BURST_TIMES),)
     cpu = fleet.front.cpu_us or fleet.limits.front_cpu_us
     return Day(
-        name=question.kind, length_s=length, seed=question.seed, settle_s=SETTLE,
+        name=question.kind,
+        length_s=length,
+        seed=question.seed,
+        settle_s=SETTLE,
         load=Load(rate=question.load, shape="steady", swing=0, burst=burst),
-        front=structs.replace(fleet.front, cpu_us=cpu), network=fleet.network, group=groups, cold=fleet.cold,
-        clients=fleet.clients, platform=fleet.platform, listing=fleet.listing, build=builds, trouble=troubles,
-        tries=fleet.tries, profile=tuple(_profile(one, fleet, demand) for one in demand.profiles))
+        front=structs.replace(fleet.front, cpu_us=cpu),
+        network=fleet.network,
+        group=groups,
+        cold=fleet.cold,
+        clients=fleet.clients,
+        platform=fleet.platform,
+        listing=fleet.listing,
+        build=builds,
+        trouble=troubles,
+        tries=fleet.tries,
+        profile=tuple(_profile(one, fleet, demand) for one in demand.profiles),
+    )
 
 
 def _profile(one, fleet: Fleet, demand: Demand) -> ProfileRow:
     value = next((wish.value for wish in fleet.profile if wish.name == one.name), 1.0)
-    return ProfileRow(name=one.name, share=max(1e-9, one.rate.mid), repeat=one.repeat, aim_ms=one.aim_ms,
-                      patience_ms=max(one.aim_ms, one.patience_ms), value=value, work_ms=one.work_ms.mid,
-                      spread="lognormal", cv=one.work_cv, hint_cv=one.hint_cv)
+    return ProfileRow(
+        name=one.name,
+        share=max(1e-9, one.rate.mid),
+        repeat=one.repeat,
+        aim_ms=one.aim_ms,
+        patience_ms=max(one.aim_ms, one.patience_ms),
+        value=value,
+        work_ms=one.work_ms.mid,
+        spread="lognormal",
+        cv=one.work_cv,
+        hint_cv=one.hint_cv,
+    )
 
 
 def replayed(day: Day, demand: Demand, arrivals: list[tuple[int, int]]) -> Iterator[Wish] | None:
     """The capture's own arrivals (time and profile), at the day's rate: their bursts stay as they were, and each seed
     begins elsewhere in them. None where the capture is shorter than the play needs, or the day has bursts of its
     own."""
-    if day.load.burst or not arrivals or len(arrivals) * demand.fronts < LEAST_PART * day.load.rate * day.length_s:
+    if (
+        day.load.burst
+        or not arrivals
+        or len(arrivals) * demand.fronts < LEAST_PART * day.load.rate * day.length_s
+    ):
         return None
     chance = Chance(day.seed)
     first, span = arrivals[0][0], arrivals[-1][0] - arrivals[0][0] + 1
-    pace = len(arrivals) * demand.fronts * SECOND / span / day.load.rate  # how much slower than it was
+    pace = (
+        len(arrivals) * demand.fronts * SECOND / span / day.load.rate
+    )  # how much slower than it was
     length = round(day.length_s * SECOND)
     merged = []
-    for front in range(demand.fronts):  # of one front: others are asked alike, at other times of the capture
+    for front in range(
+        demand.fronts
+    ):  # of one front: others are asked alike, at other times of the capture
         shift = round(chance.at("shift", front) * span)
         for turn in range(ceil(length / (span * pace))):  # it begins anew where the play is longer
             for at, profile in arrivals:
@@ -131,15 +169,24 @@
     seconds = tuple((sum(one.values()), one.get("in time", 0)) for one in outcome["series"])
     tail = seconds[-5:-1] or seconds
     asked = sum(one[0] for one in tail)
-    return Answer(tuple(one["in_time"] for one in rows), tuple(one["asked"] for one in rows), outcome["service"],
-                  outcome["tries_a_query"], outcome["audit"]["breaches"],
-                  tuple((at, build, stage, phase) for at, build, stage, phase, _ in outcome["stages"]),
-                  sum(one[1] for one in tail) / asked if asked else 1.0, seconds)
+    return Answer(
+        tuple(one["in_time"] for one in rows),
+        tuple(one["asked"] for one in rows),
+        outcome["service"],
+        outcome["tries_a_query"],
+        outcome["audit"]["breaches"],
+        tuple((at, build, stage, phase) for at, build, stage, phase, _ in outcome["stages"]),
+        sum(one[1] for one in tail) / asked if asked else 1.0,
+        seconds,
+    )
 
 
 def shares(answers: list[Answer]) -> list[Interval]:
     """In time by profile, over seeds."""
-    return [mean_interval([one.in_time[place] for one in answers]) for place in range(len(answers[0].in_time))]
+    return [
+        mean_interval([one.in_time[place] for one in answers])
+        for place in range(len(answers[0].in_time))
+    ]
 
 
 def holds(answers: list[Answer], goals: list[float]) -> bool:
@@ -155,7 +202,7 @@
 def drains(answers: list[Answer]) -> bool:
     """Whether a burst is over some seconds after it: the last seconds are nearly as good as those before it."""
     worst = min(one.tail_in_time for one in answers)
-    before = min(_share(one.by_second[int(SETTLE):int(SETTLE) + 5]) for one in answers)
+    before = min(_share(one.by_second[int(SETTLE) : int(SETTLE) + 5]) for one in answers)
     return worst >= before - 0.05
 
 
@@ -170,6 +217,10 @@
     for (at, build, stage, phase), following in zip(answer.stages[1:], [*answer.stages[2:], None]):
         end = following[0] if following else len(answer.by_second)
         if end - at >= 1:
-            found.append((f"build {build} stage {stage} {phase.replace('_', ' ')}",
-                          round(_share(answer.by_second[int(at):max(int(at) + 1, int(end))]), 4)))
+            found.append(
+                (
+                    f"build {build} stage {stage} {phase.replace('_', ' ')}",
+                    round(_share(answer.by_second[int(at) : max(int(at) + 1, int(end))]), 4),
+                )
+            )
     return found
--- a/umbermoor/planner/queueing.py
+++ b/umbermoor/planner/queueing.py
@@ -19,15 +19,25 @@
     return blocked / (1 - offered / workers * (1 - blocked))
 
 
-def mean_wait(rate: float, work: float, workers: int, work_cv: float, arrival_cv2: float = 1.0) -> float:
+def mean_wait(
+    rate: float, work: float, workers: int, work_cv: float, arrival_cv2: float = 1.0
+) -> float:
     """Allen and Cunneen's approximation; infinite from full load on."""
     offered = rate * work
     if offered >= workers:
         return float("inf")
-    return erlang_c(workers, offered) * work / (workers - offered) * (arrival_cv2 + work_cv * work_cv) / 2
-
-
-def late_share(rate: float, work: float, workers: int, work_cv: float, aim: float, arrival_cv2: float = 1.0) -> float:
+    return (
+        erlang_c(workers, offered)
+        * work
+        / (workers - offered)
+        * (arrival_cv2 + work_cv * work_cv)
+        / 2
+    )
+
+
+def late_share(
+    rate: float, work: float, workers: int, work_cv: float, aim: float, arrival_cv2: float = 1.0
+) -> float:
     """The share that takes longer than the aim: lognormal work by its quantiles, plus a wait that is exponential with
     the probability and mean above."""
     offered = rate * work
@@ -76,8 +86,14 @@
     return (low + high) / 2
 
 
-def highest_rate(work: float, workers: int, work_cv: float, aim: float, late_most: float,
-                 arrival_cv2: float = 1.0) -> float:
+def highest_rate(
+    work: float,
+    workers: int,
+    work_cv: float,
+    aim: float,
+    late_most: float,
+    arrival_cv2: float = 1.0,
+) -> float:
     """The load up to which no more than that share is late; 0 where the work alone forbids it."""
     if late_share(1e-9, work, workers, work_cv, aim, arrival_cv2) > late_most:
         return 0.0
@@ -89,4 +105,6 @@
     return low
 
 
-_PLACES = tuple(normal_quantile((step + 0.5) / 64) for step in range(64))  # an even sample of normal amounts
+_PLACES = tuple(
+    normal_quantile((step + 0.5) / 64) for step in range(64)
+)  # an even sample of normal amounts
--- a/umbermoor/planner/search.py
+++ b/umbermoor/planner/search.py
@@ -5,7 +5,9 @@
 from typing import Any, Callable, Generator, Hashable, NamedTuple, Sequence
 
 Answers = dict[Hashable, Any]
-Search = Generator[list[Hashable], Answers, Any]  # yields questions, is sent their answers, returns what was found
+Search = Generator[
+    list[Hashable], Answers, Any
+]  # yields questions, is sent their answers, returns what was found
 
 
 class Edge(NamedTuple):
@@ -23,8 +25,11 @@
         return (self.low + self.high) / 2
 
 
-def gather(searches: dict[str, Search], ask: Callable[[list[Hashable]], Answers],
-           found: dict[str, Any] | None = None) -> dict[str, Any]:
+def gather(
+    searches: dict[str, Search],
+    ask: Callable[[list[Hashable]], Answers],
+    found: dict[str, Any] | None = None,
+) -> dict[str, Any]:
     """What each search found, put into ``found`` as it is. Each round asks for all that any of them wants, once."""
     found = {} if found is None else found
     wanted: dict[str, list[Hashable]] = {}
@@ -32,7 +37,9 @@
     for name, search in searches.items():
         _step(name, search, None, wanted, found)
     while wanted:
-        todo = list(dict.fromkeys(one for some in wanted.values() for one in some if one not in known))
+        todo = list(
+            dict.fromkeys(one for some in wanted.values() for one in some if one not in known)
+        )
         if todo:
             known.update(ask(todo))
         for name, some in list(wanted.items()):
@@ -48,8 +55,15 @@
         found[name] = end.value
 
 
-def highest_load(low: float, high: float, step: float, question: Callable[[float], list[Hashable]],
-                 holds: Callable[[Answers], bool], floor: float, ceiling: float) -> Search:
+def highest_load(
+    low: float,
+    high: float,
+    step: float,
+    question: Callable[[float], list[Hashable]],
+    holds: Callable[[Answers], bool],
+    floor: float,
+    ceiling: float,
+) -> Search:
     """The highest load that holds, to a relative step. The bracket is a guess: it is widened while it does not hold,
     within floor and ceiling. Three loads are asked for at once, as plays run beside one another."""
     plays = 0
@@ -84,8 +98,13 @@
     return Edge(held, broke, plays, scan * per)
 
 
-def fewest_machines(low: int, high: int, question: Callable[[int], list[Hashable]], holds: Callable[[Answers], bool],
-                    most: int) -> Search:
+def fewest_machines(
+    low: int,
+    high: int,
+    question: Callable[[int], list[Hashable]],
+    holds: Callable[[Answers], bool],
+    most: int,
+) -> Search:
     """The fewest machines that hold, exactly. None where ``most`` do not."""
     plays, broke, held = 0, 0, None
     low, high = max(1, low), max(1, high)
@@ -117,13 +136,15 @@
     """Loads in even ratios, rounded so that two searches ask for the same ones."""
     steps = count - 1 if ends else count + 1
     ratio = (high / low) ** (1 / steps) if low > 0 else 1.0
-    some = [low * ratio ** at for at in range(0 if ends else 1, count if ends else count + 1)]
+    some = [low * ratio**at for at in range(0 if ends else 1, count if ends else count + 1)]
     return sorted({float(f"{one:.4g}") for one in some})
 
 
 def _whole_between(low: int, high: int) -> list[int]:
     width = high - low
-    return sorted({low + max(1, width * part // 4) for part in (1, 2, 3)} - {high, low}) or [low + 1]
+    return sorted({low + max(1, width * part // 4) for part in (1, 2, 3)} - {high, low}) or [
+        low + 1
+    ]
 
 
 def falling(points: Sequence[tuple[float, float, float]]) -> list[tuple[float, float]]:
@@ -136,5 +157,7 @@
             last, one = blocks.pop(), blocks.pop()
             total = one[1] + last[1]
             blocks.append([(one[0] * one[1] + last[0] * last[1]) / total, total, one[2], last[3]])
-    return [(place, next(block[0] for block in blocks if block[2] <= place <= block[3]))
-            for place, _, _ in sorted(points)]
+    return [
+        (place, next(block[0] for block in blocks if block[2] <= place <= block[3]))
+        for place, _, _ in sorted(points)
+    ]
--- a/umbermoor/planner/sheets.py
+++ b/umbermoor/planner/sheets.py
@@ -5,9 +5,21 @@
 
 from msgspec import Meta
 
-from umbermoor.lab.day import (Above0, Build, Clients, Cold, Count, Fronts, Group, Least0, Listing, Network, Platform,
-                               Share,
-                               Word)
+from umbermoor.lab.day import (
+    Above0,
+    Build,
+    Clients,
+    Cold,
+    Count,
+    Fronts,
+    Group,
+    Least0,
+    Listing,
+    Network,
+    Platform,
+    Share,
+    Word,
+)
 from umbermoor.sheet import Misread, Record, read_sheet
 
 
@@ -34,7 +46,9 @@
 class Fleet(Record, frozen=True, kw_only=True):
     PLACES = ("name",)
     name: Word
-    goal: Annotated[float, Meta(gt=0, lt=1)] = 0.995  # the share within the target time, of every profile
+    goal: Annotated[float, Meta(gt=0, lt=1)] = (
+        0.995  # the share within the target time, of every profile
+    )
     growth: tuple[Above0, ...] = (1.0, 1.5, 2.0)
     front: Fronts = Fronts()
     network: Network = Network()
@@ -50,8 +64,10 @@
     tries: Count = 5
 
     def fault(self) -> str | None:
-        for what, names in (("group", [one.name for one in self.group]),
-                            ("profile", [one.name for one in self.profile])):
+        for what, names in (
+            ("group", [one.name for one in self.group]),
+            ("profile", [one.name for one in self.profile]),
+        ):
             if twice := next((one for one in names if names.count(one) > 1), None):
                 return f"expected one {what} {twice!r}, not two"
         if len(self.growth) != len(set(self.growth)):
@@ -72,7 +88,10 @@
         return sum(one.machines * one.workers * one.speed for one in self.group)
 
     def goal_of(self, name: str) -> float:
-        return next((one.goal for one in self.profile if one.name == name and one.goal is not None), self.goal)
+        return next(
+            (one.goal for one in self.profile if one.name == name and one.goal is not None),
+            self.goal,
+        )
 
 
 def read_fleet(path: str) -> Fleet:
--- a/umbermoor/records.py
+++ b/umbermoor/records.py
@@ -40,7 +40,9 @@
 
     def add(self, given: float, came: float) -> None:
         x, y = log(max(1.0, given)), log(max(1.0, came))
-        self.sums = [one * self.kept + more for one, more in zip(self.sums, (1.0, x, y, x * x, x * y))]
+        self.sums = [
+            one * self.kept + more for one, more in zip(self.sums, (1.0, x, y, x * x, x * y))
+        ]
 
     def value(self) -> float:
         n, x, y, xx, xy = self.sums
@@ -72,13 +74,20 @@
     open: int = 0
     out_since: int = 0  # when those that are open were sent, summed
     load: float = 0.0  # expected work of the hand-offs it holds
-    others: dict[int, tuple[int, float]] = field(default_factory=dict)  # and of a peer's there, and when it was told
+    others: dict[int, tuple[int, float]] = field(
+        default_factory=dict
+    )  # and of a peer's there, and when it was told
     users: list[int] | None = None  # the peers that share it
 
     def fade(self, now: int, span: float, longer: float = 1.0) -> None:
         """What was seen of it loses weight; failures so many times more slowly."""
         part, fails = exp((self.seen - now) / span), exp((self.seen - now) / (span * longer))
-        self.took, self.work, self.fails, self.seen = self.took * part, self.work * part, self.fails * fails, now
+        self.took, self.work, self.fails, self.seen = (
+            self.took * part,
+            self.work * part,
+            self.fails * fails,
+            now,
+        )
 
     def heard(self, now: int, weight: float, usual: float) -> float:
         """Notes an answer; how long it had been silent."""
@@ -118,7 +127,9 @@
 
     def without(self, number: int) -> "Query":
         """As it stood before that hand-off."""
-        return replace(self, hand_offs=[one for at, one in enumerate(self.hand_offs) if at != number])
+        return replace(
+            self, hand_offs=[one for at, one in enumerate(self.hand_offs) if at != number]
+        )
 
     @property
     def errors(self) -> int:
@@ -127,7 +138,9 @@
     @property
     def ran(self) -> HandOff | None:
         """The first hand-off that is not known not to have run."""
-        return next((hand_off for hand_off in self.hand_offs if hand_off.ending not in NEVER_RAN), None)
+        return next(
+            (hand_off for hand_off in self.hand_offs if hand_off.ending not in NEVER_RAN), None
+        )
 
 
 @dataclass(slots=True)
@@ -157,8 +170,16 @@
     sound: float = 0
 
     def join(self, other: "Score", weight: float = 1.0) -> "Score":
-        return Score(*(mine + weight * more for mine, more in
-                       ((self.n, other.n), (self.good, other.good), (self.sound, other.sound))))
+        return Score(
+            *(
+                mine + weight * more
+                for mine, more in (
+                    (self.n, other.n),
+                    (self.good, other.good),
+                    (self.sound, other.sound),
+                )
+            )
+        )
 
     def __repr__(self) -> str:
         return f"{self.n:.0f} good {self.mean():.2f} sound {self.mean(True):.2f}"
@@ -213,11 +234,17 @@
 
     def half(self, build: int, stage: int, kept: float) -> bytes:
         """Halves all; the other half, as a message."""
-        self.sums = [amount * part for amount, part in zip(self.sums, (0.5, 0.25, kept, kept, *[0.5] * 6))]
+        self.sums = [
+            amount * part for amount, part in zip(self.sums, (0.5, 0.25, kept, kept, *[0.5] * 6))
+        ]
         return self.FORM.pack(self.MARK, build, stage, *self.sums)
 
     def take(self, message: bytes, build: int, stage: int) -> None:
         if len(message) == self.FORM.size and message[:1] == self.MARK:
             _, *place = self.FORM.unpack(message)
-            if place[:2] == [build, stage] and place[2] > 0 and all(abs(amount) < 1e12 for amount in place[2:]):
+            if (
+                place[:2] == [build, stage]
+                and place[2] > 0
+                and all(abs(amount) < 1e12 for amount in place[2:])
+            ):
                 self.sums = [mine + theirs for mine, theirs in zip(self.sums, place[2:])]
--- a/umbermoor/station.py
+++ b/umbermoor/station.py
@@ -14,9 +14,27 @@
 
 _NUMBERS = {  # the settings that are numbers where they are given
     "limits": ("try_limit", "max_retry_after_ms", "connect_timeout_ms", "idle_close_ms"),
-    "rules": ("stop_sending_within_ms", "cold_from", "warm_within_ms", "overload_factor", "fall_ms"),
-    "domain": ("to_advance", "back_votes", "to_pause", "vote_allowance", "vote_life_ms", "vote_wait_ms",
-               "least_stage_ms", "guarded_stages", "spare_tries", "metrics_period_ms", "complaint_share")}
+    "rules": (
+        "stop_sending_within_ms",
+        "cold_from",
+        "warm_within_ms",
+        "overload_factor",
+        "fall_ms",
+    ),
+    "domain": (
+        "to_advance",
+        "back_votes",
+        "to_pause",
+        "vote_allowance",
+        "vote_life_ms",
+        "vote_wait_ms",
+        "least_stage_ms",
+        "guarded_stages",
+        "spare_tries",
+        "metrics_period_ms",
+        "complaint_share",
+    ),
+}
 
 MEMORY_LEAST = 28  # MB, of which the interpreter and its libraries take most
 SOCKETS_LEAST = 40  # with fewer nothing is left for clients and machines
@@ -59,9 +77,20 @@
         raise Misplaced(f"LB_CONFIG: {path}: not JSON: {error}") from None
     if not isinstance(given, dict):
         raise Misplaced(f"LB_CONFIG: {path}: not a JSON object")
-    return check_station({**{key: environ[name] for key, name in
-                             (("name", "LB_NAME"), ("listen", "LB_LISTEN"), ("discovery", "LB_DISCOVERY"))
-                             if name in environ}, **given})
+    return check_station(
+        {
+            **{
+                key: environ[name]
+                for key, name in (
+                    ("name", "LB_NAME"),
+                    ("listen", "LB_LISTEN"),
+                    ("discovery", "LB_DISCOVERY"),
+                )
+                if name in environ
+            },
+            **given,
+        }
+    )
 
 
 def check_station(given: Mapping[str, Any]) -> Station:
@@ -101,27 +130,47 @@
     sockets = _at(bounds, "sockets", int, 1024, within="limits.")
     memory = _at(bounds, "memory_mb", float, 64.0, within="limits.")
     if sockets < SOCKETS_LEAST:
-        raise Misplaced(f"limits.sockets: {sockets} is fewer than the {SOCKETS_LEAST} that a front needs")
+        raise Misplaced(
+            f"limits.sockets: {sockets} is fewer than the {SOCKETS_LEAST} that a front needs"
+        )
     if memory < MEMORY_LEAST:
-        raise Misplaced(f"limits.memory_mb: {memory} is less than the {MEMORY_LEAST} that a front needs")
+        raise Misplaced(
+            f"limits.memory_mb: {memory} is less than the {MEMORY_LEAST} that a front needs"
+        )
     return Station(
-        name=_at(given, "name", str, "front"), listen=_address(given, "listen"), discovery=_address(given, "discovery"),
-        platform=_address(api, "address", "release_api."), charter=charter, sockets=sockets,
-        memory=round(memory * 2 ** 20),
+        name=_at(given, "name", str, "front"),
+        listen=_address(given, "listen"),
+        discovery=_address(given, "discovery"),
+        platform=_address(api, "address", "release_api."),
+        charter=charter,
+        sockets=sockets,
+        memory=round(memory * 2**20),
         profiles={row["name"]: place for place, row in enumerate(rows)},
         zones={name: place for place, name in enumerate(zones)},
-        connect_within=micros(_at(limits, "connect_timeout_ms", float, 1000.0, within="settings.limits.")),
+        connect_within=micros(
+            _at(limits, "connect_timeout_ms", float, 1000.0, within="settings.limits.")
+        ),
         idle_close=micros(_at(limits, "idle_close_ms", float, 10000.0, within="settings.limits.")),
         service=_at(given, "service", str, "api.internal"),
         load_fields=tuple(_at(reports, "fields", list, [], within="settings.load_info.")),
-        news=_at(api, "news", dict, None, within="release_api."), known=_at(given, "known", dict, None))
-
-
-_WORDS = {dict: "an object", list: "an array", str: "a text", int: "a whole number", float: "a number"}
+        news=_at(api, "news", dict, None, within="release_api."),
+        known=_at(given, "known", dict, None),
+    )
+
+
+_WORDS = {
+    dict: "an object",
+    list: "an array",
+    str: "a text",
+    int: "a whole number",
+    float: "a number",
+}
 _NEEDED: Any = object()
 
 
-def _at(given: Mapping[str, Any], key: str, kind: type, otherwise: Any = _NEEDED, within: str = "") -> Any:
+def _at(
+    given: Mapping[str, Any], key: str, kind: type, otherwise: Any = _NEEDED, within: str = ""
+) -> Any:
     value = given.get(key)
     if value is None:
         if otherwise is _NEEDED:
@@ -146,4 +195,8 @@
 
 def read_address(text: str) -> Address | None:
     host, _, port = text.rpartition(":")
-    return (host, int(port)) if host and port.isascii() and port.isdigit() and 0 < int(port) < 65536 else None
+    return (
+        (host, int(port))
+        if host and port.isascii() and port.isdigit() and 0 < int(port) < 65536
+        else None
+    )
--- a/umbermoor/watching.py
+++ b/umbermoor/watching.py
@@ -18,12 +18,17 @@
 WAIT = 2 * SECOND  # how long a watch may wait for news; one that breaks off is noticed no sooner
 ANSWER_WITHIN = SECOND  # what is waited for an answer beyond that
 TURN_WITHIN = 4 * SECOND  # the same for a first call that may have to wait its turn
-AGAIN_FIRST, AGAIN_MOST = SECOND // 20, SECOND  # until a failed call is made again, doubling, where it costs nothing
+AGAIN_FIRST, AGAIN_MOST = (
+    SECOND // 20,
+    SECOND,
+)  # until a failed call is made again, doubling, where it costs nothing
 APART = SECOND // 20  # of fronts that ask one service, on average
 SPAN_MOST = 5 * SECOND  # and all of them within this
 LONGER = 8  # times that span: the longest mean pause
 PAUSE_MOST = 16 * SECOND  # and no longer than this
-RENEW_MOST = 3 * SECOND // 2  # a watch that broke off is opened again within this, as it may miss a machine's drain
+RENEW_MOST = (
+    3 * SECOND // 2
+)  # a watch that broke off is opened again within this, as it may miss a machine's drain
 
 
 class Call(NamedTuple):
