--- a/benchmarks/change_bytes.py
+++ b/benchmarks/change_bytes.py
@@ -1,9 +1,11 @@
-"""Bytes and processor time of one changed route: from member to member, and from a member to a front.
+"""Bytes and processor time of one changed route: from member to member, and from a member to a
+front.
 
 python -m benchmarks.change_bytes
 
-Each line: routes; bytes of the frame to the next member, whole and by what it changes; milliseconds of both its ends,
-whole and by what it changes; the same to a front, compiling the routes not counted. Medians of `plays` changes.
+Each line: routes; bytes of the frame to the next member, whole and by what it changes; milliseconds
+of both its ends, whole and by what it changes; the same to a front, compiling the routes not
+counted. Medians of `plays` changes.
 """
 
 import json
--- a/benchmarks/control_calls.py
+++ b/benchmarks/control_calls.py
@@ -1,9 +1,10 @@
-"""Operators' calls on a loopback gateway of three members: time to acknowledge, and pairs that contradict each other.
+"""Operators' calls on a loopback gateway of three members: time to acknowledge, and pairs that
+contradict each other.
 
 python -m benchmarks.control_calls --puts 300 --pairs 40
 
-Pairs are sent at once to two members: two contents under one revision, two targets of one service's roll-out. Of each
-pair one at the most may be confirmed. Linux only; ends all that it started.
+Pairs are sent at once to two members: two contents under one revision, two targets of one service's
+roll-out. Of each pair one at the most may be confirmed. Linux only; ends all that it started.
 """
 
 import json
--- a/benchmarks/sonde_fleet.py
+++ b/benchmarks/sonde_fleet.py
@@ -17,7 +17,8 @@
 
 
 def one(seed: int, fronts: int, loss: float) -> dict[str, float]:
-    """A cold start, a calm minute, a kill, a join, a restart in place, and a cut in halves that heals; seconds."""
+    """A cold start, a calm minute, a kill, a join, a restart in place, and a cut in halves that
+    heals; seconds."""
     air = Air(seed, fronts, loss, doubled=loss / 2, late=loss / 2)
     names = list(air.places)
     air.start_all()
--- a/benchmarks/turns.py
+++ b/benchmarks/turns.py
@@ -74,7 +74,8 @@
 def by_turns(
     trees: list[Path], bench: str, days: list[str], plays: int, why: str, lock: str | None = None
 ) -> list[dict]:
-    """Who goes first changes with each turn, so that what the machine does meanwhile falls on both alike."""
+    """Who goes first changes with each turn, so that what the machine does meanwhile falls on both
+    alike."""
     seen: dict[str, list[list[Row]]] = defaultdict(lambda: [[] for _ in trees])
     for turn in range(plays):
         for day in days:
--- a/umbermoor/__main__.py
+++ b/umbermoor/__main__.py
@@ -46,7 +46,8 @@
 
 
 def extra(words: list[str]) -> int:
-    """A sub-command of its own, with its own words. Threat: what serve does not use, in its memory."""
+    """A sub-command of its own, with its own words. Threat: what serve does not use, in its
+    memory."""
     try:
         command = importlib.import_module(EXTRAS[words[0]])
     except ModuleNotFoundError as error:
@@ -89,7 +90,8 @@
 
 
 def _house(path: str | None):
-    """Our own settings, if there are any. Threat: their libraries in the memory of a front that has none."""
+    """Our own settings, if there are any. Threat: their libraries in the memory of a front that has
+    none."""
     if path is None:
         return None
     try:
--- a/umbermoor/capture/__init__.py
+++ b/umbermoor/capture/__init__.py
@@ -1,1 +1,2 @@
-"""What a front was asked and what became of it, written down as it serves, to plan by. See docs/capture.md."""
+"""What a front was asked and what became of it, written down as it serves, to plan by. See
+docs/capture.md."""
--- a/umbermoor/capture/files.py
+++ b/umbermoor/capture/files.py
@@ -14,8 +14,8 @@
 
 
 class Segments:
-    """Two files at most, each up to half the bound: the present one, and the one before it. A fault ends the capture
-    and leaves the front as it is."""
+    """Two files at most, each up to half the bound: the present one, and the one before it. A fault
+    ends the capture and leaves the front as it is."""
 
     def __init__(self, path: str, most: int, begin: Callable[[], bytes]) -> None:
         self._path, self._half, self._begin = path, most // 2, begin
@@ -78,8 +78,8 @@
 
 
 def read_capture(path: str) -> Capture:
-    """The segment before, if there is one, and the present one; rows in order of their coming. Raises Unreadable where
-    there is nothing to read at all."""
+    """The segment before, if there is one, and the present one; rows in order of their coming.
+    Raises Unreadable where there is nothing to read at all."""
     header, rows, damage = None, [], []
     paths = [one for one in (path + EARLIER, path) if Path(one).exists()]
     if not paths:
--- a/umbermoor/capture/frames.py
+++ b/umbermoor/capture/frames.py
@@ -3,10 +3,11 @@
     file    "UMCAP" version:u8 reserved:u16, then frames
     frame   "Fr" kind:u8 reserved:u8 length:u32 crc32:u32 (of kind and payload), payload
     kind H  JSON: name of the front, begun (microseconds of its clock), profiles
-    kind R  zlib of: base:u64 machines:u16 rows:u32, the machines (length:u8 name build:u16 born:u64), the rows
+    kind R  zlib of: base:u64 machines:u16 rows:u32, the machines (length:u8 name build:u16
+born:u64), the rows
 
-Each frame of rows stands by itself: it has the machines that its rows name. A file that ends in the middle of a frame
-loses that frame alone.
+Each frame of rows stands by itself: it has the machines that its rows name. A file that ends in the
+middle of a frame loses that frame alone.
 """
 
 import zlib
--- a/umbermoor/capture/recorder.py
+++ b/umbermoor/capture/recorder.py
@@ -1,7 +1,8 @@
-"""Notes what a front is asked and how it ends, and makes frames of it; without I/O, in bounded memory.
+"""Notes what a front is asked and how it ends, and makes frames of it; without I/O, in bounded
+memory.
 
-One record stands for each query that the front holds, and at most ``ROWS_MOST`` rows wait for their frame. What a frame
-costs and holds: docs/capture.md.
+One record stands for each query that the front holds, and at most ``ROWS_MOST`` rows wait for their
+frame. What a frame costs and holds: docs/capture.md.
 """
 
 from collections import Counter
--- a/umbermoor/charter.py
+++ b/umbermoor/charter.py
@@ -1,4 +1,5 @@
-"""Reads the start settings, as the simulator's first message and a front's configuration both hold them."""
+"""Reads the start settings, as the simulator's first message and a front's configuration both hold
+them."""
 
 from typing import Any
 
--- a/umbermoor/facade.py
+++ b/umbermoor/facade.py
@@ -1,8 +1,10 @@
-"""The decision module in blocking style, for any front: pick, report, tick. It translates and decides nothing.
+"""The decision module in blocking style, for any front: pick, report, tick. It translates and
+decides nothing.
 
-pick says where a query goes, that it is denied, abandoned or held. report tells what became of a hand-off, or
-anything else that was heard, and answers what to do next. tick does what time brings; the time at which it wants
-to be called again stands in ``next_tick``. Times are whole microseconds of the clock that the host gives.
+pick says where a query goes, that it is denied, abandoned or held. report tells what became of a
+hand-off, or anything else that was heard, and answers what to do next. tick does what time brings;
+the time at which it wants to be called again stands in ``next_tick``. Times are whole microseconds
+of the clock that the host gives.
 """
 
 from collections import deque
@@ -85,7 +87,8 @@
 
 
 class Connected(NamedTuple):
-    """This hand-off had to wait for its connection. The answer holds it again if it may still be sent."""
+    """This hand-off had to wait for its connection. The answer holds it again if it may still be
+    sent."""
 
     go: Go
 
@@ -204,8 +207,8 @@
         front.stage, front.trial, front.paces = front.stage.next(), Contrast(), (Pace(), Pace())
 
     def remember(self) -> tuple[float, float, float, tuple[float, ...], list[tuple]]:
-        """What is worth keeping over a restart: the fleet's pace, what a machine carried, usual work, and by machine
-        its
+        """What is worth keeping over a restart: the fleet's pace, what a machine carried, usual
+        work, and by machine its
         id, build, start, answer times, work ahead of them, usual silence and failures."""
         front = self._front
         return (
@@ -227,7 +230,8 @@
         usual: Sequence[float],
         machines: Sequence[tuple],
     ) -> None:
-        """The same, after a restart. Of machines those are taken that are listed; their times are as of now."""
+        """The same, after a restart. Of machines those are taken that are listed; their times are
+        as of now."""
         front, now = self._front, self._clock()
         if took > 0 < work and len(usual) == len(front.usual):
             front.took, front.work, front.usual = took, work, list(usual)
--- a/umbermoor/gateway/__main__.py
+++ b/umbermoor/gateway/__main__.py
@@ -1,4 +1,5 @@
-"""The gateway's programs: `vane` carries traffic, `barograph` holds what must last. Operators' calls: `--help`."""
+"""The gateway's programs: `vane` carries traffic, `barograph` holds what must last. Operators'
+calls: `--help`."""
 
 import sys
 
@@ -15,7 +16,8 @@
 
 
 def run(program: str) -> int:
-    """A daemon on the settings file that the environment names. What is wrong with it: one line, status 2."""
+    """A daemon on the settings file that the environment names. What is wrong with it: one line,
+    status 2."""
     import asyncio
     import os
 
--- a/umbermoor/gateway/almanac/configuration.py
+++ b/umbermoor/gateway/almanac/configuration.py
@@ -1,10 +1,12 @@
 """A configuration as the operator sends it, and whether it holds (PROTOCOL.md, "The operator").
 
-Refused is what the page calls invalid, what a front could not follow (no horizon, a prefix without its slashes, two
-routes in one place, a mix that carries nothing) and what is of another type than shown. Anything else is let by.
+Refused is what the page calls invalid, what a front could not follow (no horizon, a prefix without
+its slashes, two routes in one place, a mix that carries nothing) and what is of another type than
+shown. Anything else is let by.
 
-cerberus says what is wrong. It takes some 0.4 ms a route, so routes of the usual shape are first tried by plain
-comparisons, which only ever let by: some 7 us a route, the search for equal places included.
+cerberus says what is wrong. It takes some 0.4 ms a route, so routes of the usual shape are first
+tried by plain comparisons, which only ever let by: some 7 us a route, the search for equal places
+included.
 """
 
 import json
@@ -39,7 +41,8 @@
 
 
 def read(raw: bytes) -> dict[str, Any] | Fault:
-    """The JSON object in a body, not checked further; a fault if it is none, is cut short, or names a key twice."""
+    """The JSON object in a body, not checked further; a fault if it is none, is cut short, or names
+    a key twice."""
     try:
         body = json.loads(raw.decode(), object_pairs_hook=_once, parse_constant=_constant)
     except (ValueError, RecursionError) as error:
--- a/umbermoor/gateway/almanac/papers.py
+++ b/umbermoor/gateway/almanac/papers.py
@@ -1,4 +1,5 @@
-"""A process's papers: its settings file (DEPLOY.md, "What a process is told"), times as whole microseconds."""
+"""A process's papers: its settings file (DEPLOY.md, "What a process is told"), times as whole
+microseconds."""
 
 import math
 import tomllib
@@ -15,7 +16,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Papers:
-    """What the settings file says. Unknown fields are skipped; absent ones have the values shown."""
+    """What the settings file says. Unknown fields are skipped; absent ones have the values
+    shown."""
 
     name: str
     role: str
@@ -54,7 +56,8 @@
 
 
 def read_papers(path: str) -> Papers | Fault:
-    """Reads the file at `path`; a fault if it cannot be read, is no TOML, or a field is missing or odd."""
+    """Reads the file at `path`; a fault if it cannot be read, is no TOML, or a field is missing or
+    odd."""
     try:
         with open(path, "rb") as file:
             raw = file.read()
--- a/umbermoor/gateway/almanac/routes.py
+++ b/umbermoor/gateway/almanac/routes.py
@@ -1,4 +1,5 @@
-"""Routes compiled from a checked configuration, and which of them a request's host and path pick."""
+"""Routes compiled from a checked configuration, and which of them a request's host and path
+pick."""
 
 from typing import Any, Iterator, Mapping, NamedTuple
 
@@ -9,7 +10,8 @@
 
 
 class Envelope(NamedTuple):
-    """What a client may send and how long it may take (PROTOCOL.md, "The operator"); idle_us is a free wait."""
+    """What a client may send and how long it may take (PROTOCOL.md, "The operator"); idle_us is a
+    free wait."""
 
     header_bytes: int = 16_384
     body_bytes: int = 64 << 20
@@ -83,12 +85,14 @@
 
 
 class Routes:
-    """A configuration as fronts use it; never changed once built. About 0.5 KB a route, texts included."""
+    """A configuration as fronts use it; never changed once built. About 0.5 KB a route, texts
+    included."""
 
     __slots__ = ("revision", "revision_text", "services", "envelope", "_hosts", "_longest")
 
     def __init__(self, body: Mapping[str, Any]) -> None:
-        """From a decoded configuration that `configuration.check` found sound; keeps its texts, not its tables."""
+        """From a decoded configuration that `configuration.check` found sound; keeps its texts, not
+        its tables."""
         self.revision_text: str = body["revision"]
         self.revision = int(self.revision_text, 16)
         self.services: dict[str, Service] = {
@@ -111,7 +115,8 @@
     def find(self, host: str, path: str) -> Route | None:
         """The route of this host whose prefix is the longest that begins the path; None is a 404.
 
-        The host may carry a port and capitals; a query is not looked at. A few microseconds, however many routes.
+        The host may carry a port and capitals; a query is not looked at. A few microseconds,
+        however many routes.
         """
         prefixes = self._hosts.get(host) or self._hosts.get(host_name(host))
         if prefixes is None:
@@ -134,7 +139,8 @@
 
 
 def newer(a: str | int | None, b: str | int | None) -> bool:
-    """Whether revision `a` is above `b`; as eight hexadecimal digits or a number, None where there is none."""
+    """Whether revision `a` is above `b`; as eight hexadecimal digits or a number, None where there
+    is none."""
     return _number(a) > _number(b)
 
 
--- a/umbermoor/gateway/anemometer/__init__.py
+++ b/umbermoor/gateway/anemometer/__init__.py
@@ -1,8 +1,9 @@
 """The anemometer: brings a service's new version in, or sends it back, at one pace over all fronts.
 
-Every front runs `Trials` (front.py): which version each request goes to, its own scores, its vote. The member of the
-core that leads roll-outs runs `Steps` (core.py): it pools what fronts report, and writes the next step into the
-durable record, which news brings to all fronts. The course of it: plan.py.
+Every front runs `Trials` (front.py): which version each request goes to, its own scores, its vote.
+The member of the core that leads roll-outs runs `Steps` (core.py): it pools what fronts report, and
+writes the next step into the durable record, which news brings to all fronts. The course of it:
+plan.py.
 
     >>> def play(bad: bool) -> tuple[str, float, float]:
     ...     front, steps, sent, asked = Trials(), Steps(), 0, 0
--- a/umbermoor/gateway/anemometer/core.py
+++ b/umbermoor/gateway/anemometer/core.py
@@ -1,9 +1,11 @@
-"""The core's part in roll-outs: gathers the fronts' votes and counts, and says when the next step is due.
+"""The core's part in roll-outs: gathers the fronts' votes and counts, and says when the next step
+is due.
 
-How they combine: a front's vote alone moves nothing. Outcomes of all fronts are pooled into a sequential test (a sum
-of log-likelihood ratios that never falls below 0, Page's CUSUM) of the new version's bad answers against those that
-the earlier one gave at the same time. It sends back at once, if it still would, more weakly, without the machine
-and without the front that speak most against the version: one machine may die, one front may have its own trouble."""
+How they combine: a front's vote alone moves nothing. Outcomes of all fronts are pooled into a
+sequential test (a sum of log-likelihood ratios that never falls below 0, Page's CUSUM) of the new
+version's bad answers against those that the earlier one gave at the same time. It sends back at
+once, if it still would, more weakly, without the machine and without the front that speak most
+against the version: one machine may die, one front may have its own trouble."""
 
 from collections import defaultdict, deque
 from dataclasses import dataclass, field
@@ -31,12 +33,14 @@
 ALARM = log(3000)  # the test's sum, for one of these, that sends back
 ECHO = log(
     30
-)  # and what must be left of it without one machine, and without one front: two bad answers at least
+    # and what must be left of it without one machine, and without one front: two bad answers at least
+)
 DOUBT = ALARM / 3  # no step further with more left than this
 FADE = 0.8 * SECOND  # memory of the earlier version's outcomes, for what is usual now
 LEAN, USUAL = 20.0, 0.02  # and a guess that it leans on: bad outcomes among so many
 FLOOR = 0.05  # less is never taken for usual
-BEHIND = 150_000  # outcomes are weighed so much later: those of the earlier version from the same time come first
+# outcomes are weighed so much later: those of the earlier version from the same time come first
+BEHIND = 150_000
 HEARD = SECOND  # reports older than this do not count among the fronts
 REST = (
     7 * SECOND // 10
@@ -92,7 +96,8 @@
 
 
 def _trails(n: float, bad: float, expected: float) -> bool:
-    """Whether n outcomes of the new version, some bad, trail the earlier one's, of which so many were to be bad."""
+    """Whether n outcomes of the new version, some bad, trail the earlier one's, of which so many
+    were to be bad."""
     if n < LEAST:
         return False
     mean = min(SURE, 1 - expected / n)
@@ -102,11 +107,12 @@
 
 
 class Steps:
-    """Roll-outs at the member that leads them; any member can go on from the durable record and the reports.
+    """Roll-outs at the member that leads them; any member can go on from the durable record and the
+    reports.
 
-    What `tick` returns is to be put durably, whole, under the service's name, only in place of the record that it was
-    decided on (trial.py): then two members that both think they lead do no harm. `begin` judges an order as the head
-    does, beside this member's own copy."""
+    What `tick` returns is to be put durably, whole, under the service's name, only in place of the
+    record that it was decided on (trial.py): then two members that both think they lead do no harm.
+    `begin` judges an order as the head does, beside this member's own copy."""
 
     def __init__(self) -> None:
         self.orders: dict[str, _Order] = {}
@@ -114,8 +120,8 @@
     def begin(
         self, now: int, service: str, target: str, ramp_s: float, present: list[str]
     ) -> Record | Code:
-        """An operator's order: the record to put, OK if nothing is to change, CLASH or WRONG. `ramp_s` in seconds;
-        `present` names the revisions of the service's listed machines."""
+        """An operator's order: the record to put, OK if nothing is to change, CLASH or WRONG.
+        `ramp_s` in seconds; `present` names the revisions of the service's listed machines."""
         if (
             not target
             or not isinstance(target, str)
@@ -157,7 +163,8 @@
         held.record, held.since = record, since
 
     def report(self, now: int, front: str, report: dict[str, Any]) -> None:
-        """What a front's `tick` returned. Counts in it are sums since `since`, so that lost ones do no harm."""
+        """What a front's `tick` returned. Counts in it are sums since `since`, so that lost ones do
+        no harm."""
         held = self.orders.get(report.get("service", ""))
         if held is None or held.record["order"] != report["order"]:
             return
@@ -193,7 +200,8 @@
                 held.unweighed.append((now, front, machine, n - before[0], bad - before[1]))
 
     def _usual(self, held: _Order) -> tuple[float, float]:
-        """The share of bad answers that the earlier version gives now: its mean, and that with twice its error."""
+        """The share of bad answers that the earlier version gives now: its mean, and that with
+        twice its error."""
         seen, bad, _ = held.usual
         mean = (bad + LEAN * USUAL) / (seen + LEAN)
         high = mean + 2 * sqrt(mean * (1 - mean) / (seen + LEAN))
@@ -226,7 +234,8 @@
                 parts["machine", machine] += more
 
     def _against(self, now: int, held: _Order) -> tuple[float, float]:
-        """The test's sum, and what of it is left without one machine or front; by the worst supposition."""
+        """The test's sum, and what of it is left without one machine or front; by the worst
+        supposition."""
         fresh = self._fresh(now, held)
         machines = self._machines(now, held)
         most = 0.0, 0.0
@@ -253,8 +262,9 @@
         return [told for told in held.fronts.values() if now - told.at <= HEARD]
 
     def _behind(self, now: int, held: _Order) -> bool:
-        """Test & Roll on pooled outcomes, also without the machine and the front with most bad ones. The earlier
-        mean is the one at the times of the trial's outcomes: a passing trouble of everything is no difference."""
+        """Test & Roll on pooled outcomes, also without the machine and the front with most bad
+        ones. The earlier mean is the one at the times of the trial's outcomes: a passing trouble of
+        everything is no difference."""
         n, bad, expected = (
             sum(count[i] for count in held.counted["front"].values()) for i in range(3)
         )
@@ -274,7 +284,8 @@
         )
 
     def tick(self, now: int) -> list[tuple[str, Record]]:
-        """Records to be put now; call it at the member that leads, after each report or some ten times a second."""
+        """Records to be put now; call it at the member that leads, after each report or some ten
+        times a second."""
         puts = []
         for service, held in self.orders.items():
             if held.record["state"] != "running":
@@ -342,7 +353,8 @@
         return {"stage": stage + 1}
 
     def _settle(self, now: int, held: _Order, fresh: list[_Told]) -> dict[str, Any]:
-        """Settled once no front that is heard sends to the old machines, nothing is under way there, and REST more."""
+        """Settled once no front that is heard sends to the old machines, nothing is under way
+        there, and REST more."""
         quiet = fresh and all(
             told.report["stage"] == ALL and not told.report["before"] for told in fresh
         )
--- a/umbermoor/gateway/anemometer/front.py
+++ b/umbermoor/gateway/anemometer/front.py
@@ -1,4 +1,5 @@
-"""A front's part in roll-outs: which version a request goes to, its own scores, its vote. Times: whole microseconds."""
+"""A front's part in roll-outs: which version a request goes to, its own scores, its vote. Times:
+whole microseconds."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -109,11 +110,12 @@
 
 
 class Trials:
-    """Roll-outs at one front. The host calls `heard` whenever it knows that its news from the core is up to date.
+    """Roll-outs at one front. The host calls `heard` whenever it knows that its news from the core
+    is up to date.
 
-    For each try: `side` names the version, `machines` narrows the choice within the new one, `allowed` is asked
-    right before the sending, then `sent` and, however it ends, `ended`. Nothing raises; unknown services have no
-    version until machines are listed."""
+    For each try: `side` names the version, `machines` narrows the choice within the new one,
+    `allowed` is asked right before the sending, then `sent` and, however it ends, `ended`. Nothing
+    raises; unknown services have no version until machines are listed."""
 
     def __init__(self) -> None:
         self.services: dict[str, _Service] = {}
@@ -134,8 +136,8 @@
         self.services.pop(service, None)
 
     def order(self, now: int, service: str, record: Record | None, firm: bool = True) -> None:
-        """The durable record as news brings it, or that there is none. Older ones are ignored. `firm`: the news
-        is up to date as of now."""
+        """The durable record as news brings it, or that there is none. Older ones are ignored.
+        `firm`: the news is up to date as of now."""
         if firm:
             self.heard(now)
         one = self._of(service)
@@ -163,7 +165,8 @@
         one.sort()
 
     def listed(self, now: int, service: str, machines: Sequence[tuple[str, str, int]]) -> None:
-        """All machines of a service that may be used: id, revision, when this front first had it listed."""
+        """All machines of a service that may be used: id, revision, when this front first had it
+        listed."""
         one = self._of(service)
         one.machines = sorted(machines)
         ids = {id for id, _, _ in machines}
@@ -174,7 +177,8 @@
             and there
             and (one.used is None or one.used not in there and one.told)
         ):
-            # An order may be under way that this front has not heard of: the lower version is the earlier one.
+            # An order may be under way that this front has not heard of: the lower version is the
+            # earlier one.
             one.used = earliest(list(there))[0]
         one.sort()
 
@@ -191,12 +195,14 @@
         return one.record is not None and one.record["state"] == "running"
 
     def _stage(self, now: int, one: _Service) -> int:
-        """The stage this front acts by; -1 where it lacks news, or saw too much, and leaves the trial alone."""
+        """The stage this front acts by; -1 where it lacks news, or saw too much, and leaves the
+        trial alone."""
         stale = self.fresh_at is None or now - self.fresh_at > STALE
         return -1 if stale or now < one.held_until else one.record["stage"]
 
     def machines(self, now: int, service: str) -> tuple[str, ...]:
-        """Ids of the new version's machines that carry its share now: few, so that their load is a real one."""
+        """Ids of the new version's machines that carry its share now: few, so that their load is a
+        real one."""
         one = self._of(service)
         record = one.record
         if record is None:
@@ -220,7 +226,8 @@
         return row >= IN_ROW and now - at < ASIDE
 
     def side(self, now: int, service: str, chance: float, again: bool = False) -> str | None:
-        """The version that this try must go to; `chance` is drawn from 0 to 1, `again` says that it is no first try."""
+        """The version that this try must go to; `chance` is drawn from 0 to 1, `again` says that it
+        is no first try."""
         one = self._of(service)
         base = one.base
         if not self._running(one):
@@ -276,7 +283,8 @@
         failed: bool,
         repeat: bool,
     ) -> None:
-        """A try that was sent ended: within the route's aim or not; `failed` where nothing whole and good came."""
+        """A try that was sent ended: within the route's aim or not; `failed` where nothing whole
+        and good came."""
         one = self._of(service)
         one.under_way[revision] -= 1
         if one.under_way[revision] <= 0:
@@ -320,7 +328,8 @@
         return "back" if mean - posterior(new[1] / new[0], new[0], mean, SIGMA) > lead else "on"
 
     def tick(self, now: int) -> list[dict[str, Any]]:
-        """What to tell the core now; call it several times a second, and after bad answers or news."""
+        """What to tell the core now; call it several times a second, and after bad answers or
+        news."""
         reports = []
         for service, one in self.services.items():
             if not self._running(one):
--- a/umbermoor/gateway/barograph/__init__.py
+++ b/umbermoor/gateway/barograph/__init__.py
@@ -1,14 +1,18 @@
-"""The gateway's durable register: what the core machines must not lose, each holding all of it on its own disk.
+"""The gateway's durable register: what the core machines must not lose, each holding all of it on
+its own disk.
 
-Values go along a chain of members, from its head, which orders them, to its tail, which tells that they are committed:
-by then every member of the chain has them synced. A small view - an epoch, and who is in the chain - mends the chain
-when a member falls silent, loses its disk, or comes back; it is agreed on by a majority of all members, and a chain is
-never smaller than that. There is no log: a member that comes into a chain is given the whole map.
+Values go along a chain of members, from its head, which orders them, to its tail, which tells that
+they are committed: by then every member of the chain has them synced. A small view - an epoch, and
+who is in the chain - mends the chain when a member falls silent, loses its disk, or comes back; it
+is agreed on by a majority of all members, and a chain is never smaller than that. There is no log:
+a member that comes into a chain is given the whole map.
 
-What it stands on: of 2m+1 members no more than m lose their disks at once (until filled again), clocks run at about
-one rate, and what was synced stays. Messages may be lost, doubled, late and cut one way; processes may end at any step.
+What it stands on: of 2m+1 members no more than m lose their disks at once (until filled again),
+clocks run at about one rate, and what was synced stays. Messages may be lost, doubled, late and cut
+one way; processes may end at any step.
 
-`member` decides, `store` is the only I/O; a host carries messages and time between them. Three members and their disks:
+`member` decides, `store` is the only I/O; a host carries messages and time between them. Three
+members and their disks:
 
 >>> import json, random
 >>> from umbermoor.gateway.barograph.member import Member
--- a/umbermoor/gateway/barograph/asks.py
+++ b/umbermoor/gateway/barograph/asks.py
@@ -48,7 +48,8 @@
             ask.epoch = 0
 
     def over(self, now: int, epoch: int) -> list[tuple[int, Code]]:
-        """Take out what can no longer be told; `epoch` is the latest active. A put is never handed to two heads."""
+        """Take out what can no longer be told; `epoch` is the latest active. A put is never handed
+        to two heads."""
         ended = [
             number
             for number, ask in self._open.items()
@@ -74,7 +75,8 @@
 
 @dataclass(slots=True)
 class Taken:
-    """The puts that a head judged in its epoch, so that a doubled message is no second put and gets the same verdict.
+    """The puts that a head judged in its epoch, so that a doubled message is no second put and gets
+    the same verdict.
 
     >>> taken = Taken()
     >>> taken.note(7, 1, 12, Verdict(Outcome.SAME))
@@ -87,8 +89,8 @@
     )
 
     def find(self, life: int, number: int) -> tuple[int, Verdict] | None:
-        """After which write it is done, and its verdict without a value; None if it was not judged; -1 if that cannot
-        be told any more."""
+        """After which write it is done, and its verdict without a value; None if it was not judged;
+        -1 if that cannot be told any more."""
         ids, floor = self._lives.get(life, ({}, [0]))
         return ids.get(number, (-1, Verdict(Outcome.OLDER)) if number <= floor[0] else None)
 
--- a/umbermoor/gateway/barograph/compare.py
+++ b/umbermoor/gateway/barograph/compare.py
@@ -1,7 +1,8 @@
-"""Whether members hold the same: digests of what is committed, compared where two are at one version. No I/O.
+"""Whether members hold the same: digests of what is committed, compared where two are at one
+version. No I/O.
 
-At one version all members hold one map, so a difference is a fault of memory or of the program; it is told, not mended:
-who is wrong can't be said by two.
+At one version all members hold one map, so a difference is a fault of memory or of the program; it
+is told, not mended: who is wrong can't be said by two.
 """
 
 import json
--- a/umbermoor/gateway/barograph/contact.py
+++ b/umbermoor/gateway/barograph/contact.py
@@ -1,9 +1,11 @@
-"""Proofs of contact: that a majority is reached both ways, and promised no epoch above the one that is acted under.
+"""Proofs of contact: that a majority is reached both ways, and promised no epoch above the one that
+is acted under.
 
-Two kinds. A round within a call: whoever answered it promised no later epoch after the call had come, so no later view
-was in force when the call came. A lease: every ping tells which ping of the addressed came last; that one was sent
-before the answer, so what the answer says of promises holds of its sending, and what is known of it grows old from
-there. The lease compares times of one clock in one process alone; a process that saw its own clock leap forgets all.
+Two kinds. A round within a call: whoever answered it promised no later epoch after the call had
+come, so no later view was in force when the call came. A lease: every ping tells which ping of the
+addressed came last; that one was sent before the answer, so what the answer says of promises holds
+of its sending, and what is known of it grows old from there. The lease compares times of one clock
+in one process alone; a process that saw its own clock leap forgets all.
 
 Times are whole microseconds of a clock that never goes back in a life.
 """
@@ -67,7 +69,8 @@
 
 
 class Rounds:
-    """Calls that wait for a majority's word, each for a round that began after it came; one round at a time."""
+    """Calls that wait for a majority's word, each for a round that began after it came; one round
+    at a time."""
 
     __slots__ = "_asked", "_heard", "_open", "asked_at", "nonce"
 
@@ -92,11 +95,13 @@
         return True
 
     def due(self, before: int) -> bool:
-        """Whether those that have not answered are to be asked again, as they were last asked before then."""
+        """Whether those that have not answered are to be asked again, as they were last asked
+        before then."""
         return self._asked is not None and self.asked_at <= before
 
     def confirmed(self, sender: str, nonce: int) -> bool:
-        """One of the others promised no later epoch; whether that counts for the round under way."""
+        """One of the others promised no later epoch; whether that counts for the round under
+        way."""
         if self._asked is None or nonce != self.nonce:
             return False
         self._heard.add(sender)
--- a/umbermoor/gateway/barograph/disk.py
+++ b/umbermoor/gateway/barograph/disk.py
@@ -1,10 +1,11 @@
-"""What waits to be synced, one write at a time, and what is due after it. No I/O: the host carries writes out.
+"""What waits to be synced, one write at a time, and what is due after it. No I/O: the host carries
+writes out.
 
-All that comes while a write is under way goes into the next, all or none. A refused write is tried again with what came
-after it, so the order on disk is the order of asking, and what waits is bounded by the keys and purposes there are.
-A disk whose writes take long, one after another, is not well either: in a chain every change waits for it. It is tried
-again with what a change writes, and has to be quick for a time that doubles each time it was slow again.
-Times are whole microseconds.
+All that comes while a write is under way goes into the next, all or none. A refused write is tried
+again with what came after it, so the order on disk is the order of asking, and what waits is
+bounded by the keys and purposes there are. A disk whose writes take long, one after another, is not
+well either: in a chain every change waits for it. It is tried again with what a change writes, and
+has to be quick for a time that doubles each time it was slow again. Times are whole microseconds.
 """
 
 from dataclasses import dataclass, field
@@ -40,7 +41,8 @@
     _probed: int = 0
 
     def want(self, puts: dict[str, bytes | None], purpose: str, then: Then) -> None:
-        """Sync `puts`, then call `then`; a later one of the same purpose stands for the earlier too."""
+        """Sync `puts`, then call `then`; a later one of the same purpose stands for the earlier
+        too."""
         self._wanted.update(puts)
         self._thens[purpose] = then
 
--- a/umbermoor/gateway/barograph/member.py
+++ b/umbermoor/gateway/barograph/member.py
@@ -1,8 +1,10 @@
-"""One member of the register: takes messages, time and what the disk tells, returns effects. See the package.
+"""One member of the register: takes messages, time and what the disk tells, returns effects. See
+the package.
 
-Errors: a message of another shape or from outside is dropped; a call that cannot be told in 700 ms is answered LATER,
-and may be done nevertheless. Source of the rules: `view`, and van Renesse and Schneider, Chain Replication (2004).
-Times are whole microseconds of a clock that never goes back in a life.
+Errors: a message of another shape or from outside is dropped; a call that cannot be told in 700 ms
+is answered LATER, and may be done nevertheless. Source of the rules: `view`, and van Renesse and
+Schneider, Chain Replication (2004). Times are whole microseconds of a clock that never goes back in
+a life.
 """
 
 import json
@@ -39,7 +41,8 @@
 SETTLE = 400 * MS  # a member that has just started waits so long for the others
 COLLECT = (
     600 * MS
-)  # promises are collected for no longer: less than QUARANTINE, or a lost disk's promise would count
+    # promises are collected for no longer: less than QUARANTINE, or a lost disk's promise would count
+)
 GATHER = 250 * MS  # and beyond a majority of them for so long
 ACCEPT = 1200 * MS  # all of the chain must accept within this
 QUARANTINE = 1000 * MS  # a blank member asks what was promised only so long after its start
@@ -86,10 +89,11 @@
 class Member:
     """A state machine; every input returns the effects it has.
 
-    `me` and `seeds` are IP addresses, the seeds the same in the same order everywhere; the first of them founds.
-    `bear`: disks that may be lost at once. `cold`: an empty disk is a new system's, not a lost one. `stored`: what
-    Store.load gave. `judge(map, key, value, epoch)` tells at the head what a put comes to. `zone`, `quorum`: where it
-    runs, and whether it is a machine that counts by the platform's word: such a newcomer may succeed a member.
+    `me` and `seeds` are IP addresses, the seeds the same in the same order everywhere; the first of
+    them founds. `bear`: disks that may be lost at once. `cold`: an empty disk is a new system's,
+    not a lost one. `stored`: what Store.load gave. `judge(map, key, value, epoch)` tells at the
+    head what a put comes to. `zone`, `quorum`: where it runs, and whether it is a machine that
+    counts by the platform's word: such a newcomer may succeed a member.
     """
 
     def __init__(
@@ -231,9 +235,10 @@
         return self._effects()
 
     def put(self, now: int, ask: int, key: str, value: Any) -> list[Effect]:
-        """Have the head judge `value` for `key`. Answered with a Verdict once what that stands upon is committed, and
-        proven to be in force: OK where it was taken, or changes nothing; CLASH, UNKNOWN; LATER if it cannot be told;
-        WRONG if the key is too long, or the value is not JSON's."""
+        """Have the head judge `value` for `key`. Answered with a Verdict once what that stands upon
+        is committed, and proven to be in force: OK where it was taken, or changes nothing; CLASH,
+        UNKNOWN; LATER if it cannot be told; WRONG if the key is too long, or the value is not
+        JSON's."""
         self._at(now)
         try:
             fit = words.key(key) and bool(write_json(value))
@@ -247,7 +252,8 @@
         return self._effects()
 
     def read(self, now: int, ask: int) -> list[Effect]:
-        """The whole map, no older than anything answered before this call; LATER if that cannot be told."""
+        """The whole map, no older than anything answered before this call; LATER if that cannot be
+        told."""
         self._at(now)
         if not self._able() or not self._asks.add(now, ask, None):
             self._out.append(Answer(ask, Code.LATER))
@@ -257,10 +263,12 @@
     def change(
         self, now: int, ask: int, add: str = "", remove: str = "", dry: bool = False
     ) -> list[Effect]:
-        """Have the set of members become another: one more, one fewer, or one in the place of another.
+        """Have the set of members become another: one more, one fewer, or one in the place of
+        another.
 
-        Answered OK with what it leaves once the new set is in force (`dry`: at once); CLASH with `why` where it is
-        refused; LATER where that cannot be told, and it may come to be nevertheless.
+        Answered OK with what it leaves once the new set is in force (`dry`: at once); CLASH with
+        `why` where it is refused; LATER where that cannot be told, and it may come to be
+        nevertheless.
         """
         self._at(now)
         if not self._serving():
@@ -303,7 +311,8 @@
         return self._zones_kept | told | {self.me: self._zone}
 
     def _keep_zones(self) -> None:
-        """One that is gone may be succeeded in its zone, also after a restart of those who heard it."""
+        """One that is gone may be succeeded in its zone, also after a restart of those who heard
+        it."""
         zones = self._zones()
         kept = {who: zones[who] for who in self._others() if zones.get(who)}
         if kept != self._zones_kept:
@@ -312,7 +321,8 @@
                 self._disk.want({"zones": write_json(kept)}, "zones", _nothing)
 
     def learners(self) -> list[str]:
-        """Strangers that could be taken in now: heard by the chain and hearing it, steadily, well, and to be filled."""
+        """Strangers that could be taken in now: heard by the chain and hearing it, steadily, well,
+        and to be filled."""
         found = []
         for who, peer in sorted(self._outside.heard(self._now).items()):
             others = [other for other in self._view.chain if other != self.me]
@@ -328,7 +338,8 @@
         return found
 
     def leave(self, now: int) -> list[Effect]:
-        """This process is about to end, in order: the chain is to go on without it. The set stays as it is."""
+        """This process is about to end, in order: the chain is to go on without it. The set stays
+        as it is."""
         self._at(now)
         self._leaving = True
         self._ping_all()
@@ -336,7 +347,8 @@
 
     @property
     def left(self) -> bool:
-        """Whether it may end without holding up anything: another chain serves, so a majority holds what it holds."""
+        """Whether it may end without holding up anything: another chain serves, so a majority holds
+        what it holds."""
         return self._leaving and (
             not self._able() or self.me not in self._view.chain and self._hears_serving(HEARD)
         )
@@ -352,8 +364,9 @@
 
     @property
     def connected(self) -> bool:
-        """Whether a quorum proved, within a lease, that it is reached both ways and promised no epoch above the chain
-        that is known here to serve, and this member holds what that chain began with, or later."""
+        """Whether a quorum proved, within a lease, that it is reached both ways and promised no
+        epoch above the chain that is known here to serve, and this member holds what that chain
+        began with, or later."""
         if self._blank or not self.counted or self.version[0] != self._view.epoch:
             return False
         proven = self._contact.proven(self._now, self._view.epoch, self._others())
@@ -368,7 +381,8 @@
 
     @property
     def judged(self) -> bool:
-        """Whether the head judges puts, as far as is known here; one of the revision before takes what is newer."""
+        """Whether the head judges puts, as far as is known here; one of the revision before takes
+        what is newer."""
         peer = self._peers.get(self._view.chain[0]) if self._view.chain else None
         return peer is None or "number" in peer.ping
 
@@ -553,7 +567,8 @@
             self._commit(ping["committed"][1])
 
     def _meet_stranger(self, sender: str, ping: dict[str, Any]) -> None:
-        """One that is no member: a learner of this system, or one that is to learn that it is none."""
+        """One that is no member: a learner of this system, or one that is to learn that it is
+        none."""
         known = ping.get("system", 0)
         if (
             "number" in ping
@@ -567,7 +582,8 @@
             self._send(sender, "ping", **self._ping(), **self._sets_for(sender))
 
     def _meet(self, sender: str, ping: dict[str, Any]) -> None:
-        """Learn who the members are, if this is one of them that has lost its disk, or a machine that may learn."""
+        """Learn who the members are, if this is one of them that has lost its disk, or a machine
+        that may learn."""
         members = tuple(ping["members"])
         if (
             not ping["promise"]
@@ -708,19 +724,22 @@
             self._settle_others()
 
     def _forget(self) -> None:
-        """It was founded before, when this member's disk was another: what it founds now must not come to be."""
+        """It was founded before, when this member's disk was another: what it founds now must not
+        come to be."""
         self._blank, self._settled = True, False
         self._disk.want({"members": None, "system": None}, "members", lambda: None)
 
     def _counts(self) -> bool:
-        """Whether it may be one of a majority: not blank, nor a founder that has not found all others new."""
+        """Whether it may be one of a majority: not blank, nor a founder that has not found all
+        others new."""
         founder = self._is_founder() and not self._promise
         return self.counted and not self._blank and self._settled and not founder
 
     # being filled after the disk was lost
 
     def _ready(self) -> bool:
-        """Whether enough others told what they promised: every majority that promised before has one among them."""
+        """Whether enough others told what they promised: every majority that promised before has
+        one among them."""
         return self._blank and bool(self.everyone) and self.sets.blocks(self._learnt)
 
     def _floor(self) -> int:
@@ -762,7 +781,8 @@
         return self._held.chain.index(self.me)
 
     def _find_cause(self) -> tuple[str, int, frozenset[str]]:
-        """Why a view is to be proposed ("": it is not), how long that must hold first, and who is to be left out."""
+        """Why a view is to be proposed ("": it is not), how long that must hold first, and who is
+        to be left out."""
         nobody: frozenset[str] = frozenset()
         rank = self.everyone.index(self.me)
         names = self.sets.names
@@ -809,7 +829,8 @@
         return "", 0, nobody
 
     def _dispensable(self, who: str) -> bool:
-        """Whether a chain without it can be: it is not heard, or enough others are whose disks are well."""
+        """Whether a chain without it can be: it is not heard, or enough others are whose disks are
+        well."""
         heard = self._peers.heard(self._now)
         well = [other for other, peer in heard.items() if other != who and peer.ping["well"]]
         return who not in heard or self.sets.quorum(
@@ -817,7 +838,8 @@
         )
 
     def _may_propose(self) -> bool:
-        """Whether its disk is well; or it is slow only, and so are too many for the others to go on without it."""
+        """Whether its disk is well; or it is slow only, and so are too many for the others to go on
+        without it."""
         if self._disk.well(self._now):
             return True
         heard = self._peers.heard(self._now).items()
@@ -874,8 +896,8 @@
         )
 
     def _of_an_earlier_revision(self, remove: str) -> str:
-        """A member as it was last heard, also one that is away: back, it would fence with the majority that it knows.
-        One that is removed knows too few who listen to it then."""
+        """A member as it was last heard, also one that is away: back, it would fence with the
+        majority that it knows. One that is removed knows too few who listen to it then."""
         for who in self.everyone:
             away = who not in self._view.chain
             if (
@@ -889,8 +911,9 @@
     def _successor(self) -> tuple[str, str]:
         """A newcomer and the one member whose place it takes; ("", ""): there is none.
 
-        Silence alone takes nobody out. The head does it where the platform has put another in that place: a machine
-        that counts, in the same zone, without a disk, started when the chain had long heard nothing of the member.
+        Silence alone takes nobody out. The head does it where the platform has put another in that
+        place: a machine that counts, in the same zone, without a disk, started when the chain had
+        long heard nothing of the member.
         """
         if not self._serving() or self._place() or len(self._view.chain) == len(self.sets.new):
             return "", ""
@@ -1040,10 +1063,12 @@
                 self._pursue()
 
     def _weigh_sets(self, attempt: Attempt, promise: Promise, message: dict[str, Any]) -> None:
-        """Whose majorities are needed: of the set of the newest view that any of them accepted, or knows active.
+        """Whose majorities are needed: of the set of the newest view that any of them accepted, or
+        knows active.
 
-        Every view that may have become active was accepted by a majority of the sets that are asked, so one of those
-        who promise tells of it; its sets take the place of those known here. A change that meets news is given up.
+        Every view that may have become active was accepted by a majority of the sets that are
+        asked, so one of those who promise tells of it; its sets take the place of those known here.
+        A change that meets news is given up.
         """
         if not message.get("held") or not message.get("proven"):
             return  # of an earlier revision, in which the set never changes
@@ -1519,7 +1544,8 @@
                 self._fill(version, state)
 
     def _fill(self, version: Version, state: Mapping[str, Any]) -> None:
-        """A learner keeps what it learns: that shows that its disk writes, and who is taken in writes little then."""
+        """A learner keeps what it learns: that shows that its disk writes, and who is taken in
+        writes little then."""
         puts = self._state_puts(state)
         self._state = dict(state)
         self._disk.want({**puts, "learner": write_json(version)}, "fill", self._have_filled)
@@ -1528,7 +1554,8 @@
         self._filled = True
 
     def _probe_disk(self) -> None:
-        """See whether a disk that was slow still is, by what a change writes, as long as nobody waits for it."""
+        """See whether a disk that was slow still is, by what a change writes, as long as nobody
+        waits for it."""
         if (
             not self._serving()
             and not self._blank
@@ -1539,7 +1566,8 @@
             self._disk.want(puts, "probe", _nothing)
 
     def mend(self, now: int, records: Sequence[str]) -> list[Effect] | None:
-        """Write these records again, as they are held here; None if there is one that is no value of the map."""
+        """Write these records again, as they are held here; None if there is one that is no value
+        of the map."""
         self._at(now)
         keys = [record.removeprefix("state/") for record in records]
         if any(key == record or key not in self._state for key, record in zip(keys, records)):
--- a/umbermoor/gateway/barograph/membership.py
+++ b/umbermoor/gateway/barograph/membership.py
@@ -1,9 +1,11 @@
-"""Sets of members: who counts in a majority, a change from one set to the next, and what refuses a change.
-
-A view carries its set. A change is a view with two, the old one and the new (joint): its chain holds a majority of
-each, and whoever cannot tell whether it became active asks a majority of each. Once it is known to be active the new
-set stands alone, and the next change may come. Source: Ongaro and Ousterhout, In Search of an Understandable Consensus
-Algorithm (2014), section 6, joint consensus; Lamport, Malkhi and Zhou, Vertical Paxos (2009). No I/O.
+"""Sets of members: who counts in a majority, a change from one set to the next, and what refuses a
+change.
+
+A view carries its set. A change is a view with two, the old one and the new (joint): its chain
+holds a majority of each, and whoever cannot tell whether it became active asks a majority of each.
+Once it is known to be active the new set stands alone, and the next change may come. Source: Ongaro
+and Ousterhout, In Search of an Understandable Consensus Algorithm (2014), section 6, joint
+consensus; Lamport, Malkhi and Zhou, Vertical Paxos (2009). No I/O.
 """
 
 import hashlib
@@ -92,7 +94,8 @@
 
 
 def founded(names: Iterable[str], system: int = 0) -> Membership:
-    """The first set; without a system's number it is derived from the names (founded by an earlier revision)."""
+    """The first set; without a system's number it is derived from the names (founded by an earlier
+    revision)."""
     names = sorted(names)
     if not system:
         digest = hashlib.blake2b(",".join(names).encode(), digest_size=6).digest()
@@ -129,7 +132,8 @@
 
 
 def crowded(before: Sequence[str], after: Sequence[str], zones: Mapping[str, str]) -> str:
-    """The zone that would hold a majority after a change though none did before; "": none. Unknown zones count apart.
+    """The zone that would hold a majority after a change though none did before; "": none. Unknown
+    zones count apart.
 
     >>> zones = {"a": "north", "b": "east", "c": "west", "d": "east"}
     >>> crowded("abc", "bcd", zones), crowded("abc", "acd", zones), crowded("bcd", "bd", zones)
@@ -151,7 +155,8 @@
     remove: str,
     bear: int,
 ) -> Outlook:
-    """What a change of that settled set would leave; `chain`: of its active view, `ready`: learners.
+    """What a change of that settled set would leave; `chain`: of its active view, `ready`:
+    learners.
 
     >>> three = founded(["a", "b", "c"], 7)
     >>> outlook(three, ["a", "b", "c"], ["d"], "d", "a", 1).why
--- a/umbermoor/gateway/barograph/pages.py
+++ b/umbermoor/gateway/barograph/pages.py
@@ -1,7 +1,8 @@
 """Whether the pages of an LMDB file hang together, read without mapping it.
 
-LMDB trusts its file: a page number that a flipped bit sent astray ends the process by a signal, at each start anew. So
-the file is walked by plain reads first. Source: LMDB 0.9 (`mdb.c`, data version 1), little endian, 64 bits.
+LMDB trusts its file: a page number that a flipped bit sent astray ends the process by a signal, at
+each start anew. So the file is walked by plain reads first. Source: LMDB 0.9 (`mdb.c`, data version
+1), little endian, 64 bits.
 """
 
 import os
@@ -34,7 +35,8 @@
 
 
 def read_metas(file: BinaryIO) -> tuple[Meta, Meta] | None:
-    """The two meta pages, the one in force first; None if nothing was ever committed. Raises Torn."""
+    """The two meta pages, the one in force first; None if nothing was ever committed. Raises
+    Torn."""
     found = []
     size = os.fstat(file.fileno()).st_size
     offset = 0
@@ -71,8 +73,9 @@
 
 
 def set_aside(path: str) -> tuple[bytes, bytes] | None:
-    """The first record of the tree that is not in force, if that one hangs together: where the number of the newest
-    commit is spoilt or was not written, the tree in force is not the newest one."""
+    """The first record of the tree that is not in force, if that one hangs together: where the
+    number of the newest commit is spoilt or was not written, the tree in force is not the newest
+    one."""
     with open(path, "rb") as file:
         if not (metas := read_metas(file)):
             return None
--- a/umbermoor/gateway/barograph/peers.py
+++ b/umbermoor/gateway/barograph/peers.py
@@ -35,7 +35,8 @@
     _all: dict[str, Peer] = field(default_factory=dict)
 
     def hear(self, now: int, sender: str, ping: dict[str, Any]) -> bool:
-        """Take a ping in, an older one than the last not; whether the sender is new, or newly started."""
+        """Take a ping in, an older one than the last not; whether the sender is new, or newly
+        started."""
         peer = self._all.get(sender)
         if peer is None:
             if len(self._all) >= self.most and not self._forgot(now):
--- a/umbermoor/gateway/barograph/store.py
+++ b/umbermoor/gateway/barograph/store.py
@@ -1,15 +1,18 @@
-"""The register on disk, in LMDB: the only I/O of this package. Run it in a thread, one write at a time.
-
-What is held proves itself at the start: each record ends with a digest of its key and value, and one more record, the
-manifest, holds the format, how many records there are, and the sum of their digests, so that one that is gone, or of
-another moment, is found too. What does not hold together is given up whole: its promises can no longer be known, so
-the member counts as one whose disk was lost. A file `lost` says so until the member is filled again.
-
-Source: LMDB copies pages on write and turns between two meta pages: pages are written and synced, then a meta page. So
-a write that was torn by a loss of power leaves what the write before it left. The meta page is synced by a call of its
-own (`metasync=False` and `sync`), as not every system takes a descriptor opened for synced writes at its word. Meta
-pages have no digest, and the one with the higher number is in force: so the manifest holds that number too, and where
-the other tree's manifest tells of a higher one, that tree is put in force. It was synced as a whole.
+"""The register on disk, in LMDB: the only I/O of this package. Run it in a thread, one write at a
+time.
+
+What is held proves itself at the start: each record ends with a digest of its key and value, and
+one more record, the manifest, holds the format, how many records there are, and the sum of their
+digests, so that one that is gone, or of another moment, is found too. What does not hold together
+is given up whole: its promises can no longer be known, so the member counts as one whose disk was
+lost. A file `lost` says so until the member is filled again.
+
+Source: LMDB copies pages on write and turns between two meta pages: pages are written and synced,
+then a meta page. So a write that was torn by a loss of power leaves what the write before it left.
+The meta page is synced by a call of its own (`metasync=False` and `sync`), as not every system
+takes a descriptor opened for synced writes at its word. Meta pages have no digest, and the one with
+the higher number is in force: so the manifest holds that number too, and where the other tree's
+manifest tells of a higher one, that tree is put in force. It was synced as a whole.
 """
 
 import errno
@@ -41,7 +44,8 @@
 
 
 class Store:
-    """What is synced under one directory. `lost`: why what was held there counts as lost, "" if it does not.
+    """What is synced under one directory. `lost`: why what was held there counts as lost, "" if it
+    does not.
 
     >>> import tempfile
     >>> with tempfile.TemporaryDirectory() as path:
@@ -57,7 +61,8 @@
     """
 
     def __init__(self, path: str, size: int) -> None:
-        """Open or create it for up to `size` bytes, pages of the tree included. Raises what the system tells."""
+        """Open or create it for up to `size` bytes, pages of the tree included. Raises what the
+        system tells."""
         self.path, self.size = path, size
         self.full = False  # the last write found no room
         self._digests: dict[bytes, int] = {}
@@ -78,7 +83,8 @@
         return {key.decode(): value for key, value in self._read().items()}
 
     def write(self, puts: Mapping[str, bytes | None]) -> bool:
-        """All of it synced, or (False) the disk refused, or is full: then it is there as a whole, or not at all."""
+        """All of it synced, or (False) the disk refused, or is full: then it is there as a whole,
+        or not at all."""
         if not self._lmdb:
             return False
         records = {key: value for key, value in self._unformatted.items()}
@@ -108,8 +114,8 @@
         return False
 
     def sweep(self) -> list[str] | None:
-        """The records that are no longer what was written, by the digests kept in memory; None if the pages no longer
-        hang together. Beside writes, as they are, one at a time."""
+        """The records that are no longer what was written, by the digests kept in memory; None if
+        the pages no longer hang together. Beside writes, as they are, one at a time."""
         if not self._lmdb or self._unformatted:
             return []
         try:
@@ -154,7 +160,8 @@
         sync_folder(self.path)  # so that the files' names last too
 
     def _open_sound(self) -> dict[bytes, bytes]:
-        """Opens it; what does not hold together is removed first, and a new one opened in its place."""
+        """Opens it; what does not hold together is removed first, and a new one opened in its
+        place."""
         self._lmdb: lmdb.Environment | None = None
         for fresh in (False, True):
             try:
@@ -223,7 +230,8 @@
         return records
 
     def _give_up(self, why: str) -> None:
-        """Marked first: else one that ends in the midst would be taken for new where the system is."""
+        """Marked first: else one that ends in the midst would be taken for new where the system
+        is."""
         self.lost = why.replace("\n", " ")
         self.close()
         self._lmdb = None
@@ -250,7 +258,8 @@
         sync_folder(self.path)
 
     def _reopen(self) -> None:
-        """LMDB gives a file up when its meta page could not be written; what it holds then is looked at anew."""
+        """LMDB gives a file up when its meta page could not be written; what it holds then is
+        looked at anew."""
         self.close()
         self._lmdb = None
         try:
@@ -276,8 +285,9 @@
 
 
 def verify(path: str) -> tuple[int, int]:
-    """Looks at what is stored under `path` as a start would, and changes nothing: how many records, and their bytes. A
-    commit that is under way there may pass for a fault: look again. Raises FAULTS and OSError."""
+    """Looks at what is stored under `path` as a start would, and changes nothing: how many records,
+    and their bytes. A commit that is under way there may pass for a fault: look again. Raises
+    FAULTS and OSError."""
     file = os.path.join(path, DATA)
     if not pages.check(file):
         return 0, 0
@@ -295,7 +305,8 @@
 
 
 def manifest(digests: Mapping[bytes, int], txn: int) -> bytes:
-    """What stands under MANIFEST beside records of these digests, written by that commit; digested as they are."""
+    """What stands under MANIFEST beside records of these digests, written by that commit; digested
+    as they are."""
     total = sum(digests.values()) % (1 << 8 * DIGEST)
     value = json.dumps(
         {"format": FORMAT, "txn": txn, "records": len(digests), "sum": f"{total:032x}"}
--- a/umbermoor/gateway/barograph/view.py
+++ b/umbermoor/gateway/barograph/view.py
@@ -1,9 +1,10 @@
 """Views: who is in the chain, under which epoch, and an attempt to agree on the next one.
 
-A view is agreed on as one decree: its proposer has a majority of the members that are not blank promise an epoch that
-nobody else proposes, takes the state of the highest version among them, and has every member of the new chain accept
-it. Source: Lamport, Paxos Made Simple (2001), with the whole chain in place of an accepting majority; van Renesse and
-Schneider, Chain Replication (2004). Times are whole microseconds.
+A view is agreed on as one decree: its proposer has a majority of the members that are not blank
+promise an epoch that nobody else proposes, takes the state of the highest version among them, and
+has every member of the new chain accept it. Source: Lamport, Paxos Made Simple (2001), with the
+whole chain in place of an accepting majority; van Renesse and Schneider, Chain Replication (2004).
+Times are whole microseconds.
 """
 
 import random
@@ -26,7 +27,8 @@
 
 
 def epoch_after(epoch: int, rank: int, chance: random.Random) -> int:
-    """An epoch above `epoch` that no other member proposes, nor this one again if its disk is lost meanwhile.
+    """An epoch above `epoch` that no other member proposes, nor this one again if its disk is lost
+    meanwhile.
 
     >>> epoch_after(0, 2, random.Random(1)) // STEP, epoch_after(5 * STEP + 77, 2, random.Random(1)) // STEP
     (1, 6)
@@ -40,7 +42,8 @@
     enough: Callable[[Collection[str]], bool],
     mutual: Callable[[str, str], bool],
 ) -> tuple[str, ...]:
-    """Of those in `order`, as many as all hear each other, the first ones preferred; all, if that is not enough.
+    """Of those in `order`, as many as all hear each other, the first ones preferred; all, if that
+    is not enough.
 
     >>> two = lambda chosen: len(chosen) >= 2
     >>> choose_chain("abc", "", two, lambda one, other: {one, other} != {"a", "b"})
--- a/umbermoor/gateway/barograph/words.py
+++ b/umbermoor/gateway/barograph/words.py
@@ -1,7 +1,8 @@
-"""What members of the register say to each other, and whether a message has the shape of what it says to be.
+"""What members of the register say to each other, and whether a message has the shape of what it
+says to be.
 
-Source: none outside; a message of another shape is dropped whole, so what handles one need not look again. Numbers are
-whole and below 2**62, a version is [epoch, seq], names are IP addresses.
+Source: none outside; a message of another shape is dropped whole, so what handles one need not look
+again. Numbers are whole and below 2**62, a version is [epoch, seq], names are IP addresses.
 """
 
 from typing import Any, Callable, Mapping
@@ -202,7 +203,8 @@
 
 
 def shaped(message: Any) -> bool:
-    """Whether it is a message that a member may have sent; more fields than are known do not harm."""
+    """Whether it is a message that a member may have sent; more fields than are known do not
+    harm."""
     if type(message) is not dict or type(message.get("kind")) is not str:
         return False
     shape = SHAPES.get(message["kind"])
--- a/umbermoor/gateway/chamber/checks.py
+++ b/umbermoor/gateway/chamber/checks.py
@@ -1,7 +1,9 @@
-"""What must hold in the control world, whatever happens; each rule has a name, by which `Broken` tells it.
+"""What must hold in the control world, whatever happens; each rule has a name, by which `Broken`
+tells it.
 
-Bounds in time hold for those in touch, as the users' pages say: calm for `contactS`, with a settled core. What is
-safety holds always: one content of a number, nothing acknowledged lost or refused, no way back at a front."""
+Bounds in time hold for those in touch, as the users' pages say: calm for `contactS`, with a settled
+core. What is safety holds always: one content of a number, nothing acknowledged lost or refused, no
+way back at a front."""
 
 import json
 from collections import Counter
@@ -161,7 +163,8 @@
         return self.settled() and self.time.now - self.front_bad[front] >= self.contact
 
     def outer(self, front: str, span: int) -> bool:
-        """Whether the front was in order, and more than half of the core ran, connected and unslowed, all the time."""
+        """Whether the front was in order, and more than half of the core ran, connected and
+        unslowed, all the time."""
         since = self.time.now - span
         if self.front_bad[front] > min(since, self.time.now - self.contact):
             return False
@@ -173,7 +176,8 @@
         )
 
     def may_wipe(self, name: str) -> bool:
-        """Whether its disk may be lost now: with those lost before, no more than may be lost at once."""
+        """Whether its disk may be lost now: with those lost before, no more than may be lost at
+        once."""
         others = set(self.wiped_at) - {name}
         return len(others) < self.play.day.bear
 
@@ -422,7 +426,8 @@
             self.head, self.head_since = newest["chain"][0], self.time.now
 
     def _register(self, version: tuple[int, int], held: dict[str, str]) -> None:
-        """The register as one member knows it to be committed: one content of a version, and no key goes back."""
+        """The register as one member knows it to be committed: one content of a version, and no key
+        goes back."""
         if version in self.versions:
             if self.versions[version] != held:
                 self.broken("fork", f"two registers of version {version}")
--- a/umbermoor/gateway/chamber/register.py
+++ b/umbermoor/gateway/chamber/register.py
@@ -1,7 +1,9 @@
-"""Members of the register in virtual time, among faults, beside a plain model that tells when a promise was broken.
+"""Members of the register in virtual time, among faults, beside a plain model that tells when a
+promise was broken.
 
-Messages are lost, doubled, late, and cut one way; processes end at any step; power goes, and keeps only what was
-synced; disks are wiped within `bear`, slow, hang or refuse. Everything follows from a seed. Times are microseconds.
+Messages are lost, doubled, late, and cut one way; processes end at any step; power goes, and keeps
+only what was synced; disks are wiped within `bear`, slow, hang or refuse. Everything follows from a
+seed. Times are microseconds.
 """
 
 import heapq
@@ -52,7 +54,8 @@
 
 
 class Model:
-    """What must hold whatever happens, slowly: every map that any member calls committed, by its version."""
+    """What must hold whatever happens, slowly: every map that any member calls committed, by its
+    version."""
 
     def __init__(self) -> None:
         self.maps: dict[tuple[int, int], str] = {}
@@ -94,7 +97,8 @@
 
 
 class World:
-    """`members` machines, of which the first three (or fewer) are seeds; all start cold unless told otherwise."""
+    """`members` machines, of which the first three (or fewer) are seeds; all start cold unless told
+    otherwise."""
 
     def __init__(
         self, seed: int, members: int = 3, bear: int | None = None, judge: Judge = judge
@@ -344,7 +348,8 @@
         self.start_all(cold=False)
 
     def check(self) -> None:
-        """All faults gone: the chain becomes whole, holds all that was told, and takes puts at every member."""
+        """All faults gone: the chain becomes whole, holds all that was told, and takes puts at
+        every member."""
         self.settle()
         if not self.run(15_000 * MS, self.whole):
             raise Broken(
@@ -376,7 +381,8 @@
 
 
 def storm(seed: int, members: int = 3, steps: int = 60, cold: bool = False) -> World:
-    """Faults and calls at random for a while, then calm; raises Broken. `cold`: all stay marked as a new system's."""
+    """Faults and calls at random for a while, then calm; raises Broken. `cold`: all stay marked as
+    a new system's."""
     world = World(seed, members)
     chance = world.chance
     if chance.random() < 0.3:  # founded among faults
@@ -411,7 +417,8 @@
 
 
 def _nerves(world: World, chance: random.Random, steps: int) -> None:
-    """Views proposed again and again, by several at once, among late messages, many puts, and short absences."""
+    """Views proposed again and again, by several at once, among late messages, many puts, and short
+    absences."""
     for _ in range(steps):
         world.loss, world.doubled = chance.choice((0.0, 0.0, 0.1)), 0.2
         world.late, world.lateness = (
--- a/umbermoor/gateway/chamber/script.py
+++ b/umbermoor/gateway/chamber/script.py
@@ -1,7 +1,9 @@
-"""A day of the control world as text: what is played, drawn from a seed, and shrunk to the least that still breaks.
+"""A day of the control world as text: what is played, drawn from a seed, and shrunk to the least
+that still breaks.
 
-One step a line, `at_ms kind key=value ...`, below a first line `day key=value ...`. Whatever else happens in a day
-follows from the numbers that a step bears, so that dropping one step leaves the others as they were."""
+One step a line, `at_ms kind key=value ...`, below a first line `day key=value ...`. Whatever else
+happens in a day follows from the numbers that a step bears, so that dropping one step leaves the
+others as they were."""
 
 import random
 from dataclasses import dataclass, field
@@ -60,7 +62,8 @@
 
 
 def read(text: str) -> Day:
-    """A day from its text; ValueError names the line that cannot be read. Lines that begin with # say what it shows."""
+    """A day from its text; ValueError names the line that cannot be read. Lines that begin with #
+    say what it shows."""
     numbers, steps = None, []
     for place, line in enumerate(text.splitlines(), 1):
         words = line.split()
@@ -297,7 +300,8 @@
 
 
 def shrink(day: Day, breaks: Callable[[Day], bool], most: int = 400) -> Day:
-    """The day with as few steps as `breaks` needs, by dropping ever smaller runs of them; `most` days are tried."""
+    """The day with as few steps as `breaks` needs, by dropping ever smaller runs of them; `most`
+    days are tried."""
     steps, size, tried = list(day.steps), max(1, len(day.steps) // 2), 0
     while size and tried < most:
         at, dropped = 0, False
--- a/umbermoor/gateway/chamber/virtual.py
+++ b/umbermoor/gateway/chamber/virtual.py
@@ -1,8 +1,10 @@
-"""Virtual time for programs on asyncio: each process has a loop and a clock of its own, TCP and disks lie between.
+"""Virtual time for programs on asyncio: each process has a loop and a clock of its own, TCP and
+disks lie between.
 
-The hosts' own code runs unchanged on these loops; everything follows from a seed. Times are whole microseconds of the
-world unless a name says otherwise. What TCP does is played at the grain of what hosts see of it: order, resets, what a
-cut holds up, what a kernel takes for a process that is frozen, and how long a sender waits for a peer that is gone.
+The hosts' own code runs unchanged on these loops; everything follows from a seed. Times are whole
+microseconds of the world unless a name says otherwise. What TCP does is played at the grain of what
+hosts see of it: order, resets, what a cut holds up, what a kernel takes for a process that is
+frozen, and how long a sender waits for a peer that is gone.
 """
 
 import asyncio
@@ -78,7 +80,8 @@
 
 
 class Process(asyncio.AbstractEventLoop):
-    """One life of a process: its event loop. Frozen, all that is due waits; dead, nothing happens any more."""
+    """One life of a process: its event loop. Frozen, all that is due waits; dead, nothing happens
+    any more."""
 
     def __init__(self, machine: "Box") -> None:
         self.machine, self.time_, self.dead, self.frozen = machine, machine.net.time, False, False
@@ -208,7 +211,8 @@
 
 
 class Disk:
-    """What is synced, and how long syncing takes. Writes are done one after another, each wholly or not at all."""
+    """What is synced, and how long syncing takes. Writes are done one after another, each wholly or
+    not at all."""
 
     MODES = "well", "slow", "hangs", "refuses"
 
@@ -518,8 +522,9 @@
         request: Callable[[Process, Callable[[int, bytes], None]], None],
         told: Callable[[int, bytes], None],
     ) -> None:
-        """A call by HTTP from outside: `request` runs in the process there, what it tells comes back to `told`, with
-        status 0 for a refused connection. What a cut or a loss of power swallows never comes."""
+        """A call by HTTP from outside: `request` runs in the process there, what it tells comes
+        back to `told`, with status 0 for a refused connection. What a cut or a loss of power
+        swallows never comes."""
 
         def there() -> None:
             box = self.boxes[to]
--- a/umbermoor/gateway/effects.py
+++ b/umbermoor/gateway/effects.py
@@ -1,4 +1,5 @@
-"""What state machines of the gateway return for a host to carry out: send, write, answer. Decides nothing."""
+"""What state machines of the gateway return for a host to carry out: send, write, answer. Decides
+nothing."""
 
 from enum import Enum
 from typing import Any, Mapping, NamedTuple
@@ -17,7 +18,8 @@
 
 
 class Outcome(Enum):
-    """What a conditional put came to, judged in the one place that orders puts, against what it stands upon."""
+    """What a conditional put came to, judged in the one place that orders puts, against what it
+    stands upon."""
 
     TAKEN = "taken"  # it stands, or stood until something newer took its place
     SAME = "same"  # a repetition: it stood already
@@ -42,7 +44,8 @@
 
 
 class Write(NamedTuple):
-    """Puts on disk, all or none; the host reports written(token) once they are synced, or unwritten(token)."""
+    """Puts on disk, all or none; the host reports written(token) once they are synced, or
+    unwritten(token)."""
 
     token: int
     puts: Mapping[str, bytes | None]  # None removes
@@ -60,4 +63,5 @@
 
 
 class Unreadable(Exception):
-    """What is stored was written by a later revision: nothing is wrong with it, and nothing of it is touched."""
+    """What is stored was written by a later revision: nothing is wrong with it, and nothing of it
+    is touched."""
--- a/umbermoor/gateway/heliograph/deltas.py
+++ b/umbermoor/gateway/heliograph/deltas.py
@@ -1,7 +1,8 @@
-"""What a long text changed against another one that the other side holds, so that a change costs what it changes.
+"""What a long text changed against another one that the other side holds, so that a change costs
+what it changes.
 
-A delta is a zstd frame with the base as its dictionary; a digest of the whole proves what comes out, so a base that is
-not the one that was meant does no harm. No I/O.
+A delta is a zstd frame with the base as its dictionary; a digest of the whole proves what comes
+out, so a base that is not the one that was meant does no harm. No I/O.
 """
 
 import base64
@@ -38,7 +39,8 @@
 
 
 def delta(base: str, text: str) -> str:
-    """From one to the other, in base64. Some 7 ms for two of 1.7 MB, 0.5 ms for 240 kB; about linear."""
+    """From one to the other, in base64. Some 7 ms for two of 1.7 MB, 0.5 ms for 240 kB; about
+    linear."""
     old, new = _bytes(base), _bytes(text)
     window = max(10, (len(old) + len(new)).bit_length())
     parameters = zstandard.ZstdCompressionParameters.from_level(
@@ -106,8 +108,9 @@
 
 
 class Packer:
-    """Long texts in messages to and from other processes. What another one holds is known by what it told (`holds`),
-    and by what went to it and came from it since; one that never told gets its texts whole.
+    """Long texts in messages to and from other processes. What another one holds is known by what
+    it told (`holds`), and by what went to it and came from it since; one that never told gets its
+    texts whole.
 
     >>> one, other = Packer(), Packer()
     >>> text = "route, " * 1000
@@ -147,7 +150,8 @@
         self._held.pop(peer, None)
 
     def pack(self, to: str, message: Any) -> Any:
-        """The message with what `to` lacks of its long texts; the one that was given stays as it is."""
+        """The message with what `to` lacks of its long texts; the one that was given stays as it
+        is."""
         if isinstance(message, str):
             return self._packed(to, message) if len(message) >= LONG else message
         if isinstance(message, dict):
@@ -220,8 +224,9 @@
 
 
 class Carrier:
-    """Messages of the chain as frames between members, and back. A member greets those it does not know with what
-    it holds, so that both know; one of a revision that knows no greeting gets, and sends, everything whole."""
+    """Messages of the chain as frames between members, and back. A member greets those it does not
+    know with what it holds, so that both know; one of a revision that knows no greeting gets, and
+    sends, everything whole."""
 
     def __init__(self) -> None:
         self.packer = Packer()
@@ -243,9 +248,10 @@
     def receive(
         self, sender: str, known: bool, frame: dict[str, Any]
     ) -> tuple[dict[str, Any] | None, list[dict[str, Any]]]:
-        """The message that it carries, if any, and frames to send back. What stands on a text that is not held here is
-        dropped as if it was lost on the way; its sender, told so, says it whole when it says it again. `known`: the
-        sender is one that the member listens to; of others nothing is unpacked."""
+        """The message that it carries, if any, and frames to send back. What stands on a text that
+        is not held here is dropped as if it was lost on the way; its sender, told so, says it whole
+        when it says it again. `known`: the sender is one that the member listens to; of others
+        nothing is unpacked."""
         if frame.get("kind") == "holds":
             if not known or not isinstance(frame.get("texts"), list):
                 return None, []
--- a/umbermoor/gateway/heliograph/reader.py
+++ b/umbermoor/gateway/heliograph/reader.py
@@ -1,7 +1,8 @@
 """A reader's side: whom to ask, with what vector, and what its answers add up to. No I/O.
 
-A configuration's news is told at once by one member, the reader's first; the others, whose pulls are out as well, tell
-it when these have been held for HOLD, if the reader does not know it by then. What presses is told by all at once.
+A configuration's news is told at once by one member, the reader's first; the others, whose pulls
+are out as well, tell it when these have been held for HOLD, if the reader does not know it by then.
+What presses is told by all at once.
 """
 
 from typing import Any, NamedTuple, Sequence
@@ -14,7 +15,8 @@
 PAUSE = 150_000  # us: after a pull that failed
 GAP = 60_000  # us: between a pull's answer and the next pull, so that changes come together
 FORGET = KEPT + 20_000_000  # us: a machine that has not been ready for so long is dropped
-ANEW = 10_000_000  # us: without word of a majority for so long, an older set of members is followed too: a system anew
+# us: without word of a majority for so long, an older set of members is followed too: a system anew
+ANEW = 10_000_000
 AGAIN = 700_000  # us: until another member is asked for the body of a configuration
 
 
@@ -43,7 +45,8 @@
 
 
 class Reader:
-    """Pulls from every known member. `everyone`: the core's members as last told; at first the seeds."""
+    """Pulls from every known member. `everyone`: the core's members as last told; at first the
+    seeds."""
 
     def __init__(self, seeds: Sequence[str], me: str = "") -> None:
         self.me, self.told, self.set = (
@@ -103,7 +106,8 @@
         return message
 
     def _first(self) -> str:
-        """The member that tells this reader at once; none for a member itself, which learns by the chain."""
+        """The member that tells this reader at once; none for a member itself, which learns by the
+        chain."""
         answering = [name for name, source in self.sources.items() if not source.silent]
         return (
             ""
@@ -112,7 +116,8 @@
         )
 
     def unusable(self) -> None:
-        """What a member told by what it changes did not come out: the next one is asked for whole."""
+        """What a member told by what it changes did not come out: the next one is asked for
+        whole."""
         self.base, self._want_at = "", 0
 
     def failed(self, now: int, name: str) -> None:
@@ -148,7 +153,8 @@
         if firm:
             source.firm = now
         self._heard_at = now
-        # a set above the one known is in force whoever tells of it, also one that was taken out of it
+        # a set above the one known is in force whoever tells of it, also one that was taken out of
+        # it
         if members and (
             firm and not self.firm_since(now - ANEW) or number_of_set >= self.set + (not firm)
         ):
@@ -175,16 +181,19 @@
         return Heard(changed, register, self._wants(now, offered), firm)
 
     def _wants(self, now: int, offered: int) -> bool:
-        """Whether one who told of that revision is to be asked for its body; a member asks none, it has the chain."""
+        """Whether one who told of that revision is to be asked for its body; a member asks none, it
+        has the chain."""
         return not self.me and offered > self.revision and now >= self._want_at
 
     def stood_still(self) -> None:
-        """This process was frozen, or starved: an answer that it finds now may have lain there, and proves nothing."""
+        """This process was frozen, or starved: an answer that it finds now may have lain there, and
+        proves nothing."""
         for source in self.sources.values():
             source.old = source.old or source.asked is not None
 
     def meet(self, name: str) -> None:
-        """A seed that was named later; it is asked until members say who they are, and when all of them are silent."""
+        """A seed that was named later; it is asked until members say who they are, and when all of
+        them are silent."""
         self._seeds[name] = None
         if not self.told and name != self.me:
             self.sources.setdefault(name, Source())
@@ -208,7 +217,8 @@
         return 2 * firm > len(self.everyone)
 
     def forget(self, now: int) -> list[str]:
-        """Drops machines that have not been ready for longer than any member remembers them, and names them."""
+        """Drops machines that have not been ready for longer than any member remembers them, and
+        names them."""
         gone = [id for id, since in self._away.items() if now - since > FORGET]
         for id in gone:
             del self._away[id], self.machines[id]
@@ -224,7 +234,8 @@
         ] = {}  # by connection: until when, the pull
 
     def pull(self, now: int, line: Any, message: dict[str, Any]) -> None:
-        """Notes a pull; a connection has one at a time. Threat: a garbled one that breaks the answers to all others."""
+        """Notes a pull; a connection has one at a time. Threat: a garbled one that breaks the
+        answers to all others."""
         try:
             whole = {
                 "life": int(message["life"]),
@@ -251,9 +262,10 @@
         revision: int,
         pressing: tuple[int, int] | None = None,
     ) -> list[tuple[Any, dict]]:
-        """The pulls that are answered now: those with news that should not wait, and those that waited long. `urgent`:
-        the number of the last change of a machine that presses; `pressing`: the register's version with the last change
-        of anything but the configuration; None: each presses."""
+        """The pulls that are answered now: those with news that should not wait, and those that
+        waited long. `urgent`: the number of the last change of a machine that presses; `pressing`:
+        the register's version with the last change of anything but the configuration; None: each
+        presses."""
         pressing = version if pressing is None else pressing
         found = []
         for line, (until, pull) in list(self.waiting.items()):
--- a/umbermoor/gateway/logbook/caller.py
+++ b/umbermoor/gateway/logbook/caller.py
@@ -1,4 +1,5 @@
-"""Calls to the core, as callers of `controller` make them (PROTOCOL.md, "The operator"): one address after another."""
+"""Calls to the core, as callers of `controller` make them (PROTOCOL.md, "The operator"): one
+address after another."""
 
 import time
 from typing import Callable, NamedTuple, Sequence
@@ -46,7 +47,8 @@
     def call(
         self, method: str, path: str, body: bytes = b"", first: str | None = None
     ) -> Told | Nobody:
-        """One call; `first` is asked before the others. What answered is asked first the next time."""
+        """One call; `first` is asked before the others. What answered is asked first the next
+        time."""
         places = [first, *self.places] if first else self.places
         until, pause, tries, why = time.monotonic() + self.within, self.pause, 0, "no address"
         with httpcore.ConnectionPool(max_keepalive_connections=0) as pool:
--- a/umbermoor/gateway/logbook/calls.py
+++ b/umbermoor/gateway/logbook/calls.py
@@ -1,4 +1,5 @@
-"""Calls of machines and operators: declared beside their handlers, found by method and path. No I/O of its own."""
+"""Calls of machines and operators: declared beside their handlers, found by method and path. No I/O
+of its own."""
 
 import json
 from typing import Any, Awaitable, Callable, NamedTuple
@@ -28,7 +29,8 @@
 
 
 def call(method: str, path: str):
-    """Declares the call that a handler answers. A path that ends with a slash has a name behind it."""
+    """Declares the call that a handler answers. A path that ends with a slash has a name behind
+    it."""
 
     def declared(handler: Handler) -> Handler:
         handler.call = method, path
--- a/umbermoor/gateway/logbook/command.py
+++ b/umbermoor/gateway/logbook/command.py
@@ -1,4 +1,5 @@
-"""The command line: daemons, checks of files, operators' calls. Prints lines; the exit status says how it ended.
+"""The command line: daemons, checks of files, operators' calls. Prints lines; the exit status says
+how it ended.
 
 0 done, 1 refused (the line says why), 2 bad input, 3 nobody answered.
 """
@@ -182,7 +183,8 @@
 
 @configuration.command(name="replace")
 def configuration_replace(file: Path, *, at: At, within_s: Within = 20.0) -> int:
-    """Checks a configuration and puts it. One that is not above the one held changes nothing, and is taken too."""
+    """Checks a configuration and puts it. One that is not above the one held changes nothing, and
+    is taken too."""
     raw = _read_file(file)
     held = raw if isinstance(raw, Fault) else parse(raw)
     if isinstance(held, Fault):
@@ -220,7 +222,8 @@
     ramp_s
         Seconds that the move should take.
     key
-        Tells this order from an earlier one of the same target; without, that target again is a repetition.
+        Tells this order from an earlier one of the same target; without, that target again is a
+    repetition.
     """
     body = json.dumps(
         {"service": service, "target": target, "rampS": ramp_s} | ({"key": key} if key else {})
@@ -272,7 +275,8 @@
 
 
 def members(caller: Caller, at: Iterable[str]) -> dict[str, dict[str, Any] | Nobody]:
-    """What each member says of itself, by control address; members that one names are asked too, at the same port."""
+    """What each member says of itself, by control address; members that one names are asked too, at
+    the same port."""
     found: dict[str, dict[str, Any] | Nobody] = {}
     asked = list(at)
     for place in asked:
@@ -293,7 +297,8 @@
 def story(*, at: At) -> int:
     """A line for each member of the core: its view of the chain, its place, what it holds.
 
-    Well is: as many members as there should be, one epoch and one chain, none blank. Exit status 3 if none answered.
+    Well is: as many members as there should be, one epoch and one chain, none blank. Exit status 3
+    if none answered.
     """
     found = members(Caller(at), at)
     for place, held in found.items():
@@ -323,7 +328,8 @@
 def member_list(*, at: At, within_s: Within = 5.0) -> int:
     """The set of members in force, then a line for each member and each learner.
 
-    thin: fewer losses can be borne now than the settings ask. Exit status 1 then, so that a script may wait for 0.
+    thin: fewer losses can be borne now than the settings ask. Exit status 1 then, so that a script
+    may wait for 0.
     """
     told = Caller(at, within_s).call("GET", "/Members")
     if isinstance(told, Nobody) or not told.done:
@@ -397,7 +403,8 @@
 
 @app.command(name="machines")
 def machines(*, at: At, service: str | None = None, within_s: Within = 5.0) -> int:
-    """A line for each machine that a member knows: id, service, address, zone, version, state, seconds since heard.
+    """A line for each machine that a member knows: id, service, address, zone, version, state,
+    seconds since heard.
 
     Parameters
     ----------
@@ -419,7 +426,8 @@
 
 @state.command(name="verify")
 def state_verify(folder: Path) -> int:
-    """Looks at a member's dataDir as its start would, and changes nothing. Best while the member is stopped.
+    """Looks at a member's dataDir as its start would, and changes nothing. Best while the member is
+    stopped.
 
     Parameters
     ----------
@@ -469,7 +477,8 @@
 
 @state.command(name="import")
 def state_import(file: Path, *, at: At, dry_run: bool = False, within_s: Within = 20.0) -> int:
-    """Puts an exported configuration, after saying what it changes. Roll-outs are said, to be ordered by hand.
+    """Puts an exported configuration, after saying what it changes. Roll-outs are said, to be
+    ordered by hand.
 
     Parameters
     ----------
--- a/umbermoor/gateway/logbook/orders.py
+++ b/umbermoor/gateway/logbook/orders.py
@@ -1,7 +1,9 @@
-"""What operators' orders and the stages of roll-outs come to, judged at the head of the chain by what stands there.
+"""What operators' orders and the stages of roll-outs come to, judged at the head of the chain by
+what stands there.
 
-The one place where puts are decided (`judge`): no I/O, no clock, no copy of its own. A number (`revision`) has one
-content for good, as far back as digests are kept. Source: PROTOCOL.md, "The operator"; docs/control.md says why.
+The one place where puts are decided (`judge`): no I/O, no clock, no copy of its own. A number
+(`revision`) has one content for good, as far back as digests are kept. Source: PROTOCOL.md, "The
+operator"; docs/control.md says why.
 """
 
 import json
@@ -24,7 +26,8 @@
 
 
 def digest(body: Mapping[str, Any]) -> str:
-    """Of a decoded configuration; the same for the same JSON in another order, whatever its spaces and escapes."""
+    """Of a decoded configuration; the same for the same JSON in another order, whatever its spaces
+    and escapes."""
     steps = digest_slowly(body)
     while True:
         try:
@@ -80,8 +83,8 @@
 
 
 def judge(held: Mapping[str, Any], key: str, new: Any, epoch: int) -> Verdict:
-    """What a put of `new` under `key` comes to beside the map `held`, at a head of that epoch. Never raises: a value of
-    another shape than the key's is a CLASH."""
+    """What a put of `new` under `key` comes to beside the map `held`, at a head of that epoch.
+    Never raises: a value of another shape than the key's is a CLASH."""
     try:
         if key == CONFIG:
             return _judge_configuration(held.get(key), new)
@@ -162,11 +165,13 @@
 
 
 def _judge_rollout(held: Mapping[str, Any], key: str, new: Record, epoch: int) -> Verdict:
-    """An order has `begin`, a stage has `on`; what has neither came by a member of an earlier revision."""
+    """An order has `begin`, a stage has `on`; what has neither came by a member of an earlier
+    revision."""
     last, service = held.get(key), key[len(ROLLOUT) :]
     if (
         "on" in new
-    ):  # first: a head of an earlier revision stored records with their `begin`, and stages carry it on
+        # first: a head of an earlier revision stored records with their `begin`, and stages carry it on
+    ):
         return judge_step(last, new, epoch)
     if "begin" in new:
         return judge_begin(last, new["begin"], lambda: _names(held.get(CONFIG), service))
--- a/umbermoor/gateway/mast/__init__.py
+++ b/umbermoor/gateway/mast/__init__.py
@@ -1,1 +1,2 @@
-"""The mast: what the instruments hang on. Sockets, LMDB and clocks; carries out what the state machines return."""
+"""The mast: what the instruments hang on. Sockets, LMDB and clocks; carries out what the state
+machines return."""
--- a/umbermoor/gateway/mast/clients.py
+++ b/umbermoor/gateway/mast/clients.py
@@ -1,4 +1,5 @@
-"""Connections of clients: requests are read as they come, also behind one another; answers go back in their order."""
+"""Connections of clients: requests are read as they come, also behind one another; answers go back
+in their order."""
 
 import asyncio
 from typing import Any, Iterable
@@ -11,7 +12,8 @@
 ROW = 16  # requests of one connection that may wait for their answers
 SLOWEST = 30.0  # s: a request that is not whole by then is given up, however steadily it comes
 CONNECTIONS = 2500  # what strangers can open
-BEHIND_END = 0.5  # s: read on behind our end, as closing with unread bytes would reset what is still on its way
+# s: read on behind our end, as closing with unread bytes would reset what is still on its way
+BEHIND_END = 0.5
 DRAINED = 4096  # bytes that a client must take in SLOWEST, while it does not read what it was sent
 HOP = frozenset(
     (
@@ -35,7 +37,8 @@
 def answer_bytes(
     status: int, body: bytes, headers: dict[str, str], keep: int, bodiless: bool = False
 ) -> bytes:
-    """An answer; keep: for how many whole seconds the connection may stay idle, 0 closes it. bodiless: to a HEAD."""
+    """An answer; keep: for how many whole seconds the connection may stay idle, 0 closes it.
+    bodiless: to a HEAD."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, '')}"]
     lines.extend(f"{name}: {value}" for name, value in headers.items() if name not in HOP)
     length = headers.get("content-length", "0") if bodiless else len(body)
@@ -66,7 +69,8 @@
 
 
 class ClientLine(asyncio.Protocol):
-    """One client's connection. `front.came(line, slot, request)` starts a request; `told` ends it."""
+    """One client's connection. `front.came(line, slot, request)` starts a request; `told` ends
+    it."""
 
     __slots__ = (
         "front",
@@ -158,7 +162,8 @@
         self._go_on()
 
     def _go_on(self) -> None:
-        """Starts what may be worked at now: what may repeat at once, anything else when it is its turn."""
+        """Starts what may be worked at now: what may repeat at once, anything else when it is its
+        turn."""
         if len(self.row) == 1:  # by far the most
             slot = self.row[0]
             if not slot[2] and not self.slow:
@@ -211,7 +216,8 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _end(self) -> None:
-        """Behind the last answer: our end; where the client may still send, reading on until its own, or a while."""
+        """Behind the last answer: our end; where the client may still send, reading on until its
+        own, or a while."""
         if self.ended or self.transport.is_closing():
             return
         if self.heard_end or not self.linger:
@@ -262,8 +268,8 @@
 
 
 def relieve(lines: Iterable[ClientLine], most: int) -> int:
-    """Threat: many clients that do not read. Breaks the connections that hold most until what all hold of answers is no
-    more than `most` bytes. How many it broke."""
+    """Threat: many clients that do not read. Breaks the connections that hold most until what all
+    hold of answers is no more than `most` bytes. How many it broke."""
     held = sorted(
         (
             (line.transport.get_write_buffer_size(), place, line)
--- a/umbermoor/gateway/mast/core.py
+++ b/umbermoor/gateway/mast/core.py
@@ -1,4 +1,5 @@
-"""The barograph's host: calls of machines and operators by HTTP, messages of members and fronts, the disk, clocks."""
+"""The barograph's host: calls of machines and operators by HTTP, messages of members and fronts,
+the disk, clocks."""
 
 import asyncio
 import gc
@@ -244,8 +245,9 @@
             }
         )
         order = asked_of(target, ramp, present, key)
-        # A head of the earlier revision takes what is beside `begin` where it is newer than what stands: so it is what
-        # this member's own copy makes of the order: the record itself, where the order changes nothing.
+        # A head of the earlier revision takes what is beside `begin` where it is newer than what
+        # stands: so it is what this member's own copy makes of the order: the record itself, where
+        # the order changes nothing.
         last = self.member.committed.get(ROLLOUT + service)
         own = judge_begin(last, order, lambda: True)
         if own.outcome is Outcome.CLASH and not self.member.judged:
@@ -300,7 +302,8 @@
 
     @call("GET", "/Machines")
     async def machines(self, ask: Call) -> Reply:
-        """What this member knows of the machines, by id; `heardS`: how long since it last changed here."""
+        """What this member knows of the machines, by id; `heardS`: how long since it last changed
+        here."""
         now, registry = self.now(), self.registry
         return reply(
             200,
@@ -339,8 +342,8 @@
 
     @call("POST", "/Members.Change")
     async def change(self, ask: Call) -> Reply:
-        """One more member (`add`), one fewer (`remove`), or one in the place of another; `dry`: only says what that
-        would leave."""
+        """One more member (`add`), one fewer (`remove`), or one in the place of another; `dry`:
+        only says what that would leave."""
         try:
             body = ask.json()
             add, remove, dry = body.get("add", ""), body.get("remove", ""), body.get("dry", False)
@@ -508,7 +511,8 @@
         return next(iter(self.member.story()["chain"]), "")
 
     def save(self, now: int) -> None:
-        """Keeps the list of machines, so that a restart of all members begins with them. Lost, it is refilled."""
+        """Keeps the list of machines, so that a restart of all members begins with them. Lost, it
+        is refilled."""
         if self.saving or self.registry.shape == self.saved or now - self.saved_at < SAVE:
             return
         self.saving, self.saved, self.saved_at = True, self.registry.shape, now
@@ -522,7 +526,8 @@
         ).add_done_callback(done)
 
     def sweep(self, now: int) -> None:
-        """Looks whether the disk still holds what was written; a value that does not is written again."""
+        """Looks whether the disk still holds what was written; a value that does not is written
+        again."""
         if self.sweeping or now - self.swept_at < SWEEP or not self.store.open:
             return
         self.sweeping = True
@@ -601,7 +606,8 @@
         }
 
     def body(self, revision: int, text: str, base: Any) -> bytes:
-        """The frame of the configuration, by what it changes for one who holds `base`, if that is held here too."""
+        """The frame of the configuration, by what it changes for one who holds `base`, if that is
+        held here too."""
         if self.bodies_of != revision:
             self.bodies_of, self.bodies = revision, {}
         base = base if self.texts.get(base) is not None else ""
@@ -644,7 +650,8 @@
         event("end")
 
     def leave(self) -> None:
-        """Told to end: the chain goes on without this member first, if the others can. The set stays as it is."""
+        """Told to end: the chain goes on without this member first, if the others can. The set
+        stays as it is."""
         if not self.leaving:
             self.leaving = self.now() + round(
                 min(HANDS_OVER, self.papers.margin_us("graceS", 6.0) / 3e6) * SECOND
@@ -706,5 +713,6 @@
 
 
 async def serve(papers: Papers, path: str = "") -> None:
-    """Runs a barograph until it is told to end. Of its settings nothing is read again: members stay as founded."""
+    """Runs a barograph until it is told to end. Of its settings nothing is read again: members stay
+    as founded."""
     await Core(papers, random.Random()).serve()
--- a/umbermoor/gateway/mast/datagrams.py
+++ b/umbermoor/gateway/mast/datagrams.py
@@ -3,7 +3,8 @@
 Usage, in a host with `papers` and a wall-clock start:
 
     sonde = Sonde(papers.ip, time.time_ns() // 1000, random.Random())
-    datagrams = await listen(sonde, papers.ip, papers.ports[0], self.now)  # OSError where the port is taken
+    datagrams = await listen(sonde, papers.ip, papers.ports[0], self.now)  # OSError where the port
+is taken
     ...; sonde.heard_of(self.now(), ips); sonde.count(); datagrams.leave(); datagrams.close()
 """
 
--- a/umbermoor/gateway/mast/events.py
+++ b/umbermoor/gateway/mast/events.py
@@ -29,7 +29,8 @@
 
 
 def watch(loop: Any) -> None:
-    """What no handler caught becomes an event too: it ended the connection that it came on, nothing more."""
+    """What no handler caught becomes an event too: it ended the connection that it came on, nothing
+    more."""
 
     def caught(_: Any, context: dict[str, Any]) -> None:
         event("caught", what=context.get("message", ""), why=repr(context.get("exception")))
--- a/umbermoor/gateway/mast/front.py
+++ b/umbermoor/gateway/mast/front.py
@@ -1,4 +1,5 @@
-"""The vane's host: clients' connections, machines' connections, news from the core, clocks and signals."""
+"""The vane's host: clients' connections, machines' connections, news from the core, clocks and
+signals."""
 
 import asyncio
 import gc
@@ -262,8 +263,8 @@
         going.line.told(going.slot, status, body, headers)
 
     def leave_out(self, going: Going) -> None:
-        """Attempts that are out when a request ends may go on until its time is over, and no longer: of a machine that
-        went dark nothing comes, not even an end."""
+        """Attempts that are out when a request ends may go on until its time is over, and no
+        longer: of a machine that went dark nothing comes, not even an end."""
         if going.out:
             self.take_back(going)
         if going.out:
@@ -378,7 +379,8 @@
     # Clocks
 
     def look(self, now: int) -> None:
-        """Finds out that time has passed in which this process did not run: messages may come before the next tick."""
+        """Finds out that time has passed in which this process did not run: messages may come
+        before the next tick."""
         if now - self.ticked > STILL:
             self.pulls.stood_still()
         self.ticked = now
@@ -452,7 +454,8 @@
             await asyncio.sleep(TICK)
 
     def read_again(self) -> None:
-        """The settings file changed. What is wrong with it is logged, and the one held stays in force."""
+        """The settings file changed. What is wrong with it is logged, and the one held stays in
+        force."""
         self.changed = _changed(self.path)
         papers = read_papers(self.path)
         if isinstance(papers, Fault):
@@ -472,7 +475,8 @@
             self.ended.set()
 
     async def part(self, server: asyncio.Server) -> None:
-        """Not ready at once; new connections until the platform has seen that; then what is under way ends."""
+        """Not ready at once; new connections until the platform has seen that; then what is under
+        way ends."""
         until = self.clock() + LINGER
         while self.clock() < until:
             await asyncio.sleep(0.1)
--- a/umbermoor/gateway/mast/lines.py
+++ b/umbermoor/gateway/mast/lines.py
@@ -1,5 +1,5 @@
-"""Connections to machines: one request at a time on each, kept for the next one. What an event on one means is decided
-in vane/answers.py; this tells it which event it was, and carries out."""
+"""Connections to machines: one request at a time on each, kept for the next one. What an event on
+one means is decided in vane/answers.py; this tells it which event it was, and carries out."""
 
 import asyncio
 from typing import Callable
@@ -16,7 +16,9 @@
 SPARE = 1.0  # s: closed so long before the machine would
 ANSWER_MOST = 8 << 20  # bytes of an answer's body: it is held whole before any of it goes on
 KEPT = 6  # idle connections kept to a machine
-IDS = 4  # the last ones of a line: none of them goes on it again, as a surplus answer to the first would fit the second
+# the last ones of a line: none of them goes on it again, as a surplus answer to the first would fit
+# the second
+IDS = 4
 
 
 class Attempt:
--- a/umbermoor/gateway/mast/post.py
+++ b/umbermoor/gateway/mast/post.py
@@ -1,7 +1,8 @@
-"""Messages between processes of the system: frames of JSON on TCP, best effort. A line that says nothing is dropped.
+"""Messages between processes of the system: frames of JSON on TCP, best effort. A line that says
+nothing is dropped.
 
-A stranger may open lines too: each holds one frame of at most MOST bytes, all together at most HELD of what is partly
-read, and there are at most LINES of them."""
+A stranger may open lines too: each holds one frame of at most MOST bytes, all together at most HELD
+of what is partly read, and there are at most LINES of them."""
 
 import asyncio
 import json
@@ -124,7 +125,8 @@
         await asyncio.get_running_loop().create_server(lambda: Line(self, None), self.ip, self.port)
 
     def evict(self) -> bool:
-        """Makes room where strangers hold lines on which nothing was ever said; whether there was one."""
+        """Makes room where strangers hold lines on which nothing was ever said; whether there was
+        one."""
         silent = next((line for line in self.incoming if not line.spoke), None)
         if silent is None:
             return False
--- a/umbermoor/gateway/plot/local.py
+++ b/umbermoor/gateway/plot/local.py
@@ -1,4 +1,5 @@
-"""A whole gateway on loopback: real barographs and vanes, stand-in machines, one request. Ends all that it started."""
+"""A whole gateway on loopback: real barographs and vanes, stand-in machines, one request. Ends all
+that it started."""
 
 import asyncio
 import ctypes
@@ -208,7 +209,8 @@
         }
 
     async def one_view(self, least: int) -> list[str] | None:
-        """The chain, where all running cores agree on one of so many members, all of them running."""
+        """The chain, where all running cores agree on one of so many members, all of them
+        running."""
         held = await self.stories()
         running = {one.ip for one in self.cores if one.process}
         views = {(one["epoch"], tuple(one["chain"])) for one in held.values() if one["connected"]}
@@ -318,7 +320,8 @@
         await self.read(2)
 
     def machines_of(self, version: str) -> list[Machine]:
-        """One machine a zone, not started yet. Versions whose name begins with `bad` fail a third of their requests."""
+        """One machine a zone, not started yet. Versions whose name begins with `bad` fail a third
+        of their requests."""
         make = Make(
             SERVICE,
             "",
@@ -413,7 +416,8 @@
 
 
 def _free() -> tuple[str, Ports]:
-    """A net on loopback and four ports that are free on its addresses. Raises OSError where there are none."""
+    """A net on loopback and four ports that are free on its addresses. Raises OSError where there
+    are none."""
     error: OSError | None = None
     for _ in range(50):
         net = f"127.{random.randint(1, 250)}.{random.randint(0, 250)}"
--- a/umbermoor/gateway/plot/machines.py
+++ b/umbermoor/gateway/plot/machines.py
@@ -1,4 +1,5 @@
-"""A stand-in machine: speaks what PROTOCOL.md, "Machines" and "Which machines there are", says. Never in service."""
+"""A stand-in machine: speaks what PROTOCOL.md, "Machines" and "Which machines there are", says.
+Never in service."""
 
 import asyncio
 import json
@@ -232,7 +233,8 @@
 
 
 class MachineLine(asyncio.Protocol):
-    """One connection to a stand-in: one request at a time, what it works at is dropped when it closes."""
+    """One connection to a stand-in: one request at a time, what it works at is dropped when it
+    closes."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine, self.reader = machine, Reader(machine.buffers)
--- a/umbermoor/gateway/plot/traffic.py
+++ b/umbermoor/gateway/plot/traffic.py
@@ -1,4 +1,5 @@
-"""What goes on at a plot that stays up: a trickle of requests, and machines that come and go with roll-outs."""
+"""What goes on at a plot that stays up: a trickle of requests, and machines that come and go with
+roll-outs."""
 
 import asyncio
 import json
@@ -19,7 +20,8 @@
 
 
 async def trickle(ip: str, port: int, host: str, path: str, counts: Counter[str]) -> None:
-    """Requests to one front, one after another on one connection, until it is cancelled; counts what they end in."""
+    """Requests to one front, one after another on one connection, until it is cancelled; counts
+    what they end in."""
     buffers, line = Buffers(8 << 20), None
     while True:
         try:
@@ -65,7 +67,8 @@
     begin: Callable[[str], Sequence[Machine]],
     say: Callable[[str], None],
 ) -> None:
-    """Does what the platform does at a roll-out. `begin` makes machines of a version; `old` holds those that serve.
+    """Does what the platform does at a roll-out. `begin` makes machines of a version; `old` holds
+    those that serve.
 
     Settled: the old ones end at once. Reverted: the new ones drain a few seconds later."""
     caller, new, ordered, seen = Caller(controls, LOOK), [], "", None
--- a/umbermoor/gateway/raingauge/__init__.py
+++ b/umbermoor/gateway/raingauge/__init__.py
@@ -1,1 +1,2 @@
-"""The rain gauge: limits. Second tries within one budget over all fronts; what is refused early under load."""
+"""The rain gauge: limits. Second tries within one budget over all fronts; what is refused early
+under load."""
--- a/umbermoor/gateway/raingauge/budget.py
+++ b/umbermoor/gateway/raingauge/budget.py
@@ -1,5 +1,6 @@
-"""Second tries of one front at one service: each request earns a part of one, so the sum over all fronts holds whatever
-their number is. What the bound allows beside the ratio is left for what no front counts: restarts and window edges."""
+"""Second tries of one front at one service: each request earns a part of one, so the sum over all
+fronts holds whatever their number is. What the bound allows beside the ratio is left for what no
+front counts: restarts and window edges."""
 
 from umbermoor.ground.fading import Windowed
 
@@ -10,7 +11,8 @@
 
 
 class Budget:
-    """Tokens: earned by requests, lost again once the requests that earned them leave the window."""
+    """Tokens: earned by requests, lost again once the requests that earned them leave the
+    window."""
 
     def __init__(self, ratio: float, window: int, start: float = 0.0) -> None:
         self.ratio, self.start = ratio * PART, start
@@ -38,18 +40,20 @@
         return True
 
     def shared(self, now: int, slack: float, fronts: int, floor: int = FLOOR) -> None:
-        """Sets `start` to this front's share of `slack` (second tries a window that all fronts together may make
-        beyond the ratio), by the number of fronts believed to run. Call it at least once a window, such as each tick.
+        """Sets `start` to this front's share of `slack` (second tries a window that all fronts
+        together may make beyond the ratio), by the number of fronts believed to run. Call it at
+        least once a window, such as each tick.
 
-        It is 0 for the first whole window of a life; then SHARED x slack / max(counted, floor). `counted` rises at once
-        with `fronts`, and falls only to a number that has been the same for a whole window; longer than half a window
-        without a call counts as a change.
+        It is 0 for the first whole window of a life; then SHARED x slack / max(counted, floor).
+        `counted` rises at once with `fronts`, and falls only to a number that has been the same for
+        a whole window; longer than half a window without a call counts as a change.
 
-        Why the shares sum to no more than the slack. Take any window, T - W to T; let n fronts run at T - W. Who
-        uses its share at t within it began at t - W or before, so it ran at T - W: there are at most n, and a former
-        life at one of their addresses ended before T - W. Each one's `counted` at t is no less than what it believed
-        at T - W, since that lies within its last window. Where each believed at least n / 2 then, its share is at most
-        0.5 x slack / (n / 2) = slack / n, and all together slack. Where they believed n, half of it is left.
+        Why the shares sum to no more than the slack. Take any window, T - W to T; let n fronts run
+        at T - W. Who uses its share at t within it began at t - W or before, so it ran at T - W:
+        there are at most n, and a former life at one of their addresses ended before T - W. Each
+        one's `counted` at t is no less than what it believed at T - W, since that lies within its
+        last window. Where each believed at least n / 2 then, its share is at most 0.5 x slack / (n
+        / 2) = slack / n, and all together slack. Where they believed n, half of it is left.
         """
         if self._asked < 0:
             self._began = self._since = now
--- a/umbermoor/gateway/screen/__init__.py
+++ b/umbermoor/gateway/screen/__init__.py
@@ -1,1 +1,2 @@
-"""The screen: which machines there are, told by their beats. A screen shelters the instruments of a station."""
+"""The screen: which machines there are, told by their beats. A screen shelters the instruments of a
+station."""
--- a/umbermoor/gateway/screen/registry.py
+++ b/umbermoor/gateway/screen/registry.py
@@ -1,7 +1,9 @@
-"""What one core member knows of the machines: from beats that it took, and from what other members told it.
+"""What one core member knows of the machines: from beats that it took, and from what other members
+told it.
 
-Entries merge by rules that need no clock: a later sample wins, and what has been said of leaving stands for that life.
-Every change gets the next number of this member, so that a reader asks for what came after the number it holds."""
+Entries merge by rules that need no clock: a later sample wins, and what has been said of leaving
+stands for that life. Every change gets the next number of this member, so that a reader asks for
+what came after the number it holds."""
 
 from dataclasses import dataclass, replace
 from typing import Any, Iterable
@@ -10,7 +12,8 @@
 STANDINGS = "ready", "silent", "draining", "gone"  # their names, for operators
 STATES = {"ready": READY, "draining": DRAINING}
 SILENCE = 3.4  # beats missed in a row after which a machine counts as silent
-OLD = 30_000_000  # a member that was out of touch tells nothing of what it has not heard of for so long (us)
+# a member that was out of touch tells nothing of what it has not heard of for so long (us)
+OLD = 30_000_000
 KEPT = 40_000_000  # how long what is gone is remembered (us): longer than any news is under way
 MOST = 20_000  # entries held at most
 
@@ -108,7 +111,8 @@
 
 
 class Registry:
-    """Machines by id. `number` rises with each change; `life` tells its counts from those of earlier lives."""
+    """Machines by id. `number` rises with each change; `life` tells its counts from those of
+    earlier lives."""
 
     def __init__(self, life: int, period: int) -> None:
         self.life, self.period, self.number = life, period, 0
@@ -137,7 +141,8 @@
         return True
 
     def kept(self) -> list[list[Any]]:
-        """What a member that starts again may begin with: those not gone. Beats put right what has changed since."""
+        """What a member that starts again may begin with: those not gone. Beats put right what has
+        changed since."""
         return [entry.told() for entry in self.entries.values() if entry.state != GONE]
 
     def gone(self, now: int, id: str) -> Entry:
--- a/umbermoor/gateway/sonde/fronts.py
+++ b/umbermoor/gateway/sonde/fronts.py
@@ -1,9 +1,11 @@
-"""Who the other fronts are: probes in turn, second opinions, suspicion before removal, and news on the probes.
-
-After SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018, arXiv 1707.00788): who
-is itself slow or cut off doubts itself first. Differences: nobody is believed alive, or regained, who has not answered
-this front itself; each front probes a suspect itself before it removes it; "gone" hastens a suspicion, no more. Times
-are whole microseconds. docs/sonde.md tells the ways weighed.
+"""Who the other fronts are: probes in turn, second opinions, suspicion before removal, and news on
+the probes.
+
+After SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018,
+arXiv 1707.00788): who is itself slow or cut off doubts itself first. Differences: nobody is
+believed alive, or regained, who has not answered this front itself; each front probes a suspect
+itself before it removes it; "gone" hastens a suspicion, no more. Times are whole microseconds.
+docs/sonde.md tells the ways weighed.
 """
 
 import math
@@ -85,13 +87,13 @@
 
 
 class Sonde:
-    """One front's view of the others. No I/O, clock or randomness of its own: methods return (address, datagram) pairs
-    to send, best effort. All state is bounded."""
+    """One front's view of the others. No I/O, clock or randomness of its own: methods return
+    (address, datagram) pairs to send, best effort. All state is bounded."""
 
     def __init__(self, me: str, life: int, chance: random.Random) -> None:
-        """`me`: own IPv4 address, as others see it. `life`: higher than any earlier one at this address, such as the
-        start in microseconds of wall time; where the clock went back, the others' news corrects it. ValueError: no such
-        address or life."""
+        """`me`: own IPv4 address, as others see it. `life`: higher than any earlier one at this
+        address, such as the start in microseconds of wall time; where the clock went back, the
+        others' news corrects it. ValueError: no such address or life."""
         if packed(me) is None or not 0 <= life < LIFE_MOST:
             raise ValueError(f"no front: {me} {life}")
         self.me, self.version, self.chance = me, (life, 0), chance
@@ -125,7 +127,8 @@
         return tuple(sorted([self.me, *(ip for ip, one in self._members.items() if one.since < 0)]))
 
     def count(self) -> int:
-        """How many fronts there are at most: suspects count, and so does this one. Who hears nobody keeps it."""
+        """How many fronts there are at most: suspects count, and so does this one. Who hears nobody
+        keeps it."""
         return len(self._members) + 1
 
     def story(self) -> dict[str, int]:
@@ -144,7 +147,8 @@
     # What comes in
 
     def heard_of(self, now: int, ips: Iterable[str]) -> None:
-        """Addresses where fronts may be: each is probed, and believed once it answered. Call it as often as wanted."""
+        """Addresses where fronts may be: each is probed, and believed once it answered. Call it as
+        often as wanted."""
         for ip in ips:
             gone = self._gone.get(ip)
             if gone is None or now - max(gone.at, gone.tried) >= 5000 * MS:
@@ -200,7 +204,8 @@
         return out
 
     def tick(self, now: int) -> Out:
-        """What time brings; call it each 100 ms or so. A call that is late makes this front doubt itself."""
+        """What time brings; call it each 100 ms or so. A call that is late makes this front doubt
+        itself."""
         gap = now - self._ticked if self._ticked >= 0 else 0
         self._ticked, self._burst = now, BURST
         if self._heard < 0:
@@ -226,7 +231,8 @@
         return out
 
     def leave(self, now: int) -> Out:
-        """This front ends of its own accord: some are told, and it answers nobody from now on. Ticks repeat it."""
+        """This front ends of its own accord: some are told, and it answers nobody from now on.
+        Ticks repeat it."""
         out: Out = []
         if not self.leaving:
             self.leaving = 1
@@ -279,7 +285,8 @@
         self._spread(State.ALIVE, ip, version)
 
     def _of_me(self, news: News, known: bool) -> None:
-        """What is said of this front itself: outbid, unless it is true. Strangers cannot make it change its life."""
+        """What is said of this front itself: outbid, unless it is true. Strangers cannot make it
+        change its life."""
         life, incarnation = news.version
         if (
             self.leaving
@@ -510,7 +517,8 @@
     def _send(
         self, out: Out, to: str, kind: Kind, number: int = 0, third: str = "", full: bool = False
     ) -> None:
-        """News go to members alone; whoever is suspect, gone or behind its own number is told that first."""
+        """News go to members alone; whoever is suspect, gone or behind its own number is told that
+        first."""
         news: list[News] = []
         member, gone = self._members.get(to), self._gone.get(to)
         if self.leaving:
--- a/umbermoor/gateway/sonde/letters.py
+++ b/umbermoor/gateway/sonde/letters.py
@@ -1,7 +1,7 @@
 """Datagrams between fronts: 33 bytes, and 17 for each piece of news.
 
-Big-endian: "us", form, kind, sender, sender's life and incarnation, number, a third front, count; news; CRC-32. The sum
-finds what was garbled, not what was forged: no secret is given to fronts.
+Big-endian: "us", form, kind, sender, sender's life and incarnation, number, a third front, count;
+news; CRC-32. The sum finds what was garbled, not what was forged: no secret is given to fronts.
 """
 
 import struct
@@ -66,7 +66,8 @@
 
 
 def written(letter: Letter) -> bytes:
-    """At most MOST bytes; there must be at most ITEMS pieces of news, and addresses that `packed` takes."""
+    """At most MOST bytes; there must be at most ITEMS pieces of news, and addresses that `packed`
+    takes."""
     data = _HEAD.pack(
         _MARK,
         _FORM,
--- a/umbermoor/gateway/vane/answers.py
+++ b/umbermoor/gateway/vane/answers.py
@@ -1,5 +1,6 @@
-"""What an event on a line to a machine proves of the request on it, and what becomes of the line. One table, the
-same as in docs/answers.md, where the reasons stand; all that is decided of an answer is decided here. No I/O."""
+"""What an event on a line to a machine proves of the request on it, and what becomes of the line.
+One table, the same as in docs/answers.md, where the reasons stand; all that is decided of an answer
+is decided here. No I/O."""
 
 from enum import Enum
 from typing import Mapping, NamedTuple
@@ -41,7 +42,8 @@
 
 
 class Stage(_Word):
-    """How far an attempt and its line are. Told by this process alone: what its kernel took may be anywhere."""
+    """How far an attempt and its line are. Told by this process alone: what its kernel took may be
+    anywhere."""
 
     CONNECTING = "connecting"  # nothing was written
     WRITING = "writing"  # head or body half written: a part waits in this process
@@ -52,8 +54,10 @@
 
 class Event(_Word):
     UNREACHED = "unreached"  # refused, reset or timed out before anything was written
-    BARRED = "barred"  # connected, and by now the machine may get nothing (drained, gone, its version barred)
-    UNWANTED = "unwanted"  # its client left, another attempt was answered, or its client must be answered now
+    # connected, and by now the machine may get nothing (drained, gone, its version barred)
+    BARRED = "barred"
+    # its client left, another attempt was answered, or its client must be answered now
+    UNWANTED = "unwanted"
     OVER = "over"  # the time of its request is over
     ANSWER = "answer"  # whole, with its id
     REFUSAL = "refusal"  # whole, its own, X-Not-Executed
@@ -118,8 +122,9 @@
 def classify(
     status: int, headers: Mapping[str, str], id: str, alone: bool, framed: bool = True
 ) -> Event:
-    """What a whole answer is to the request with `id` on its line; alone: its line has carried no other one.
-    framed: where it ends was told by a length or by chunks, and not by the connection's end alone."""
+    """What a whole answer is to the request with `id` on its line; alone: its line has carried no
+    other one. framed: where it ends was told by a length or by chunks, and not by the connection's
+    end alone."""
     told = headers.get("x-attempt-id")
     if told != id and (told is not None or not alone):
         return Event.HOLLOW if told is None else Event.FOREIGN
@@ -140,15 +145,16 @@
 
 
 def clean(keep: bool, tainted: bool, surplus: bool, bodiless: bool) -> bool:
-    """Whether a line may carry another request behind a whole answer. keep: the machine keeps it; tainted: it had an
-    answer of another request; surplus: a byte lies behind the answer; bodiless: the answer was to a HEAD, and one that
-    comes late would be read with the next request's eyes."""
+    """Whether a line may carry another request behind a whole answer. keep: the machine keeps it;
+    tainted: it had an answer of another request; surplus: a byte lies behind the answer; bodiless:
+    the answer was to a HEAD, and one that comes late would be read with the next request's eyes."""
     return keep and not (tainted or surplus or bodiless)
 
 
 def may_promise(ran: bool, under_way: int) -> bool:
-    """Whether a client may be told one of PROMISES: each attempt has ended, and each is proved not to have run.
-    `ran`: one ended of which that is not proved; `under_way`: attempts whose end is not known, connecting ones too."""
+    """Whether a client may be told one of PROMISES: each attempt has ended, and each is proved not
+    to have run. `ran`: one ended of which that is not proved; `under_way`: attempts whose end is
+    not known, connecting ones too."""
     return not ran and not under_way
 
 
--- a/umbermoor/gateway/vane/exchange.py
+++ b/umbermoor/gateway/vane/exchange.py
@@ -1,7 +1,8 @@
 """The life of one request: inputs say what happened, `step` says what is to be done next. No I/O.
 
-What it guards: a request that may not repeat goes on to another machine only if it is proved not to have run; a refusal
-(503) is told only where that is proved of every machine it went to; second tries have their budget."""
+What it guards: a request that may not repeat goes on to another machine only if it is proved not to
+have run; a refusal (503) is told only where that is proved of every machine it went to; second
+tries have their budget."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
--- a/umbermoor/ground/fading.py
+++ b/umbermoor/ground/fading.py
@@ -4,7 +4,8 @@
 
 
 class Windowed:
-    """The sum of what was added within the last `span` (us), to within one slot of it, on the side of too much."""
+    """The sum of what was added within the last `span` (us), to within one slot of it, on the side
+    of too much."""
 
     __slots__ = "slot", "at", "counts", "total"
 
