--- a/umbermoor/house.py
+++ b/umbermoor/house.py
@@ -1,4 +1,5 @@
-"""Our own settings, beside the platform's configuration: a sheet with one top node ``front``. See docs/settings.md.
+"""Our own settings, beside the platform's configuration: a sheet with one top node ``front``. See
+docs/settings.md.
 
 It is read only where ``serve`` is told of one; without it nothing here is imported.
 """
@@ -23,9 +24,10 @@
 
 
 class Http2(Record, frozen=True, kw_only=True):
-    """Its presence switches HTTP/2 to machines on; those that do not speak it are asked in HTTP/1.1. ``listed``: only
-    those
-    whose entry in the list has "speaks": "h2c". An entry with "http/1.1" is believed in any case."""
+    """Its presence switches HTTP/2 to machines on; those that do not speak it are asked in
+    HTTP/1.1. ``listed``: only those
+    whose entry in the list has "speaks": "h2c". An entry with "http/1.1" is believed in any
+    case."""
 
     machines: Literal["all", "listed"] = "all"
 
--- a/umbermoor/http1/buffers.py
+++ b/umbermoor/http1/buffers.py
@@ -1,4 +1,5 @@
-"""Buffers of one small size, used again, and runs of bytes that lie in them. All that is partly read lies here."""
+"""Buffers of one small size, used again, and runs of bytes that lie in them. All that is partly
+read lies here."""
 
 HEAD_MOST = 16 * 1024
 BODY_MOST = 64 * 1024
@@ -18,7 +19,8 @@
         self.most = memory // SHARE // SIZE
 
     def take(self) -> bytearray | None:
-        """Threat: many messages begun at once, and never ended. None: as many are out as memory allows."""
+        """Threat: many messages begun at once, and never ended. None: as many are out as memory
+        allows."""
         if self.out >= self.most:
             return None
         self.out += 1
--- a/umbermoor/http1/reader.py
+++ b/umbermoor/http1/reader.py
@@ -1,4 +1,5 @@
-"""Cuts requests or responses out of the bytes of a connection. What is wrong with them is a value, never raised."""
+"""Cuts requests or responses out of the bytes of a connection. What is wrong with them is a value,
+never raised."""
 
 import re
 from enum import Enum, auto
@@ -65,8 +66,8 @@
         body_most: int = BODY_MOST,
         single: frozenset[str] | None = None,
     ) -> None:
-        """single: headers that may stand once. Where they are given, all is refused that another reader might read in
-        another way; None reads as the front in service always did."""
+        """single: headers that may stand once. Where they are given, all is refused that another
+        reader might read in another way; None reads as the front in service always did."""
         self._strict, self._single = single is not None, single or frozenset()
         self._run, self._responses, self._as_pieces = Run(buffers), responses, as_pieces
         self._body_most, self._most = body_most, MESSAGE_MOST - BODY_MOST + body_most
@@ -87,7 +88,8 @@
 
     @property
     def expects(self) -> bool:
-        """A head is read that wants to hear 100 before its body is sent, of which nothing is here."""
+        """A head is read that wants to hear 100 before its body is sent, of which nothing is
+        here."""
         return (
             self._head is not None
             and not self._run.size
--- a/umbermoor/http2/fates.py
+++ b/umbermoor/http2/fates.py
@@ -1,7 +1,8 @@
-"""What became of a stream, and what that proves; in one table. Source: RFC 9113, sections 5.4, 6.4, 6.8, 7, 8.1, 8.7.
+"""What became of a stream, and what that proves; in one table. Source: RFC 9113, sections 5.4, 6.4,
+6.8, 7, 8.1, 8.7.
 
-A stream's stand is how far its query had come when it ended. Written whole means that the kernel had all bytes up to
-its
+A stream's stand is how far its query had come when it ended. Written whole means that the kernel
+had all bytes up to its
 END_STREAM; from then on it may have run, unless the machine itself says that it did not.
 """
 
--- a/umbermoor/http2/frames.py
+++ b/umbermoor/http2/frames.py
@@ -1,7 +1,8 @@
-"""Cuts frames out of a connection's bytes before the codec sees them, and holds every bound on what a machine may send.
+"""Cuts frames out of a connection's bytes before the codec sees them, and holds every bound on what
+a machine may send.
 
-Source: RFC 9113, sections 4.1, 6 and 10.5. What exceeds a bound is a fault of that connection alone. GOAWAY is read
-here
+Source: RFC 9113, sections 4.1, 6 and 10.5. What exceeds a bound is a fault of that connection
+alone. GOAWAY is read here
 and not passed on: the codec would end the connection with it, while its lower streams go on.
 """
 
--- a/umbermoor/http2/pool.py
+++ b/umbermoor/http2/pool.py
@@ -1,6 +1,8 @@
-"""Which connection takes the next query, when another one is opened, and which is given up; decisions without I/O.
+"""Which connection takes the next query, when another one is opened, and which is given up;
+decisions without I/O.
 
-Times are microseconds. A link is what is known of one connection; the host keeps the connections themselves.
+Times are microseconds. A link is what is known of one connection; the host keeps the connections
+themselves.
 """
 
 from dataclasses import dataclass, field
@@ -12,13 +14,16 @@
     0.75  # another is opened once the streams in use reach this part of what the usable ones take
 )
 IDLE_MOST = 30_000_000  # a connection without streams is closed after this
-DOUBT = 3.0  # phi from which a silent connection is pinged: a silence as long has a probability of 10^-phi
+# phi from which a silent connection is pinged: a silence as long has a probability of 10^-phi
+DOUBT = 3.0
 PING_LEAST = 250_000  # and the silence that is pinged at the least
-PING_WAIT = 1_000_000  # an unanswered PING after which it is given up, at the most; sooner where answers are quick
+# an unanswered PING after which it is given up, at the most; sooner where answers are quick
+PING_WAIT = 1_000_000
 PING_TIMES = 20.0  # so many usual gaps
 LEARN = 0.2  # weight of the newest gap
 FALLBACK = 60_000_000  # how long a machine that does not speak HTTP/2 is asked in HTTP/1.1
-PROVEN_WAIT = 5_000_000  # after this time without one, a connection that has not said its SETTINGS is given up
+# after this time without one, a connection that has not said its SETTINGS is given up
+PROVEN_WAIT = 5_000_000
 
 
 @dataclass(slots=True, eq=False)
@@ -43,7 +48,8 @@
         self.heard = now
 
     def phi(self, now: int) -> float:
-        """How unusual its silence is, given the gaps seen before (Hayashibara 2004, with exponential gaps)."""
+        """How unusual its silence is, given the gaps seen before (Hayashibara 2004, with
+        exponential gaps)."""
         if not self.busy_since or not self.gap:
             return 0.0
         return (now - max(self.heard, self.busy_since)) / self.gap / log(10)
@@ -64,8 +70,9 @@
         self.plain_until = now + FALLBACK
 
     def place(self) -> Link | None:
-        """The link for the next query: the one that has the largest part free. Those that have not said their SETTINGS
-        come last, as nothing is sent there yet. None: a connection has to be opened first, or all are full."""
+        """The link for the next query: the one that has the largest part free. Those that have not
+        said their SETTINGS come last, as nothing is sent there yet. None: a connection has to be
+        opened first, or all are full."""
         fit = [one for one in self.links if one.usable and one.streams < max(1, one.limit)]
         return min(
             fit,
@@ -74,7 +81,8 @@
         )
 
     def wants_another(self) -> bool:
-        """Before the limit binds. One that drains does not count: its successor is opened while it goes on."""
+        """Before the limit binds. One that drains does not count: its successor is opened while it
+        goes on."""
         usable = [one for one in self.links if one.usable]
         if self.opening or len(usable) + self.opening >= LINKS_MOST:
             return False
@@ -82,7 +90,8 @@
         return used >= AHEAD * room
 
     def crowded(self) -> Link | None:
-        """Where a query waits if nothing has room and nothing more may be opened: with the fewest."""
+        """Where a query waits if nothing has room and nothing more may be opened: with the
+        fewest."""
         return min(
             (one for one in self.links if one.usable and one.limit > 0),
             key=lambda one: one.streams / one.limit,
--- a/umbermoor/http2/session.py
+++ b/umbermoor/http2/session.py
@@ -1,10 +1,11 @@
-"""One connection to a machine, without I/O: queries onto streams, answers from them, and what each end proves.
-
-A query is turned into frames only when the kernel has accepted all that was written before, and one at a time: so what
-waits was never sent, and whatever ends the connection, at most one query is in part. A host calls ``next_bytes``
-whenever
-the transport has nothing left to write, ``receive`` with what came, ``lost`` when the connection has ended. Each call's
-``ended`` is called once. Source: RFC 9113.
+"""One connection to a machine, without I/O: queries onto streams, answers from them, and what each
+end proves.
+
+A query is turned into frames only when the kernel has accepted all that was written before, and one
+at a time: so what waits was never sent, and whatever ends the connection, at most one query is in
+part. A host calls ``next_bytes`` whenever
+the transport has nothing left to write, ``receive`` with what came, ``lost`` when the connection
+has ended. Each call's ``ended`` is called once. Source: RFC 9113.
 """
 
 from collections import deque
@@ -34,7 +35,8 @@
 
 
 class Call:
-    """One query on its way. ``may_go`` is asked when its turn comes, right before its first byte."""
+    """One query on its way. ``may_go`` is asked when its turn comes, right before its first
+    byte."""
 
     __slots__ = ("headers", "body", "may_go", "ended", "stand", "over", "stream")
 
@@ -166,8 +168,8 @@
             self._codec.ping(now.to_bytes(8))
 
     def next_bytes(self) -> bytes:
-        """What is to be written now. Only to be called when all that was written before is with the kernel; empty:
-        wait."""
+        """What is to be written now. Only to be called when all that was written before is with the
+        kernel; empty: wait."""
         if self._written is not None:
             self._written.call.stand = max(self._written.call.stand, Stand.WHOLE)
             self._written = None
@@ -231,8 +233,8 @@
                 self._decode(found)
 
     def _passed_over(self, frame: bytes) -> bool:
-        """Heads for streams that we have given up on. Threat: the codec takes some of them for a fault of the
-        connection,
+        """Heads for streams that we have given up on. Threat: the codec takes some of them for a
+        fault of the connection,
         and one query's time-out ends its neighbours."""
         kind, flags, number = frame[3], frame[4], int.from_bytes(frame[5:9]) & 0x7FFFFFFF
         if (
@@ -268,8 +270,8 @@
         self._let_flow(events)
 
     def _let_flow(self, events: list) -> None:
-        """All that came is ours already: the windows open again at once. What we hold of it is bounded by the
-        buffers."""
+        """All that came is ours already: the windows open again at once. What we hold of it is
+        bounded by the buffers."""
         for event in events:
             if (
                 isinstance(event, h2.events.DataReceived)
@@ -353,7 +355,8 @@
             self._written = None
 
     def _goaway(self, found: Goaway) -> None:
-        """Streams above the last never ran; those at or below it are still out, and may be answered."""
+        """Streams above the last never ran; those at or below it are still out, and may be
+        answered."""
         if found.last > self._last:
             self.give_up(End.FAULT, f"a GOAWAY that rises from {self._last} to {found.last}")
             return
--- a/umbermoor/interface.py
+++ b/umbermoor/interface.py
@@ -1,8 +1,9 @@
 """What passes between a host and the decision module: plain data, and the calls.
 
-A host (the bench's adapter today, a socket front later) makes one ``rules.Front`` from a ``Charter``, reports what
-it sees through the calls of ``Decider`` and then pulls decisions with ``decide`` until it answers None. Times are
-whole microseconds of the host's clock; ids are opaque text; a profile, zone or customer is a position in a list.
+A host (the bench's adapter today, a socket front later) makes one ``rules.Front`` from a
+``Charter``, reports what it sees through the calls of ``Decider`` and then pulls decisions with
+``decide`` until it answers None. Times are whole microseconds of the host's clock; ids are opaque
+text; a profile, zone or customer is a position in a list.
 """
 
 from enum import Enum, IntEnum
--- a/umbermoor/keeping.py
+++ b/umbermoor/keeping.py
@@ -1,5 +1,5 @@
-"""Small files that outlive a front: sealed with a version and a checksum, replaced in one step. A file that is torn,
-garbled
+"""Small files that outlive a front: sealed with a version and a checksum, replaced in one step. A
+file that is torn, garbled
 or of another program is named, and never used in part."""
 
 import os
--- a/umbermoor/lab/chance.py
+++ b/umbermoor/lab/chance.py
@@ -1,7 +1,7 @@
 """Chance by name: the same words and seed give the same number, in whatever order they are asked.
 
-Two variants of a day thus meet the same queries, the same work and the same faults (common random numbers), though what
-they do with them differs.
+Two variants of a day thus meet the same queries, the same work and the same faults (common random
+numbers), though what they do with them differs.
 """
 
 import random
--- a/umbermoor/lab/fleetlog.py
+++ b/umbermoor/lab/fleetlog.py
@@ -1,7 +1,8 @@
-"""What a whole fleet's logs say together: what one front's log hides. Reads our own key=value lines (logs.py); no I/O.
+"""What a whole fleet's logs say together: what one front's log hides. Reads our own key=value lines
+(logs.py); no I/O.
 
-A line that is not ours says nothing and is counted. Memory grows with the fronts, the events that are told and the
-seconds that passed, not with the lines.
+A line that is not ours says nothing and is counted. Memory grows with the fronts, the events that
+are told and the seconds that passed, not with the lines.
 """
 
 import re
--- a/umbermoor/lab/sockets/common.py
+++ b/umbermoor/lab/sockets/common.py
@@ -1,5 +1,5 @@
-"""What the stand-ins, the load and the runner share: the clock, the events' file, and connections that answer
-requests."""
+"""What the stand-ins, the load and the runner share: the clock, the events' file, and connections
+that answer requests."""
 
 import time
 from typing import Any, Callable
@@ -21,7 +21,8 @@
 
 
 class Events:
-    """What one process saw: rows that open with the time. They are merged by time when the day is over."""
+    """What one process saw: rows that open with the time. They are merged by time when the day is
+    over."""
 
     def __init__(self) -> None:
         self.rows: list[list[Any]] = []
--- a/umbermoor/lab/sockets/h2stand.py
+++ b/umbermoor/lab/sockets/h2stand.py
@@ -1,6 +1,7 @@
-"""A stand-in machine's side of HTTP/2, over the same port as its HTTP/1.1: the first bytes decide. Each stream is a
-request
-to the same model; GOAWAY names the last stream whose work was begun, and what it leaves out never runs."""
+"""A stand-in machine's side of HTTP/2, over the same port as its HTTP/1.1: the first bytes decide.
+Each stream is a request
+to the same model; GOAWAY names the last stream whose work was begun, and what it leaves out never
+runs."""
 
 from typing import Callable
 
@@ -137,7 +138,8 @@
             self._maybe_close()
 
     def go_away(self, begun: Callable[[Stream], bool]) -> list[Stream]:
-        """Orderly: an end is announced, then the last stream is named. The streams that it leaves out."""
+        """Orderly: an end is announced, then the last stream is named. The streams that it leaves
+        out."""
         if self._codec is None or self.going or not self.open:
             return []
         self.going = True
--- a/umbermoor/lab/sockets/town.py
+++ b/umbermoor/lab/sockets/town.py
@@ -338,7 +338,8 @@
         return stopped is not None and not stopped.ran
 
     def go_away(self, machines: list[Machine]) -> None:
-        """Their HTTP/2 connections end in order: what only waits there is left out, and never runs."""
+        """Their HTTP/2 connections end in order: what only waits there is left out, and never
+        runs."""
         for machine in machines:
             self.site.advance(machine)
             waiting = machine.waiting()
--- a/umbermoor/lab/terms.py
+++ b/umbermoor/lab/terms.py
@@ -1,4 +1,5 @@
-"""The start settings that a day comes to, in the form that fronts read: the virtual ones and those on sockets alike."""
+"""The start settings that a day comes to, in the form that fronts read: the virtual ones and those
+on sockets alike."""
 
 from typing import Any
 
--- a/umbermoor/lifecycle/keeper.py
+++ b/umbermoor/lifecycle/keeper.py
@@ -1,7 +1,8 @@
-"""Keeps a front's state by the table: commands, deadlines and the ramp; decisions without I/O. Times are microseconds.
+"""Keeps a front's state by the table: commands, deadlines and the ramp; decisions without I/O.
+Times are microseconds.
 
-A host reports commands and what it has in hand, asks ``admits`` for each query, and calls ``tick`` at ``next_at``; it
-then
+A host reports commands and what it has in hand, asks ``admits`` for each query, and calls ``tick``
+at ``next_at``; it then
 does what ``Due`` says.
 """
 
@@ -51,7 +52,8 @@
         self._move(now, Event.READY, "list and stage are known")
 
     def drain(self, now: int, within: int | None = None) -> str:
-        """Asked again, the new deadline takes the old one's place. What came of it, for who asked."""
+        """Asked again, the new deadline takes the old one's place. What came of it, for who
+        asked."""
         if self.state is State.LEAVING:
             return "leaving already"
         if self.state is State.DRAINED:
@@ -84,13 +86,15 @@
     # Queries.
 
     def admits(self, now: int, in_hand: int) -> bool:
-        """Whether a query that came is taken; who is not, is told when to come back, and nothing was done for it."""
+        """Whether a query that came is taken; who is not, is told when to come back, and nothing
+        was done for it."""
         if self.state is State.DRAINED:
             return False
         return self.state is not State.RESUMING or in_hand < self.most(now)
 
     def most(self, now: int) -> int:
-        """Queries at once that it takes: few at first, and then more in step with the time since its return."""
+        """Queries at once that it takes: few at first, and then more in step with the time since
+        its return."""
         if self.state is not State.RESUMING:
             return self._room
         return (
@@ -121,8 +125,8 @@
         return min((one for one in times if one is not None), default=None)
 
     def tick(self, now: int, in_hand: int) -> list[Due]:
-        """What is to be done now. At the deadline it is drained only once all has been answered: the host does so at
-        once, and the next tick finds nothing in hand."""
+        """What is to be done now. At the deadline it is drained only once all has been answered:
+        the host does so at once, and the next tick finds nothing in hand."""
         if self.state is State.DRAINING:
             if in_hand:
                 self._empty_since = None
--- a/umbermoor/lifecycle/scheduler.py
+++ b/umbermoor/lifecycle/scheduler.py
@@ -1,9 +1,9 @@
 """Background work under budgets, without I/O: which piece runs next, and when none may.
 
-Work is a generator that yields after each slice the bytes that the slice moved. A slice is measured by the clock that
-is
-given; what takes longer than the bound on slices is told, as nobody can cut it short. Queries come first: while the
-host
+Work is a generator that yields after each slice the bytes that the slice moved. A slice is measured
+by the clock that is
+given; what takes longer than the bound on slices is told, as nobody can cut it short. Queries come
+first: while the host
 says that it is pressed, only work that has waited for long runs, a slice at a time.
 """
 
--- a/umbermoor/lifecycle/snapshot.py
+++ b/umbermoor/lifecycle/snapshot.py
@@ -1,5 +1,5 @@
-"""What a front remembers over a restart: its form, and what of it may be used. Without I/O but for ``write`` and
-``load``,
+"""What a front remembers over a restart: its form, and what of it may be used. Without I/O but for
+``write`` and ``load``,
 which replace the file in one step and read it whole.
 
     "UMSNAP" version:u8 length:u32 crc32:u32, then JSON
@@ -78,7 +78,8 @@
 
 
 def usable(memory: Memory, now: int, listed: dict[str, tuple[int, int]]) -> list[MachineMemory]:
-    """Of the machines, those that are listed now with the same build and start, if it is not too old for that."""
+    """Of the machines, those that are listed now with the same build and start, if it is not too
+    old for that."""
     if now - memory.at > SPEEDS_FOR:
         return []
     return [one for one in memory.machines if listed.get(one.machine) == (one.build, one.born)]
--- a/umbermoor/lifecycle/ways.py
+++ b/umbermoor/lifecycle/ways.py
@@ -1,4 +1,5 @@
-"""What operators may ask of a front, and the answers, without I/O: the door on sockets only carries them.
+"""What operators may ask of a front, and the answers, without I/O: the door on sockets only carries
+them.
 
 GET  /status   state, deadline, work in hand, machines, stage
 GET  /hands    each query in hand: profile, age, machine, time left
@@ -91,7 +92,8 @@
 
 
 def metrics_text(rows: list[tuple[str, str, str, dict[str, str], float]]) -> bytes:
-    """Rows of (name, kind, help, labels, value) in the Prometheus text form, by its client library."""
+    """Rows of (name, kind, help, labels, value) in the Prometheus text form, by its client
+    library."""
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
--- a/umbermoor/lifecycle/wheel.py
+++ b/umbermoor/lifecycle/wheel.py
@@ -1,7 +1,8 @@
-"""A hierarchical timing wheel: timers by time, set and called off in constant time (Varghese and Lauck, 1987).
+"""A hierarchical timing wheel: timers by time, set and called off in constant time (Varghese and
+Lauck, 1987).
 
-Times are whole numbers of any unit; a timer fires in the first ``advance`` at or past its time, in the order of times
-at
+Times are whole numbers of any unit; a timer fires in the first ``advance`` at or past its time, in
+the order of times at
 the wheel's grain, and within one slot in the order in which they were set.
 """
 
@@ -104,7 +105,8 @@
             self._put(timer)
 
     def next_at(self) -> int | None:
-        """No later than the first timer; exact within the first level, else the start of its slot."""
+        """No later than the first timer; exact within the first level, else the start of its
+        slot."""
         return self._next_tick() * self._grain if self.count else None
 
     def _next_tick(self) -> int:
--- a/umbermoor/logs.py
+++ b/umbermoor/logs.py
@@ -21,8 +21,8 @@
 
 
 class Sparing(logging.Filter):
-    """Threat: strangers who fill the log. So many lines a second with one text; the next second tells what was left
-    out."""
+    """Threat: strangers who fill the log. So many lines a second with one text; the next second
+    tells what was left out."""
 
     MOST = 40
 
--- a/umbermoor/membership/answers.py
+++ b/umbermoor/membership/answers.py
@@ -1,4 +1,5 @@
-"""DNS messages for SRV records: what is asked, and what an answer proves; the codec is dnspython's. Without I/O.
+"""DNS messages for SRV records: what is asked, and what an answer proves; the codec is dnspython's.
+Without I/O.
 
 Sources: RFC 2782 (SRV), 1035 and 2181 (messages, lifetimes), 2308 (negative answers), 6891 (EDNS).
 """
@@ -40,7 +41,8 @@
 
 
 class NotThere(NamedTuple):
-    """Said with authority: there is no such name, no such record, or the service is decidedly not there."""
+    """Said with authority: there is no such name, no such record, or the service is decidedly not
+    there."""
 
     why: str
     ttl: int
--- a/umbermoor/membership/asking.py
+++ b/umbermoor/membership/asking.py
@@ -1,8 +1,10 @@
-"""When to ask which server for a service's records, and what to make of the answers; decisions without I/O.
+"""When to ask which server for a service's records, and what to make of the answers; decisions
+without I/O.
 
-A host sends what ``due`` says, over UDP from a port of its own for each question, and tells ``heard`` and ``broke``.
-Ids and
-ports are drawn by chance that is given. Times are microseconds. Source: RFC 1035 section 7, 5452, 7766.
+A host sends what ``due`` says, over UDP from a port of its own for each question, and tells
+``heard`` and ``broke``. Ids and
+ports are drawn by chance that is given. Times are microseconds. Source: RFC 1035 section 7, 5452,
+7766.
 """
 
 from dataclasses import dataclass, field
@@ -190,8 +192,8 @@
 
 
 def places(found: There) -> list[tuple[str, tuple[str, int], int]]:
-    """Name, address and weight of each place that the records name; of priorities only the first counts, as in RFC
-    2782 a
+    """Name, address and weight of each place that the records name; of priorities only the first
+    counts, as in RFC 2782 a
     client asks the others when none of these can be reached, which the list is there to say."""
     if not found.targets:
         return []
--- a/umbermoor/membership/book.py
+++ b/umbermoor/membership/book.py
@@ -1,9 +1,10 @@
-"""What each source last said, and what of it is believed: last good sets, sudden emptiness, flapping. Without I/O.
+"""What each source last said, and what of it is believed: last good sets, sudden emptiness,
+flapping. Without I/O.
 
-Sources tell whole sets, changes, or that they fail. What a failing source knew stays, with its age. What an
-authoritative
-source leaves out is gone at once; of another, a set that lost most of its machines in one answer is held until it says
-so
+Sources tell whole sets, changes, or that they fail. What a failing source knew stays, with its age.
+What an authoritative
+source leaves out is gone at once; of another, a set that lost most of its machines in one answer is
+held until it says so
 again. Times are microseconds.
 """
 
--- a/umbermoor/membership/conclude.py
+++ b/umbermoor/membership/conclude.py
@@ -6,8 +6,8 @@
     quorum     who is named by so many of the sources that speak (by all of them, where fewer speak)
     split      one source says who is there, another what is known of it
 
-Whatever the rule: a source that says that a machine drains is believed, and a rule never empties the list because
-sources
+Whatever the rule: a source that says that a machine drains is believed, and a rule never empties
+the list because sources
 fail: then the last conclusion stands.
 """
 
@@ -56,7 +56,8 @@
         return self.last
 
     def _by_address(self, present: dict[str, Seen]) -> dict[tuple[str, int], Seen]:
-        """One address is one machine, whatever names a source gives it: the first by name stands."""
+        """One address is one machine, whatever names a source gives it: the first by name
+        stands."""
         found: dict[tuple[str, int], Seen] = {}
         for name in sorted(present):
             found.setdefault(present[name].address, present[name])
@@ -98,7 +99,8 @@
         return found
 
     def _facts(self, address: tuple[str, int], by: tuple[str, ...], said: dict[str, dict]) -> Seen:
-        """Each fact from the first source that knows it; the name from the first that is not just an address."""
+        """Each fact from the first source that knows it; the name from the first that is not just
+        an address."""
         order = [name for name in (self.facts, *by) if name and address in said.get(name, {})]
         views = [said[name][address] for name in dict.fromkeys(order)]
         seen = views[0]
--- a/umbermoor/membership/subsets.py
+++ b/umbermoor/membership/subsets.py
@@ -1,9 +1,10 @@
-"""Which part of the machines a front keeps connections to: deterministic, even, and with little churn. Without I/O.
+"""Which part of the machines a front keeps connections to: deterministic, even, and with little
+churn. Without I/O.
 
-Three ways, measured against one another in benchmarks/subsets.py: the highest weights of a hash of both names
-(rendezvous,
-Thaler and Ravishankar 1996), a ring of points (Karger 1997), and rounds of a shuffled order (each round deals all
-machines
+Three ways, measured against one another in benchmarks/subsets.py: the highest weights of a hash of
+both names (rendezvous,
+Thaler and Ravishankar 1996), a ring of points (Karger 1997), and rounds of a shuffled order (each
+round deals all machines
 out to the fronts in turn). Hashes are by xxhash.
 """
 
@@ -48,7 +49,8 @@
 
 
 def rounds(front: int, machines: Sequence[str], size: int) -> list[str]:
-    """Even to one, as each round deals every machine out once; the number of the front has to be known."""
+    """Even to one, as each round deals every machine out once; the number of the front has to be
+    known."""
     if size >= len(machines):
         return sorted(machines)
     per_round = len(machines) // size
@@ -59,7 +61,8 @@
 
 
 def spread_rendezvous(front: str, groups: dict[str, Sequence[str]], size: int) -> list[str]:
-    """The same over groups: each gets its share by its size, and at least one while there is room."""
+    """The same over groups: each gets its share by its size, and at least one while there is
+    room."""
     total = sum(len(one) for one in groups.values())
     if size >= total:
         return sorted(one for some in groups.values() for one in some)
--- a/umbermoor/node/budget.py
+++ b/umbermoor/node/budget.py
@@ -2,9 +2,11 @@
 
 from typing import Callable
 
-RESERVE = 32  # descriptors for the control addresses, the listener, the log, the reactor itself, and for clients
+# descriptors for the control addresses, the listener, the log, the reactor itself, and for clients
+RESERVE = 32
 OVER_MOST = 6  # beyond the budget, who are only told to come back
-CLOSING_MOST = 6  # taken for others that were told to close, which hold their descriptors until the turn has ended
+# taken for others that were told to close, which hold their descriptors until the turn has ended
+CLOSING_MOST = 6
 
 
 class Budget:
--- a/umbermoor/node/capturing.py
+++ b/umbermoor/node/capturing.py
@@ -1,4 +1,5 @@
-"""The front's capture: notes for the recorder, and its file, flushed in time though nothing comes."""
+"""The front's capture: notes for the recorder, and its file, flushed in time though nothing
+comes."""
 
 from umbermoor.capture.files import Segments
 from umbermoor.capture.frames import Header
--- a/umbermoor/node/clients.py
+++ b/umbermoor/node/clients.py
@@ -30,7 +30,8 @@
 LONGEST = 3600.0  # seconds; a client that says it waits longer is not believed
 QUEUED = 16  # requests that may stand behind the one in work on a connection
 LINGER = 1.0  # seconds that a client has to close after its last answer
-READ_WITHIN = 2.5  # seconds from connecting, and then from a request's first byte, until that request is whole
+# seconds from connecting, and then from a request's first byte, until that request is whole
+READ_WITHIN = 2.5
 READ_LEAST = 0.01  # what came by then and waits unread is read within this, in the next turn
 ONCE_PART, ONCE_LEAST = (
     6,
@@ -99,16 +100,19 @@
 
     @property
     def crowded(self) -> bool:
-        """Threat: clients that ask once and stay hold what they may open, and then cannot ask at all. Those that ask
-        again are not counted, nor told to close: their next connection would cost more than this one."""
+        """Threat: clients that ask once and stay hold what they may open, and then cannot ask at
+        all. Those that ask again are not counted, nor told to close: their next connection would
+        cost more than this one."""
         return len(self.once) > max(ONCE_LEAST, self.budget.most // ONCE_PART)
 
     def admits(self) -> bool:
-        """Whether a query is taken in the front's present state. One that is not was never begun."""
+        """Whether a query is taken in the front's present state. One that is not was never
+        begun."""
         return self.keeper is None or self.keeper.admits(self.clock(), self.in_hand())
 
     def close_stale(self) -> bool:
-        """One that has been idle for long. Threat: strangers that stay, at the cost of lines to machines."""
+        """One that has been idle for long. Threat: strangers that stay, at the cost of lines to
+        machines."""
         return self.close_one(STALE)
 
     def close_one(self, after: int = 0) -> bool:
@@ -122,8 +126,8 @@
         return idle is not None
 
     def settle(self) -> None:
-        """Whether further ones are accepted. Threat: a burst takes the last descriptor, and what is accepted then is
-        closed without an answer. What waits is kept by the kernel."""
+        """Whether further ones are accepted. Threat: a burst takes the last descriptor, and what is
+        accepted then is closed without an answer. What waits is kept by the kernel."""
         accepting = self.budget.over < OVER_MOST and self.budget.room > 0
         if accepting != self._accepting:
             self._accepting = accepting
@@ -144,8 +148,8 @@
                 client.close()
 
     def drop(self) -> None:
-        """Who has sent no whole request. Threat: an answer that was only just written is lost with its connection; who
-        has been told to close is given its time (LINGER) to take it."""
+        """Who has sent no whole request. Threat: an answer that was only just written is lost with
+        its connection; who has been told to close is given its time (LINGER) to take it."""
         for client in list(self.open):
             if not client.closing:
                 client.transport.abortConnection()
@@ -213,7 +217,8 @@
 
     @property
     def unread(self) -> bool:
-        """Whether its next request has come, not read yet. Threat: in a long turn it looks idle, and is closed."""
+        """Whether its next request has come, not read yet. Threat: in a long turn it looks idle,
+        and is closed."""
         try:
             return bool(self.transport.getHandle().recv(1, MSG_PEEK | MSG_DONTWAIT))
         except (AttributeError, OSError):  # nothing there
@@ -335,7 +340,8 @@
             self._linger()
 
     def _linger(self) -> None:
-        """Closes once the client has. Threat: closing over unread bytes resets the connection under the answer."""
+        """Closes once the client has. Threat: closing over unread bytes resets the connection under
+        the answer."""
         self._closing = True
         self._drop_timer()
         self._reader.drop()
@@ -365,5 +371,6 @@
 
 
 def _number(text: str) -> float | None:
-    """Threat: what float() takes beside numbers as clients write them (nan, 1_0, digits of other scripts)."""
+    """Threat: what float() takes beside numbers as clients write them (nan, 1_0, digits of other
+    scripts)."""
     return float(text) if _DECIMAL.fullmatch(text) else None
--- a/umbermoor/node/discovery.py
+++ b/umbermoor/node/discovery.py
@@ -37,8 +37,8 @@
 
 
 def read_list(given: Any, zones: Mapping[str, int]) -> News | None:
-    """A list in discovery's form; none where it cannot be read. An entry that cannot be read says nothing, not even
-    that a machine which the whole list lacks is gone."""
+    """A list in discovery's form; none where it cannot be read. An entry that cannot be read says
+    nothing, not even that a machine which the whole list lacks is gone."""
     if (
         not isinstance(given, dict)
         or not isinstance(given.get("hosts"), list)
@@ -105,14 +105,15 @@
         self.counts: Counter[str] = Counter()
 
     def start(self, held: int | None = None) -> None:
-        """The watch goes on from here for good, by a front that was given a list of that version; a further call
-        changes nothing."""
+        """The watch goes on from here for good, by a front that was given a list of that version; a
+        further call changes nothing."""
         if not self._started:
             self._started = True
             self._ask_in(self._watching.first(held))
 
     def move(self, address: Address) -> None:
-        """The list is asked for at another address from now on, whole at first: its numbers may be others."""
+        """The list is asked for at another address from now on, whole at first: its numbers may be
+        others."""
         self._address = address
         pause = self._watching.moved()
         if self._asking is not None:
--- a/umbermoor/node/door.py
+++ b/umbermoor/node/door.py
@@ -1,5 +1,5 @@
-"""The operators' door: a listener of its own, on loopback or a Unix socket, that carries what they ask; see
-lifecycle/ways."""
+"""The operators' door: a listener of its own, on loopback or a Unix socket, that carries what they
+ask; see lifecycle/ways."""
 
 import logging
 import os
--- a/umbermoor/node/exchange.py
+++ b/umbermoor/node/exchange.py
@@ -1,4 +1,5 @@
-"""Between the facade and the connections: carries out what the module says, and reports what became of it."""
+"""Between the facade and the connections: carries out what the module says, and reports what became
+of it."""
 
 import logging
 from collections import Counter, deque
@@ -133,8 +134,8 @@
             self.report(Left(id))
 
     def give_up_all(self) -> None:
-        """Answers at once all that is in hand; nothing of it goes on elsewhere. Denied only where a retry is
-        harmless."""
+        """Answers at once all that is in hand; nothing of it goes on elsewhere. Denied only where a
+        retry is harmless."""
         for id in list(self.held):
             held, self._giving_up = self.held.pop(id), id
             self.report(Left(id))  # the module hands it off no more
@@ -164,7 +165,8 @@
         return self._stage
 
     def _give_up(self, id: str) -> None:
-        """After a fault of ours: nothing more for this query, whose client is told that it failed."""
+        """After a fault of ours: nothing more for this query, whose client is told that it
+        failed."""
         self._answer(id, Answer(500))
         for key in [key for key in self._out if key[0] == id]:
             self._out[key].cancel()
--- a/umbermoor/node/formats.py
+++ b/umbermoor/node/formats.py
@@ -1,4 +1,5 @@
-"""The platform's formats: forms, XML and event streams. What cannot be read is None, or passed over."""
+"""The platform's formats: forms, XML and event streams. What cannot be read is None, or passed
+over."""
 
 import re
 from typing import Mapping, NamedTuple
--- a/umbermoor/node/lines.py
+++ b/umbermoor/node/lines.py
@@ -23,7 +23,8 @@
 
 @implementer(IPullProducer)
 class Line(Protocol):
-    """It produces its request for the transport, which asks for more once all is written: so that is known."""
+    """It produces its request for the transport, which asks for more once all is written: so that
+    is known."""
 
     def __init__(self, buffers: Buffers, piece: Callable[[bytes], None] | None = None) -> None:
         self._reader = Reader(buffers, responses=True, as_pieces=piece is not None)
@@ -80,7 +81,8 @@
         if early or isinstance(read, Fault):
             self.give_up(Cause.GARBLED)
             return
-        # Threat: what comes behind an answer taken for that to the next request, which goes out while this one settles.
+        # Threat: what comes behind an answer taken for that to the next request, which goes out
+        # while this one settles.
         if behind or self._reader.midway or not read.keep:
             self.close()
         self._settle(read)
@@ -115,7 +117,8 @@
 
 
 class Attempt:
-    """One request, on a line that is there or on a new one; its outcome comes in time, however it ends."""
+    """One request, on a line that is there or on a new one; its outcome comes in time, however it
+    ends."""
 
     def __init__(self, reactor, data: bytes, limit: int) -> None:
         self._reactor, self._data = reactor, data
@@ -138,7 +141,8 @@
         may_go: Callable[[], bool] = lambda: True,
         lost: Callable[[], None] = lambda: None,
     ) -> None:
-        """May it still go, once the connection is there? Lost is called once there is none, or no longer one."""
+        """May it still go, once the connection is there? Lost is called once there is none, or no
+        longer one."""
         factory = Factory.forProtocol(line)
         factory.noisy = False
 
--- a/umbermoor/node/members.py
+++ b/umbermoor/node/members.py
@@ -1,5 +1,5 @@
-"""Sources of membership on sockets: DNS over UDP and TCP, a file that is watched, and the list; one conclusion for the
-front."""
+"""Sources of membership on sockets: DNS over UDP and TCP, a file that is watched, and the list; one
+conclusion for the front."""
 
 import logging
 import os
@@ -33,8 +33,8 @@
 
 
 class _Datagram(DatagramProtocol):
-    """A port of its own for one question. Threat: answers by who only guesses; what comes from elsewhere is passed
-    over."""
+    """A port of its own for one question. Threat: answers by who only guesses; what comes from
+    elsewhere is passed over."""
 
     def __init__(
         self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
--- a/umbermoor/node/operations.py
+++ b/umbermoor/node/operations.py
@@ -1,5 +1,5 @@
-"""The operators' side of a front: its keeper and its door, what it remembers, and its background work, wired to the
-sockets."""
+"""The operators' side of a front: its keeper and its door, what it remembers, and its background
+work, wired to the sockets."""
 
 import logging
 import time
--- a/umbermoor/node/outcomes.py
+++ b/umbermoor/node/outcomes.py
@@ -49,7 +49,8 @@
     Cause.UNRUN: Ending.MOOT,
 }
 
-# Threat: calling a hand-off that may have run one that never did. Once the last byte is written it may have.
+# Threat: calling a hand-off that may have run one that never did. Once the last byte is written it
+# may have.
 ENDINGS: dict[Failed, Ending] = {
     Failed(progress, cause): (_AFTER if progress >= Progress.WHOLE else _BEFORE)[cause]
     for progress in Progress
--- a/umbermoor/node/platform.py
+++ b/umbermoor/node/platform.py
@@ -154,8 +154,8 @@
             self._streams.append(_Stream(self))
 
     def move(self, address: Address) -> None:
-        """Votes go to another address from now on. The stream there takes over once it speaks; until then, or until it
-        is closed, the one that stands may tell more."""
+        """Votes go to another address from now on. The stream there takes over once it speaks;
+        until then, or until it is closed, the one that stands may tell more."""
         self._address = address
         self._again.well()
         self._keep(*self._streams[:1])
@@ -188,7 +188,8 @@
                 self._told(news)
 
     def silent(self) -> None:
-        """Threat: silence may be the platform's, which then goes on here, or a dead connection's."""
+        """Threat: silence may be the platform's, which then goes on here, or a dead
+        connection's."""
         if not self._stopped:
             self._keep(*self._streams[:1])
             self.start()
--- a/umbermoor/node/service.py
+++ b/umbermoor/node/service.py
@@ -39,7 +39,8 @@
 
 
 class Clock:
-    """Microseconds since 1970 that never go back: the system's time at the start, and what has passed since."""
+    """Microseconds since 1970 that never go back: the system's time at the start, and what has
+    passed since."""
 
     def __init__(self) -> None:
         self._offset = time.time_ns() - time.monotonic_ns()
@@ -246,7 +247,8 @@
             note(log, "up", heard=" ".join(sorted(self._heard)))
 
     def reload(self, read: Callable[[], Station]) -> None:
-        """Takes what may change from the configuration read anew. Threat: one that cannot be used ends the front."""
+        """Takes what may change from the configuration read anew. Threat: one that cannot be used
+        ends the front."""
         if self._clients.leaving:
             return
         try:
@@ -290,7 +292,8 @@
             self._reactor.callLater(LISTEN_ON, self._stop_listening)
 
     def _stop_listening(self) -> None:
-        # Threat: closing the listener resets what the kernel has accepted. All of that is taken first, and read.
+        # Threat: closing the listener resets what the kernel has accepted. All of that is taken
+        # first, and read.
         for _ in range(ACCEPT_TURNS):
             self._port.doRead()
         self._clients.accept = lambda on: None
@@ -301,7 +304,8 @@
     def _leave(self) -> None:
         self._clients.close_idle()
         if not self._exchange.held and self._reactor.seconds() >= self._drop_at:
-            self._clients.drop()  # requests that never became whole, and clients that do not take their answers
+            # requests that never became whole, and clients that do not take their answers
+            self._clients.drop()
         if self._clients.open:
             self._reactor.callLater(DRAIN_CHECK, self._leave)
             return
--- a/umbermoor/node/streams.py
+++ b/umbermoor/node/streams.py
@@ -1,7 +1,7 @@
-"""Hand-offs over HTTP/2: connections to machines, kept by the pool's word, on Twisted; the codec and every decision
-are in
-umbermoor/http2. A machine that turns out not to speak it is asked in HTTP/1.1 for a while; nothing was sent to it
-then."""
+"""Hand-offs over HTTP/2: connections to machines, kept by the pool's word, on Twisted; the codec
+and every decision are in
+umbermoor/http2. A machine that turns out not to speak it is asked in HTTP/1.1 for a while; nothing
+was sent to it then."""
 
 import logging
 from typing import Callable, Mapping
@@ -210,7 +210,8 @@
     def listed(
         self, machine: str, address: tuple[str, int] | None, ready: bool, speaks: str
     ) -> None:
-        """Where it is; none: gone. Streams that are out go on to their ends. ``speaks``: what its entry says."""
+        """Where it is; none: gone. Streams that are out go on to their ends. ``speaks``: what its
+        entry says."""
         if address is None or self._addresses.get(machine, address) != address or not ready:
             self._retire(machine)
         if address is None:
--- a/umbermoor/pacing.py
+++ b/umbermoor/pacing.py
@@ -1,7 +1,9 @@
-"""When something that failed is tried again, so that a fleet does not do it in one moment. No I/O: chance is given.
+"""When something that failed is tried again, so that a fleet does not do it in one moment. No I/O:
+chance is given.
 
-Threat: what fails for one front fails for all (a list service or a platform that goes, a fleet started at once).
-Tries that double from the same first pause then come in step, and who has just come back is asked by all together.
+Threat: what fails for one front fails for all (a list service or a platform that goes, a fleet
+started at once). Tries that double from the same first pause then come in step, and who has just
+come back is asked by all together.
 """
 
 from dataclasses import dataclass, field
@@ -10,8 +12,9 @@
 
 @dataclass(slots=True)
 class Again:
-    """Pauses that double from ``first`` to ``most``, each spread by chance over half of itself to one and a
-    half times itself; chance gives numbers from 0 to 1. The mean pause is the same as without chance."""
+    """Pauses that double from ``first`` to ``most``, each spread by chance over half of itself to
+    one and a half times itself; chance gives numbers from 0 to 1. The mean pause is the same as
+    without chance."""
 
     first: float
     most: float
@@ -24,5 +27,6 @@
         return self._span * (0.5 + self.chance())
 
     def well(self) -> None:
-        """A try went well, or another party is asked from now on: the next pause is the first again."""
+        """A try went well, or another party is asked from now on: the next pause is the first
+        again."""
         self._span = 0.0
--- a/umbermoor/planner/check.py
+++ b/umbermoor/planner/check.py
@@ -1,4 +1,5 @@
-"""Predicted against measured: the plan's figures in virtual time, and the same days on loopback with stand-ins."""
+"""Predicted against measured: the plan's figures in virtual time, and the same days on loopback
+with stand-ins."""
 
 from concurrent.futures import ThreadPoolExecutor
 from math import ceil
--- a/umbermoor/planner/fit.py
+++ b/umbermoor/planner/fit.py
@@ -1,8 +1,9 @@
-"""What a capture tells of the demand: load, bursts, work, retries; each with an interval, and what it cannot tell.
+"""What a capture tells of the demand: load, bursts, work, retries; each with an interval, and what
+it cannot tell.
 
-Without I/O. The work of a query is told apart from its wait: of the answers of machines that held nothing else of this
-front's, and that were neither cold nor sick, the wait behind other fronts' queries is taken off by Erlang's formula,
-with
+Without I/O. The work of a query is told apart from its wait: of the answers of machines that held
+nothing else of this front's, and that were neither cold nor sick, the wait behind other fronts'
+queries is taken off by Erlang's formula, with
 the load that the work itself comes to (a fixed point).
 """
 
@@ -76,9 +77,9 @@
     marked: bool = True,
     given_work: dict[str, float] | None = None,
 ) -> Demand:
-    """The demand of the whole fleet, from one front's rows of ``fronts`` that are asked alike. ``warm`` is the time in
-    microseconds within which a machine counts as cold; ``given_work`` what the fleet's sheet says of the work, in
-    ms."""
+    """The demand of the whole fleet, from one front's rows of ``fronts`` that are asked alike.
+    ``warm`` is the time in microseconds within which a machine counts as cold; ``given_work`` what
+    the fleet's sheet says of the work, in ms."""
     given_work = given_work or {}
     assumptions: list[str] = []
     if not rows:
@@ -159,7 +160,8 @@
 
 
 def _sick(rows: list[Row]) -> set[str]:
-    """Machines whose answers take far longer than the middle machine's, or that fail where the others do not."""
+    """Machines whose answers take far longer than the middle machine's, or that fail where the
+    others do not."""
     times: dict[str, list[int]] = {}
     tried: dict[str, list[bool]] = {}
     for row in rows:
@@ -205,7 +207,8 @@
     machines: int,
     fleet_workers: int,
 ) -> float:
-    """The mean wait behind other fronts' work, in microseconds, of a query that finds none of this front's."""
+    """The mean wait behind other fronts' work, in microseconds, of a query that finds none of this
+    front's."""
     if fronts < 2 or not fleet_workers:
         return 0.0
     counts = {
--- a/umbermoor/planner/limits.py
+++ b/umbermoor/planner/limits.py
@@ -1,7 +1,8 @@
-"""Every limit of a fleet as a row: what it holds, and the load at which it is reached; in closed form, without I/O.
+"""Every limit of a fleet as a row: what it holds, and the load at which it is reached; in closed
+form, without I/O.
 
-These rows bracket what is then played out in virtual time (``search``), and stand for the limits that a short play
-cannot
+These rows bracket what is then played out in virtual time (``search``), and stand for the limits
+that a short play cannot
 reach. All loads are queries asked anew in a second, by the whole fleet, in the capture's mix.
 """
 
@@ -81,8 +82,8 @@
 
 
 def goal_bracket(demand: Demand, fleet: Fleet) -> tuple[float, float]:
-    """Loads between which the goal breaks: as if each machine were asked alike by chance, and as if all workers stood
-    at one queue. 0 and 0 where the work alone forbids the goal."""
+    """Loads between which the goal breaks: as if each machine were asked alike by chance, and as if
+    all workers stood at one queue. 0 and 0 where the work alone forbids the goal."""
     lows, highs = [], []
     work, cv = mixed_work(demand)
     for one in demand.profiles:
@@ -278,7 +279,8 @@
 
 
 def _retries(demand: Demand, fleet: Fleet) -> Limit:
-    """In closed form only a bracket: all tries of a lost query cost machine work, or none beyond the first."""
+    """In closed form only a bracket: all tries of a lost query cost machine work, or none beyond
+    the first."""
     work, _ = mixed_work(demand)
     top = fleet.capacity / work
     cost = fleet.front.cpu_us or fleet.limits.front_cpu_us
@@ -315,8 +317,8 @@
 
 
 def _guarded(demand: Demand, fleet: Fleet) -> Limit:
-    """The cap on the trial, by its machines' share: hand-offs that it may have for those that its machines could
-    take."""
+    """The cap on the trial, by its machines' share: hand-offs that it may have for those that its
+    machines could take."""
     first = fleet.platform.stages[0]
     machines = max(1, round(first * fleet.machines)) / (
         fleet.machines + max(1, round(first * fleet.machines))
--- a/umbermoor/planner/plan.py
+++ b/umbermoor/planner/plan.py
@@ -1,5 +1,5 @@
-"""The plan: limits in closed form, and searches over plays where these only bracket. Without I/O: plays are asked
-for."""
+"""The plan: limits in closed form, and searches over plays where these only bracket. Without I/O:
+plays are asked for."""
 
 from typing import Any, Callable
 
@@ -113,7 +113,8 @@
     def run(
         self, play: Callable[[list[Question]], Answers], found: dict[str, Any] | None = None
     ) -> dict[str, Any]:
-        """What each search found, put into ``found`` as it is: who ends the run early has what is there by then."""
+        """What each search found, put into ``found`` as it is: who ends the run early has what is
+        there by then."""
 
         def noted(questions: list[Question]) -> Answers:
             answers = play(questions)
@@ -225,8 +226,8 @@
         }
 
     def _rows(self, found: dict[str, Any]) -> list[dict[str, Any]]:
-        """The limits in the order in which load reaches them; those that the plays decided stand with what they
-        found."""
+        """The limits in the order in which load reaches them; those that the plays decided stand
+        with what they found."""
         rows = []
         for one in self.rows:
             if one.below:
--- a/umbermoor/planner/questions.py
+++ b/umbermoor/planner/questions.py
@@ -1,4 +1,5 @@
-"""A question to the virtual fleet, as a day to play; and what is read out of the answer. Without I/O."""
+"""A question to the virtual fleet, as a day to play; and what is read out of the answer. Without
+I/O."""
 
 from math import ceil
 from typing import Any, Iterator, NamedTuple
@@ -44,8 +45,8 @@
 
 
 def sized(groups: tuple[Group, ...], machines: int) -> tuple[Group, ...]:
-    """The groups with so many machines in all, in step with what they have; the largest remainders get what is left.
-    A group that would have none is left out."""
+    """The groups with so many machines in all, in step with what they have; the largest remainders
+    get what is left. A group that would have none is left out."""
     total = sum(one.machines for one in groups)
     exact = [one.machines * machines / total for one in groups]
     counts = [int(one) for one in exact]
@@ -122,9 +123,9 @@
 
 
 def replayed(day: Day, demand: Demand, arrivals: list[tuple[int, int]]) -> Iterator[Wish] | None:
-    """The capture's own arrivals (time and profile), at the day's rate: their bursts stay as they were, and each seed
-    begins elsewhere in them. None where the capture is shorter than the play needs, or the day has bursts of its
-    own."""
+    """The capture's own arrivals (time and profile), at the day's rate: their bursts stay as they
+    were, and each seed begins elsewhere in them. None where the capture is shorter than the play
+    needs, or the day has bursts of its own."""
     if (
         day.load.burst
         or not arrivals
@@ -200,7 +201,8 @@
 
 
 def drains(answers: list[Answer]) -> bool:
-    """Whether a burst is over some seconds after it: the last seconds are nearly as good as those before it."""
+    """Whether a burst is over some seconds after it: the last seconds are nearly as good as those
+    before it."""
     worst = min(one.tail_in_time for one in answers)
     before = min(_share(one.by_second[int(SETTLE) : int(SETTLE) + 5]) for one in answers)
     return worst >= before - 0.05
--- a/umbermoor/planner/queueing.py
+++ b/umbermoor/planner/queueing.py
@@ -1,14 +1,16 @@
-"""Waiting in a station of several workers, in closed form; the bounds that bracket what is played out.
+"""Waiting in a station of several workers, in closed form; the bounds that bracket what is played
+out.
 
-Sources: Erlang (1917) for the probability of waiting; Allen (1978) and Cunneen for general work and arrivals.
-Times are in any one unit; load is arrivals in that unit.
+Sources: Erlang (1917) for the probability of waiting; Allen (1978) and Cunneen for general work and
+arrivals. Times are in any one unit; load is arrivals in that unit.
 """
 
 from math import erf, erfc, exp, log, sqrt
 
 
 def erlang_c(workers: int, offered: float) -> float:
-    """The probability that an arrival waits, at an offered load in workers (Poisson arrivals, exponential work)."""
+    """The probability that an arrival waits, at an offered load in workers (Poisson arrivals,
+    exponential work)."""
     if offered >= workers:
         return 1.0
     if offered <= 0:
@@ -38,8 +40,8 @@
 def late_share(
     rate: float, work: float, workers: int, work_cv: float, aim: float, arrival_cv2: float = 1.0
 ) -> float:
-    """The share that takes longer than the aim: lognormal work by its quantiles, plus a wait that is exponential with
-    the probability and mean above."""
+    """The share that takes longer than the aim: lognormal work by its quantiles, plus a wait that
+    is exponential with the probability and mean above."""
     offered = rate * work
     if offered >= workers:
         return 1.0
--- a/umbermoor/planner/search.py
+++ b/umbermoor/planner/search.py
@@ -1,5 +1,6 @@
-"""Searches over plays, without I/O: each is a generator that yields the questions it wants played and is sent the
-answers; ``gather`` runs many beside one another, so that a pool of processes is never short of work."""
+"""Searches over plays, without I/O: each is a generator that yields the questions it wants played
+and is sent the answers; ``gather`` runs many beside one another, so that a pool of processes is
+never short of work."""
 
 from math import ceil, log
 from typing import Any, Callable, Generator, Hashable, NamedTuple, Sequence
@@ -11,7 +12,8 @@
 
 
 class Edge(NamedTuple):
-    """Where something stops holding: it held at ``low`` and did not at ``high``. None: beyond what was tried."""
+    """Where something stops holding: it held at ``low`` and did not at ``high``. None: beyond what
+    was tried."""
 
     low: float | None
     high: float | None
@@ -30,7 +32,8 @@
     ask: Callable[[list[Hashable]], Answers],
     found: dict[str, Any] | None = None,
 ) -> dict[str, Any]:
-    """What each search found, put into ``found`` as it is. Each round asks for all that any of them wants, once."""
+    """What each search found, put into ``found`` as it is. Each round asks for all that any of them
+    wants, once."""
     found = {} if found is None else found
     wanted: dict[str, list[Hashable]] = {}
     known: Answers = {}
@@ -64,8 +67,9 @@
     floor: float,
     ceiling: float,
 ) -> Search:
-    """The highest load that holds, to a relative step. The bracket is a guess: it is widened while it does not hold,
-    within floor and ceiling. Three loads are asked for at once, as plays run beside one another."""
+    """The highest load that holds, to a relative step. The bracket is a guess: it is widened while
+    it does not hold, within floor and ceiling. Three loads are asked for at once, as plays run
+    beside one another."""
     plays = 0
     low, high = max(floor, low), min(ceiling, max(high, low * (1 + step)))
     held: float | None = None
@@ -148,8 +152,8 @@
 
 
 def falling(points: Sequence[tuple[float, float, float]]) -> list[tuple[float, float]]:
-    """A curve that never rises, nearest to the points of (place, value, weight): pool adjacent violators (Ayer
-    1955)."""
+    """A curve that never rises, nearest to the points of (place, value, weight): pool adjacent
+    violators (Ayer 1955)."""
     blocks: list[list[float]] = []  # value, weight, first place, last place
     for place, value, weight in sorted(points):
         blocks.append([value, weight, place, place])
--- a/umbermoor/planner/sheets.py
+++ b/umbermoor/planner/sheets.py
@@ -1,5 +1,5 @@
-"""The fleet that a plan is for, as a KDL sheet gives it: the laboratory's words for machines and fronts, and the
-goal."""
+"""The fleet that a plan is for, as a KDL sheet gives it: the laboratory's words for machines and
+fronts, and the goal."""
 
 from typing import Annotated
 
--- a/umbermoor/records.py
+++ b/umbermoor/records.py
@@ -1,4 +1,5 @@
-"""What one front remembers: plain records of machines, queries and outcomes. Nothing is decided here."""
+"""What one front remembers: plain records of machines, queries and outcomes. Nothing is decided
+here."""
 
 from dataclasses import dataclass, field, replace
 from hashlib import blake2b
@@ -31,8 +32,9 @@
 
 @dataclass(slots=True)
 class Slope:
-    """How far the logarithm of one figure follows that of another, from 0 (not at all) to 1; least squares over pairs
-    that lose weight with each that comes, held to 1 by some that stand for good."""
+    """How far the logarithm of one figure follows that of another, from 0 (not at all) to 1; least
+    squares over pairs that lose weight with each that comes, held to 1 by some that stand for
+    good."""
 
     kept: float  # of a pair's weight, with each one more
     held: float  # the weight of what stands for 1
@@ -64,7 +66,8 @@
     room_at: int
     rank: float  # its place in this front's order, from 0 to 1
     room: float  # work that it may be sent while cold
-    took: float = 0.0  # answer times, and the work that stood before those answers, both losing weight with time
+    # answer times, and the work that stood before those answers, both losing weight with time
+    took: float = 0.0
     work: float = 0.0
     seen: int = 0
     fails: float = 0.0
@@ -163,7 +166,8 @@
 
 @dataclass(slots=True)
 class Score:
-    """Outcomes of one side: how many, how many were done within the target time, how many did not fail."""
+    """Outcomes of one side: how many, how many were done within the target time, how many did not
+    fail."""
 
     n: float = 0
     good: float = 0
@@ -190,24 +194,26 @@
 
 @dataclass(slots=True)
 class Contrast:
-    """Both sides over the same time. Threat: a general slowdown that looks like a bad build; also bursts. Past stages
-    are folded in with the earlier build's mean of each weighted by the new one's outcomes in it, as its share grows."""
+    """Both sides over the same time. Threat: a general slowdown that looks like a bad build; also
+    bursts. Past stages are folded in with the earlier build's mean of each weighted by the new
+    one's outcomes in it, as its share grows."""
 
     new: Score = field(default_factory=Score)
     earlier: Score = field(default_factory=Score)
 
 
 class Pool:
-    """What was seen of a stage, here and by peers that passed a half of theirs on (push-sum: in time each front holds
-    its part of the whole). Also answer times of late, over the work expected of them, which outlast the
-    stage."""
+    """What was seen of a stage, here and by peers that passed a half of theirs on (push-sum: in
+    time each front holds its part of the whole). Also answer times of late, over the work expected
+    of them, which outlast the stage."""
 
     __slots__ = ("sums",)
     FORM = Struct("<cHB10f")
     MARK = b"\x02"
 
     def __init__(self, took: float = 0.0, answers: float = 0.0) -> None:
-        # Part of the fleet; how few outcomes make up the new side; then times, answers, and both scores.
+        # Part of the fleet; how few outcomes make up the new side; then times, answers, and both
+        # scores.
         self.sums = [1.0, 0.0, took, answers, *[0.0] * 6]
 
     def add(self, new: bool, n: float, good: float, sound: float, clump: float = 0.0) -> None:
@@ -216,7 +222,8 @@
             self.sums[at] += amount
 
     def answered(self, took: float, kept: float, over: float) -> None:
-        """So much time over so much work, or over so many answers where none tells the work of each."""
+        """So much time over so much work, or over so many answers where none tells the work of
+        each."""
         self.sums[2:4] = self.sums[2] * kept + took, self.sums[3] * kept + over
 
     def pace(self) -> float:
--- a/umbermoor/sheet.py
+++ b/umbermoor/sheet.py
@@ -1,9 +1,10 @@
-"""Sheets: our own documents in KDL, read into typed records. What is wrong is named by file and line.
+"""Sheets: our own documents in KDL, read into typed records. What is wrong is named by file and
+line.
 
-A record is a msgspec Struct. A node's arguments fill the fields that its ``PLACES`` name, in turn; its properties and
-its
-children fill the fields of their names, with ``-`` for ``_``. A child that may stand several times has a field that is
-a
+A record is a msgspec Struct. A node's arguments fill the fields that its ``PLACES`` name, in turn;
+its properties and its
+children fill the fields of their names, with ``-`` for ``_``. A child that may stand several times
+has a field that is a
 list or tuple of records. Source of the syntax: the KDL specification, version 1, by kdl-py.
 """
 
--- a/umbermoor/station.py
+++ b/umbermoor/station.py
@@ -1,4 +1,5 @@
-"""Where a front stands: its configuration, read, checked and given its defaults in this one place."""
+"""Where a front stands: its configuration, read, checked and given its defaults in this one
+place."""
 
 import os
 from dataclasses import dataclass
--- a/umbermoor/watching.py
+++ b/umbermoor/watching.py
@@ -1,11 +1,12 @@
-"""When a front asks for the list of machines, for what, and how long it waits. No I/O: time passes outside, chance is
-given.
-
-Where changes are pushed, an agent on the front's own machine answers at once and at no cost: it is asked for the whole
-list first, and again soon after anything that failed. Where they must be asked for, one service of a capacity that
-nobody tells takes the calls of all fronts in turn, and a call that was turned away or given up on has cost it as much
-as one that it answered. Threat: forty fronts that each try again within a second keep it from answering any of them,
-for good. So what a fleet would do in one moment is spread over its size there; a front that knows a list asks only for
+"""When a front asks for the list of machines, for what, and how long it waits. No I/O: time passes
+outside, chance is given.
+
+Where changes are pushed, an agent on the front's own machine answers at once and at no cost: it is
+asked for the whole list first, and again soon after anything that failed. Where they must be asked
+for, one service of a capacity that nobody tells takes the calls of all fronts in turn, and a call
+that was turned away or given up on has cost it as much as one that it answered. Threat: forty
+fronts that each try again within a second keep it from answering any of them, for good. So what a
+fleet would do in one moment is spread over its size there; a front that knows a list asks only for
 what is newer; and a call that waits its turn is not given up on early. Times are whole microseconds.
 """
 
@@ -61,7 +62,8 @@
         return round(self.chance() * self._span())
 
     def moved(self) -> int:
-        """Another party is asked from now on, whose versions may be others: how long until it is called."""
+        """Another party is asked from now on, whose versions may be others: how long until it is
+        called."""
         self.version, self._open = None, False
         self._again.well()
         return self._soon()
@@ -72,8 +74,8 @@
         return Call(self.version, wait, wait + turn)
 
     def answered(self, version: int) -> bool:
-        """A list that could be read; False where its version has gone back, after which the whole is asked for. The
-        next call is due at once: what changes in between counts as told."""
+        """A list that could be read; False where its version has gone back, after which the whole
+        is asked for. The next call is due at once: what changes in between counts as told."""
         if self.version is not None and version < self.version:
             self.version = None
             return False
