--- a/benchmarks/answers_cost.py
+++ b/benchmarks/answers_cost.py
@@ -22,10 +22,10 @@
 FRONT = r"""
 import asyncio, json, logging, random, resource, sys
 logging.disable(logging.INFO)
-from umbermoor.gateway.almanac.papers import papers_from
-from umbermoor.gateway.mast.clients import ClientLine
-from umbermoor.gateway.mast.front import Front
-from umbermoor.gateway.screen.registry import READY, Entry
+from umbermoor.gateway.config.node_settings import papers_from
+from umbermoor.gateway.server.client_connection import ClientLine
+from umbermoor.gateway.server.proxy import Front
+from umbermoor.gateway.discovery.registry import READY, Entry
 
 async def main():
     loop = asyncio.get_running_loop()
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -29,8 +29,8 @@
 from typing import Any
 
 from benchmarks.capacity.measures import beat_body, configuration
-from umbermoor.gateway.heliograph.reader import GAP, Reader
-from umbermoor.gateway.mast.post import PRESSED, frame, opened
+from umbermoor.gateway.distribution.reader import GAP, Reader
+from umbermoor.gateway.server.peer_transport import PRESSED, frame, opened
 
 SECOND = 1_000_000
 PERIOD = 1.5  # s between a machine's beats
--- a/benchmarks/capacity/measures.py
+++ b/benchmarks/capacity/measures.py
@@ -18,21 +18,21 @@
 from typing import Any, NamedTuple
 
 from tests.gateway.air import Air
-from umbermoor.gateway.almanac.configuration import check, read
-from umbermoor.gateway.almanac.routes import Routes
-from umbermoor.gateway.anemometer.core import Steps
-from umbermoor.gateway.anemometer.front import Trials
-from umbermoor.gateway.anemometer.plan import ROLLOUT
-from umbermoor.gateway.barograph.member import Member
+from umbermoor.gateway.balancing.instances import Plants
+from umbermoor.gateway.balancing.request import Exchange, Fate, Relay
+from umbermoor.gateway.balancing.retry_budget import Budget
+from umbermoor.gateway.config.configuration import check, read
+from umbermoor.gateway.discovery.registry import Entry, Registry, beat_of
+from umbermoor.gateway.distribution.deltas import applied, delta, digest_of
+from umbermoor.gateway.distribution.reader import Reader, Teller
 from umbermoor.gateway.effects import Outcome, Send, Verdict, Write
-from umbermoor.gateway.heliograph.deltas import applied, delta, digest_of
-from umbermoor.gateway.heliograph.reader import Reader, Teller
-from umbermoor.gateway.mast.clients import answer_bytes, request_bytes
-from umbermoor.gateway.mast.post import frame
-from umbermoor.gateway.raingauge.budget import Budget
-from umbermoor.gateway.screen.registry import Entry, Registry, beat_of
-from umbermoor.gateway.vane.exchange import Exchange, Fate, Relay
-from umbermoor.gateway.vane.plants import Plants
+from umbermoor.gateway.replication.replica import Member
+from umbermoor.gateway.rollout.core import Steps
+from umbermoor.gateway.rollout.front import Trials
+from umbermoor.gateway.rollout.plan import ROLLOUT
+from umbermoor.gateway.routing.route_table import Routes
+from umbermoor.gateway.server.client_connection import answer_bytes, request_bytes
+from umbermoor.gateway.server.peer_transport import frame
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Reader as Http
 
@@ -899,33 +899,33 @@
 
 def limits() -> dict[str, float]:
     """Bounds that the code sets, as they stand in it."""
-    from umbermoor.gateway.anemometer import core as anemometer
-    from umbermoor.gateway.barograph import asks, member, view
-    from umbermoor.gateway.heliograph import deltas, reader
-    from umbermoor.gateway.logbook import calls
-    from umbermoor.gateway.mast import core, post
-    from umbermoor.gateway.screen import registry as screen
-    from umbermoor.gateway.sonde import fronts
+    from umbermoor.gateway.api import calls
+    from umbermoor.gateway.discovery import registry as screen
+    from umbermoor.gateway.distribution import deltas, reader
+    from umbermoor.gateway.membership import failure_detector
+    from umbermoor.gateway.replication import replica, requests, view
+    from umbermoor.gateway.rollout import core as anemometer
+    from umbermoor.gateway.server import controller, peer_transport
 
     return {
-        "lines of a member or front": post.LINES,
-        "frame": post.MOST,
+        "lines of a member or front": peer_transport.LINES,
+        "frame": peer_transport.MOST,
         "text of a difference": deltas.MOST,
         "call's body": calls.BODY_MOST,
-        "partly read": post.HELD,
+        "partly read": peer_transport.HELD,
         "machines of a member": screen.MOST,
         "silent after periods": screen.SILENCE,
-        "fronts known to a front": fronts.MEMBERS,
-        "probe period": fronts.PERIOD,
+        "fronts known to a front": failure_detector.MEMBERS,
+        "probe period": failure_detector.PERIOD,
         "fronts that report": anemometer.FRONTS,
         "members": view.MOST,
         "pull kept": reader.HOLD,
         "pulls apart": reader.GAP,
-        "calls under way": asks.MOST,
-        "members' ping": member.PING,
+        "calls under way": requests.MOST,
+        "members' ping": replica.PING,
         "report renewed": 250_000,
-        "tick": round(core.TICK * SECOND),
-        "told together": round(core.BATCH * SECOND),
+        "tick": round(controller.TICK * SECOND),
+        "told together": round(controller.BATCH * SECOND),
     }
 
 
--- a/benchmarks/capacity/taker.py
+++ b/benchmarks/capacity/taker.py
@@ -9,8 +9,8 @@
 import time
 
 from benchmarks.capacity.measures import PERIOD
-from umbermoor.gateway.mast.clients import answer_bytes
-from umbermoor.gateway.screen.registry import Registry, beat_of
+from umbermoor.gateway.discovery.registry import Registry, beat_of
+from umbermoor.gateway.server.client_connection import answer_bytes
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Reader, Request
 
--- a/benchmarks/chain_seeds.py
+++ b/benchmarks/chain_seeds.py
@@ -11,7 +11,7 @@
 
 from cyclopts import App
 
-from umbermoor.gateway.chamber.register import storm
+from umbermoor.gateway.simulation.register import storm
 
 
 def play(seed: int, members: int, steps: int, cold: bool) -> tuple[int, str, int, int, int]:
--- a/benchmarks/change_bytes.py
+++ b/benchmarks/change_bytes.py
@@ -16,8 +16,8 @@
 from cyclopts import App
 
 from tests.gateway.long_world import configuration
-from umbermoor.gateway.heliograph.deltas import Carrier, applied, digest_of
-from umbermoor.gateway.mast.post import PRESSED, frame, opened
+from umbermoor.gateway.distribution.deltas import Carrier, applied, digest_of
+from umbermoor.gateway.server.peer_transport import PRESSED, frame, opened
 
 app = App(help=__doc__)
 
--- a/benchmarks/control_world.py
+++ b/benchmarks/control_world.py
@@ -19,9 +19,9 @@
 
 from cyclopts import App
 
-from umbermoor.gateway.chamber.checks import Broken
-from umbermoor.gateway.chamber.play import Play
-from umbermoor.gateway.chamber.script import Day, draw, read, shrink
+from umbermoor.gateway.simulation.checks import Broken
+from umbermoor.gateway.simulation.play import Play
+from umbermoor.gateway.simulation.script import Day, draw, read, shrink
 
 TRIED = 200  # days at most that are played to shrink one
 
--- a/benchmarks/long_storms.py
+++ b/benchmarks/long_storms.py
@@ -11,7 +11,7 @@
 from cyclopts import App
 
 from tests.gateway.long_world import SECOND, streamed
-from umbermoor.gateway.chamber.register import MS
+from umbermoor.gateway.simulation.register import MS
 
 TROUBLES = "restarts", "away", "wiped", "slow", "hangs", "refuses"
 app = App(help=__doc__)
--- a/benchmarks/member_storms.py
+++ b/benchmarks/member_storms.py
@@ -12,7 +12,7 @@
 import time
 
 from tests.gateway.sets import storm_sets
-from umbermoor.gateway.chamber.register import Broken
+from umbermoor.gateway.simulation.register import Broken
 
 
 def main() -> int:
--- a/benchmarks/members_replaced.py
+++ b/benchmarks/members_replaced.py
@@ -3,7 +3,7 @@
 
     python -m benchmarks.members_replaced [--lost]
 
-Three barographs, two vanes and stand-in machines (umbermoor.gateway.plot), three machines more of
+Three barographs, two vanes and stand-in machines (umbermoor.gateway.local), three machines more of
 the core that start empty. A configuration every 0.15 s and a trickle of requests go on while
 `member replace` puts each newcomer in the place of a first member, which is then told to end.
 Prints how long no configuration was acknowledged around each change, and what became of the
@@ -22,9 +22,9 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from umbermoor.gateway.logbook.caller import Caller, Told
-from umbermoor.gateway.logbook.command import main as command
-from umbermoor.gateway.plot.local import (
+from umbermoor.gateway.cli.caller import Caller, Told
+from umbermoor.gateway.cli.command import main as command
+from umbermoor.gateway.local.gateway import (
     HOST,
     PREFIX,
     SERVICE,
@@ -35,7 +35,7 @@
     _free,
     _signal,
 )
-from umbermoor.gateway.plot.traffic import trickle
+from umbermoor.gateway.local.traffic import trickle
 
 EVERY = 0.15  # s between configurations
 
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -18,7 +18,7 @@
 from statistics import median
 from typing import Any
 
-from umbermoor.gateway.anemometer import SECOND, Record, Steps, Trials
+from umbermoor.gateway.rollout import SECOND, Record, Steps, Trials
 
 MS = 1000
 BAD = ("errors", "slow", "under_load", "one_class", "late", "at_the_end", "when_moved")
--- a/benchmarks/second_loss.py
+++ b/benchmarks/second_loss.py
@@ -17,8 +17,8 @@
 from collections.abc import Callable
 
 from tests.gateway.sets import Sets, founded_sets
-from umbermoor.gateway.chamber.register import MS
 from umbermoor.gateway.effects import Code
+from umbermoor.gateway.simulation.register import MS
 
 SPARE = "10.0.0.100"
 
--- a/tests/fleet_test.py
+++ b/tests/fleet_test.py
@@ -13,13 +13,13 @@
 from hypothesis import strategies as st
 
 from tests.__main__ import PLAIN, PROFILE
+from umbermoor.backoff import Again
 from umbermoor.interface import Do, Ending, Entry, Listing, News, Phase, Readiness
 from umbermoor.lab import command
 from umbermoor.lab.day import read_day
 from umbermoor.lab.fleet import play
 from umbermoor.lab.fleetlog import FleetLog, pairs
 from umbermoor.logs import KeyValues
-from umbermoor.pacing import Again
 from umbermoor.rules import SECOND, Front
 
 MACHINES = [f"m{at}" for at in range(20)]
--- a/tests/gateway/air.py
+++ b/tests/gateway/air.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from umbermoor.gateway.sonde.fronts import Sonde
+from umbermoor.gateway.membership.failure_detector import Sonde
 
 MS, SECOND = 1000, 1_000_000
 TICK = 100 * MS
--- a/tests/gateway/callers.py
+++ b/tests/gateway/callers.py
@@ -12,13 +12,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from umbermoor.gateway.anemometer.plan import ROLLOUT
-from umbermoor.gateway.anemometer.trial import ask, step
-from umbermoor.gateway.barograph.member import Judge, Member
-from umbermoor.gateway.chamber.histories import NEVER, Op, broken
-from umbermoor.gateway.chamber.register import MS, TICK, Broken, Machine, World, _fault
+from umbermoor.gateway.api.orders import CONFIG, configuration, digest, judge
 from umbermoor.gateway.effects import Answer, Code, Outcome, Verdict
-from umbermoor.gateway.logbook.orders import CONFIG, configuration, digest, judge
+from umbermoor.gateway.replication.replica import Judge, Member
+from umbermoor.gateway.rollout.plan import ROLLOUT
+from umbermoor.gateway.rollout.trial import ask, step
+from umbermoor.gateway.simulation.histories import NEVER, Op, broken
+from umbermoor.gateway.simulation.register import MS, TICK, Broken, Machine, World, _fault
 
 SERVICE = ROLLOUT + "s"
 PATIENCE = 1000 * MS  # a caller asks another then
--- a/tests/gateway/calls.py
+++ b/tests/gateway/calls.py
@@ -15,11 +15,11 @@
 from collections.abc import Callable, Iterator, Sequence
 from itertools import chain
 
-from umbermoor.gateway.almanac.papers import papers_from
-from umbermoor.gateway.mast.clients import ClientLine
-from umbermoor.gateway.mast.front import Front
-from umbermoor.gateway.screen.registry import DRAINING, GONE, READY, Entry
-from umbermoor.gateway.vane.answers import PROMISES
+from umbermoor.gateway.balancing.attempt_outcomes import PROMISES
+from umbermoor.gateway.config.node_settings import papers_from
+from umbermoor.gateway.discovery.registry import DRAINING, GONE, READY, Entry
+from umbermoor.gateway.server.client_connection import ClientLine
+from umbermoor.gateway.server.proxy import Front
 
 PAPERS = papers_from(b"""
 nodeName = "front-1"
--- a/tests/gateway/control/sabotages.py
+++ b/tests/gateway/control/sabotages.py
@@ -9,19 +9,19 @@
 from typing import Any
 from unittest.mock import patch
 
-from umbermoor.gateway.anemometer.core import Steps
-from umbermoor.gateway.barograph.membership import Membership
-from umbermoor.gateway.chamber.checks import Broken
-from umbermoor.gateway.chamber.play import Play
-from umbermoor.gateway.chamber.script import Day, draw
-from umbermoor.gateway.chamber.virtual import Disk
-from umbermoor.gateway.heliograph.reader import Reader
-from umbermoor.gateway.logbook.calls import Reply, call, wrong
-from umbermoor.gateway.mast import core as core_host
-from umbermoor.gateway.mast.core import Core
-from umbermoor.gateway.mast.front import Front
-from umbermoor.gateway.screen.registry import DRAINING, READY
-from umbermoor.gateway.vane.plants import Plants
+from umbermoor.gateway.api.calls import Reply, call, wrong
+from umbermoor.gateway.balancing.instances import Plants
+from umbermoor.gateway.discovery.registry import DRAINING, READY
+from umbermoor.gateway.distribution.reader import Reader
+from umbermoor.gateway.replication.replica_set import Membership
+from umbermoor.gateway.rollout.core import Steps
+from umbermoor.gateway.server import controller as core_host
+from umbermoor.gateway.server.controller import Core
+from umbermoor.gateway.server.proxy import Front
+from umbermoor.gateway.simulation.checks import Broken
+from umbermoor.gateway.simulation.play import Play
+from umbermoor.gateway.simulation.script import Day, draw
+from umbermoor.gateway.simulation.virtual import Disk
 
 _replace, _configured, _news, _take = Core.replace, Front.configured, Reader.news, Plants.take
 
--- a/tests/gateway/features/steps/anemometer_steps.py
+++ b/tests/gateway/features/steps/anemometer_steps.py
@@ -6,8 +6,8 @@
 from behave import given, then, when
 
 from benchmarks.rollouts import Fleet
-from umbermoor.gateway.anemometer import SECOND, Steps, Trials
 from umbermoor.gateway.effects import Code
+from umbermoor.gateway.rollout import SECOND, Steps, Trials
 
 RAMP = 12.0
 SERVICE = "maps"
--- a/tests/gateway/features/steps/capacity_steps.py
+++ b/tests/gateway/features/steps/capacity_steps.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity.__main__ import load
 from benchmarks.capacity.fits import fit
 from benchmarks.capacity.model import TARGET, Model
-from umbermoor.gateway.mast.post import PRESSED, frame
+from umbermoor.gateway.server.peer_transport import PRESSED, frame
 
 
 @then("the page of capacities is what its measurements make")
--- a/tests/gateway/features/steps/catching_up_steps.py
+++ b/tests/gateway/features/steps/catching_up_steps.py
@@ -7,10 +7,8 @@
 from behave import given, then, when
 
 from tests.gateway.long_world import SECOND, LongWorld, configuration, streamed
-from umbermoor.gateway.almanac.papers import papers_from
-from umbermoor.gateway.barograph.disk import Disk
-from umbermoor.gateway.chamber.register import MS
-from umbermoor.gateway.heliograph.deltas import (
+from umbermoor.gateway.config.node_settings import papers_from
+from umbermoor.gateway.distribution.deltas import (
     LONG,
     MARK,
     Carrier,
@@ -21,8 +19,10 @@
     delta,
     digest_of,
 )
-from umbermoor.gateway.heliograph.reader import HOLD, LOST, Reader, Teller
-from umbermoor.gateway.mast.front import Front
+from umbermoor.gateway.distribution.reader import HOLD, LOST, Reader, Teller
+from umbermoor.gateway.replication.write_queue import Disk
+from umbermoor.gateway.server.proxy import Front
+from umbermoor.gateway.simulation.register import MS
 
 SETTINGS = """
 nodeName = "front-1"
--- a/tests/gateway/features/steps/control_steps.py
+++ b/tests/gateway/features/steps/control_steps.py
@@ -10,16 +10,16 @@
 
 from tests.gateway import callers
 from tests.gateway.callers import CALLS, body, counts, storm, troubled, value
-from umbermoor.gateway.anemometer.plan import ROLLOUT, newer
-from umbermoor.gateway.anemometer.trial import ask, first_record, step
-from umbermoor.gateway.barograph.contact import LEASE
-from umbermoor.gateway.chamber.histories import NEVER, Op, broken
-from umbermoor.gateway.chamber.register import MS, Broken, World
+from umbermoor.gateway.api.calls import Call
+from umbermoor.gateway.api.orders import CONFIG, KNOWN, judge
+from umbermoor.gateway.discovery.registry import Registry
 from umbermoor.gateway.effects import Answer, Code, Outcome, Verdict
-from umbermoor.gateway.logbook.calls import Call
-from umbermoor.gateway.logbook.orders import CONFIG, KNOWN, judge
-from umbermoor.gateway.mast.core import Core
-from umbermoor.gateway.screen.registry import Registry
+from umbermoor.gateway.replication.leases import LEASE
+from umbermoor.gateway.rollout.plan import ROLLOUT, newer
+from umbermoor.gateway.rollout.trial import ask, first_record, step
+from umbermoor.gateway.server.controller import Core
+from umbermoor.gateway.simulation.histories import NEVER, Op, broken
+from umbermoor.gateway.simulation.register import MS, Broken, World
 
 
 def put(held, key, new, epoch=5):
--- a/tests/gateway/features/steps/control_world_steps.py
+++ b/tests/gateway/features/steps/control_world_steps.py
@@ -8,8 +8,8 @@
 from behave import given, then, when
 
 from tests.gateway.control import sabotages
-from umbermoor.gateway.chamber.play import Play
-from umbermoor.gateway.chamber.script import Day, draw, read, shrink
+from umbermoor.gateway.simulation.play import Play
+from umbermoor.gateway.simulation.script import Day, draw, read, shrink
 
 FOLDER = Path(sabotages.__file__).parent
 
--- a/tests/gateway/features/steps/desk_steps.py
+++ b/tests/gateway/features/steps/desk_steps.py
@@ -5,9 +5,9 @@
 
 from behave import then
 
-from umbermoor.gateway.logbook.calls import BODY_MOST, Call, Desk, call, reply
-from umbermoor.gateway.mast.core import Core
-from umbermoor.gateway.screen.registry import DRAINING, GONE, READY, Registry
+from umbermoor.gateway.api.calls import BODY_MOST, Call, Desk, call, reply
+from umbermoor.gateway.discovery.registry import DRAINING, GONE, READY, Registry
+from umbermoor.gateway.server.controller import Core
 
 PRINTED = {
     "service": "huvo11a",
--- a/tests/gateway/features/steps/heliograph_steps.py
+++ b/tests/gateway/features/steps/heliograph_steps.py
@@ -9,8 +9,8 @@
 
 from behave import then
 
-from umbermoor.gateway.heliograph.reader import HOLD, Reader, Teller
-from umbermoor.gateway.screen.registry import DRAINING, GONE, READY, Entry, Registry, merged
+from umbermoor.gateway.discovery.registry import DRAINING, GONE, READY, Entry, Registry, merged
+from umbermoor.gateway.distribution.reader import HOLD, Reader, Teller
 
 MS = 1000
 TICK = 50 * MS
@@ -319,8 +319,8 @@
     "a reader of news holds no machine that has not been ready for a minute, and those that came back"
 )
 def _(context):
-    from umbermoor.gateway.heliograph.reader import FORGET
-    from umbermoor.gateway.heliograph.reader import Reader as Pulls
+    from umbermoor.gateway.distribution.reader import FORGET
+    from umbermoor.gateway.distribution.reader import Reader as Pulls
 
     pulls, second = Pulls(["m"]), 1_000_000
 
--- a/tests/gateway/features/steps/logbook_steps.py
+++ b/tests/gateway/features/steps/logbook_steps.py
@@ -19,8 +19,8 @@
 
 from behave import given, then, when
 
-from umbermoor.gateway.barograph.store import Store
-from umbermoor.gateway.logbook import command
+from umbermoor.gateway.cli import command
+from umbermoor.gateway.replication.store import Store
 
 SOUND = {
     "revision": "0000000c",
--- a/tests/gateway/features/steps/mast_steps.py
+++ b/tests/gateway/features/steps/mast_steps.py
@@ -12,12 +12,12 @@
 
 from behave import given, then, when
 
-from umbermoor.gateway.almanac.papers import papers_from
-from umbermoor.gateway.mast import post as posts
-from umbermoor.gateway.mast.clients import ClientLine, relieve
-from umbermoor.gateway.mast.front import Front
-from umbermoor.gateway.mast.post import PRESSED, frame
-from umbermoor.gateway.screen.registry import READY, Entry
+from umbermoor.gateway.config.node_settings import papers_from
+from umbermoor.gateway.discovery.registry import READY, Entry
+from umbermoor.gateway.server import peer_transport as posts
+from umbermoor.gateway.server.client_connection import ClientLine, relieve
+from umbermoor.gateway.server.peer_transport import PRESSED, frame
+from umbermoor.gateway.server.proxy import Front
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Reader, Request, Response
 from umbermoor.http1.writer import write_response
--- a/tests/gateway/features/steps/members_steps.py
+++ b/tests/gateway/features/steps/members_steps.py
@@ -8,8 +8,8 @@
 from benchmarks.second_loss import second
 from tests.gateway.quorums import Broken, Order, Rules, Space
 from tests.gateway.sets import Sets, founded_sets, storm_sets
-from umbermoor.gateway.chamber.register import MS
 from umbermoor.gateway.effects import Code
+from umbermoor.gateway.simulation.register import MS
 
 
 def named(context: Any, number: int) -> str:
--- a/tests/gateway/features/steps/plot_steps.py
+++ b/tests/gateway/features/steps/plot_steps.py
@@ -5,8 +5,8 @@
 
 from behave import given, then, when
 
-from umbermoor.gateway.logbook.caller import Told
-from umbermoor.gateway.plot.machines import Machine, Make
+from umbermoor.gateway.cli.caller import Told
+from umbermoor.gateway.local.machines import Machine, Make
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Reader, Response
 from umbermoor.http1.writer import write_request
--- a/tests/gateway/features/steps/raingauge_steps.py
+++ b/tests/gateway/features/steps/raingauge_steps.py
@@ -5,8 +5,8 @@
 
 from behave import then
 
-from umbermoor.gateway.raingauge.budget import PART, Budget
-from umbermoor.ground.fading import SLOTS
+from umbermoor.gateway.balancing.retry_budget import PART, Budget
+from umbermoor.statistics.windowed import SLOTS
 
 SECOND = 1_000_000
 WINDOW = 10 * SECOND
--- a/tests/gateway/features/steps/screen_steps.py
+++ b/tests/gateway/features/steps/screen_steps.py
@@ -5,7 +5,7 @@
 
 from behave import then
 
-from umbermoor.gateway.screen.registry import (
+from umbermoor.gateway.discovery.registry import (
     DRAINING,
     GONE,
     MOST,
--- a/tests/gateway/features/steps/sonde_steps.py
+++ b/tests/gateway/features/steps/sonde_steps.py
@@ -6,9 +6,9 @@
 from behave import given, then, when
 
 from tests.gateway.air import MS, SECOND, Air, address
-from umbermoor.gateway.raingauge.budget import Budget
-from umbermoor.gateway.sonde.fronts import Sonde
-from umbermoor.gateway.sonde.letters import MOST, Kind, Letter, News, State, read, written
+from umbermoor.gateway.balancing.retry_budget import Budget
+from umbermoor.gateway.membership.failure_detector import Sonde
+from umbermoor.gateway.membership.messages import MOST, Kind, Letter, News, State, read, written
 
 WINDOW = 10 * SECOND
 
--- a/tests/gateway/features/steps/vane_steps.py
+++ b/tests/gateway/features/steps/vane_steps.py
@@ -5,9 +5,9 @@
 
 from behave import then
 
-from umbermoor.gateway.screen.registry import DRAINING, GONE, READY, SILENT, Entry, merged
-from umbermoor.gateway.vane.exchange import ANSWER_MARGIN, Exchange, Fate, Relay, Told, Wait
-from umbermoor.gateway.vane.plants import Plant, Plants
+from umbermoor.gateway.balancing.instances import Plant, Plants
+from umbermoor.gateway.balancing.request import ANSWER_MARGIN, Exchange, Fate, Relay, Told, Wait
+from umbermoor.gateway.discovery.registry import DRAINING, GONE, READY, SILENT, Entry, merged
 
 MS = 1000
 UNRUN = {Fate.FULL, Fate.WRONG, Fate.UNSENT}
--- a/tests/gateway/long_world.py
+++ b/tests/gateway/long_world.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from umbermoor.gateway.chamber.register import MS, Broken, World
+from umbermoor.gateway.distribution.deltas import Carrier
 from umbermoor.gateway.effects import Code, Send
-from umbermoor.gateway.heliograph.deltas import Carrier
+from umbermoor.gateway.simulation.register import MS, Broken, World
 
 SECOND = 1000 * MS
 KEY = "config/all"
--- a/tests/gateway/stores.py
+++ b/tests/gateway/stores.py
@@ -11,7 +11,7 @@
 import shutil
 from collections.abc import Iterator
 
-from umbermoor.gateway.barograph.store import DATA, Store
+from umbermoor.gateway.replication.store import DATA, Store
 
 PAGE = 4096
 SIZE = 8 << 20
--- a/tests/reader_test.py
+++ b/tests/reader_test.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from umbermoor.gateway.mast.clients import request_bytes
-from umbermoor.gateway.vane.answers import SINGLE
+from umbermoor.gateway.balancing.attempt_outcomes import SINGLE
+from umbermoor.gateway.server.client_connection import request_bytes
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Request, Response
 
--- a/umbermoor/gateway/__main__.py
+++ b/umbermoor/gateway/__main__.py
@@ -10,7 +10,7 @@
     """Starts a program, or hands over to the operators' command line."""
     if len(sys.argv) == 2 and sys.argv[1] in PROGRAMS:
         return run(sys.argv[1])
-    from umbermoor.gateway.logbook.command import main as command
+    from umbermoor.gateway.cli.command import main as command
 
     return command()
 
@@ -21,10 +21,10 @@
     import asyncio
     import os
 
-    from umbermoor.gateway.almanac.faults import Fault
-    from umbermoor.gateway.almanac.papers import read_papers
+    from umbermoor.gateway.config.errors import Fault
+    from umbermoor.gateway.config.node_settings import read_papers
     from umbermoor.gateway.effects import Unreadable
-    from umbermoor.gateway.mast import events
+    from umbermoor.gateway.server import events
 
     path = os.environ.get("UMBERMOOR_SETTINGS", "/etc/umbermoor/settings.toml")
     papers = read_papers(path)
@@ -37,9 +37,9 @@
         return 2
     events.start(program, papers.name)
     if program == "vane":
-        from umbermoor.gateway.mast.front import serve
+        from umbermoor.gateway.server.proxy import serve
     else:
-        from umbermoor.gateway.mast.core import serve
+        from umbermoor.gateway.server.controller import serve
     try:
         asyncio.run(serve(papers, path))
     except Unreadable as error:
--- a/umbermoor/gateway/logbook/orders.py
+++ b/umbermoor/gateway/api/orders.py
@@ -12,9 +12,9 @@
 from hashlib import blake2b
 from typing import Any
 
-from umbermoor.gateway.anemometer.plan import ROLLOUT, Record, newer
-from umbermoor.gateway.anemometer.trial import judge_begin, judge_step
 from umbermoor.gateway.effects import Outcome, Verdict
+from umbermoor.gateway.rollout.plan import ROLLOUT, Record, newer
+from umbermoor.gateway.rollout.trial import judge_begin, judge_step
 
 CONFIG = "config"  # the register's key of the configuration
 KNOWN = 128  # numbers that were in force before, whose contents are still told apart
--- a/umbermoor/gateway/vane/plants.py
+++ b/umbermoor/gateway/balancing/instances.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Container, Iterable
 from math import exp
 
-from umbermoor.gateway.screen.registry import DRAINING, GONE, READY, Entry
+from umbermoor.gateway.discovery.registry import DRAINING, GONE, READY, Entry
 
 SECOND = 1_000_000
 LEARN = 0.15  # weight of the newest answer in a machine's pace
--- a/umbermoor/gateway/vane/exchange.py
+++ b/umbermoor/gateway/balancing/request.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from umbermoor.gateway.vane.answers import UNRUN, Fate, may_promise, may_repeat
-from umbermoor.gateway.vane.plants import Plant
+from umbermoor.gateway.balancing.attempt_outcomes import UNRUN, Fate, may_promise, may_repeat
+from umbermoor.gateway.balancing.instances import Plant
 
 
 class Told(NamedTuple):
--- a/umbermoor/gateway/raingauge/budget.py
+++ b/umbermoor/gateway/balancing/retry_budget.py
@@ -2,7 +2,7 @@
 fronts holds whatever their number is. What the bound allows beside the ratio is left for what no
 front counts: restarts and window edges."""
 
-from umbermoor.ground.fading import Windowed
+from umbermoor.statistics.windowed import Windowed
 
 PART = 0.8  # of the ratio that a front uses: windows lie anywhere
 SHARED = 0.5  # of the slack that all fronts share
--- /dev/null
+++ b/umbermoor/gateway/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' command line."""
--- a/umbermoor/gateway/logbook/command.py
+++ b/umbermoor/gateway/cli/command.py
@@ -15,10 +15,10 @@
 
 from cyclopts import App, CycloptsError, Parameter
 
-from umbermoor.gateway.almanac.configuration import parse
-from umbermoor.gateway.almanac.faults import Fault
-from umbermoor.gateway.almanac.papers import read_papers
-from umbermoor.gateway.logbook.caller import Caller, Nobody, Told
+from umbermoor.gateway.cli.caller import Caller, Nobody, Told
+from umbermoor.gateway.config.configuration import parse
+from umbermoor.gateway.config.errors import Fault
+from umbermoor.gateway.config.node_settings import read_papers
 
 EXPORT = 1  # format of an export
 LOOK = 0.5  # s between two looks at a roll-out
@@ -133,7 +133,7 @@
     kill_head
         Kills the head of the chain in between, and reads the configuration again.
     """
-    from umbermoor.gateway.plot.local import main as play
+    from umbermoor.gateway.local.gateway import main as play
 
     return play(stay, kill_head)
 
@@ -435,7 +435,7 @@
     folder
         Its dataDir.
     """
-    from umbermoor.gateway.barograph.store import FAULTS, verify
+    from umbermoor.gateway.replication.store import FAULTS, verify
 
     try:
         records, size = verify(str(folder))
--- a/umbermoor/gateway/almanac/configuration.py
+++ b/umbermoor/gateway/config/configuration.py
@@ -15,8 +15,8 @@
 from string import hexdigits
 from typing import Any, NamedTuple
 
-from .faults import Fault, first_fault
-from .figures import host_name, us
+from umbermoor.gateway.config.errors import Fault, first_fault
+from umbermoor.gateway.config.quantities import host_name, us
 
 _KINDS = ("safe", "unsafe")
 _NUMBERS = (int, float)
--- a/umbermoor/gateway/almanac/papers.py
+++ b/umbermoor/gateway/config/node_settings.py
@@ -8,8 +8,8 @@
 from functools import cache
 from typing import Any
 
-from .faults import Fault, first_fault
-from .figures import us
+from umbermoor.gateway.config.errors import Fault, first_fault
+from umbermoor.gateway.config.quantities import us
 
 Figure = float | bool
 Place = tuple[str, int]  # IP address, port
--- a/umbermoor/gateway/heliograph/deltas.py
+++ b/umbermoor/gateway/distribution/deltas.py
@@ -125,7 +125,7 @@
     >>> Packer().unpack("a", second)
     Traceback (most recent call last):
         ...
-    umbermoor.gateway.heliograph.deltas.Lack
+    umbermoor.gateway.distribution.deltas.Lack
     """
 
     def __init__(self) -> None:
--- a/umbermoor/gateway/heliograph/reader.py
+++ b/umbermoor/gateway/distribution/reader.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-from umbermoor.gateway.screen.registry import KEPT, READY, Entry, entry_of, merged
+from umbermoor.gateway.discovery.registry import KEPT, READY, Entry, entry_of, merged
 
 HOLD = 900_000  # us: how long a member may keep a pull that has no news
 LOST = 2_000_000  # us: a pull that stayed without an answer for so long is made again
--- a/umbermoor/gateway/plot/local.py
+++ b/umbermoor/gateway/local/gateway.py
@@ -21,9 +21,9 @@
 
 import httpcore
 
-from umbermoor.gateway.logbook.caller import Caller, Told
-from umbermoor.gateway.plot.machines import Machine, Make
-from umbermoor.gateway.plot.traffic import follow, trickle
+from umbermoor.gateway.cli.caller import Caller, Told
+from umbermoor.gateway.local.machines import Machine, Make
+from umbermoor.gateway.local.traffic import follow, trickle
 
 ZONES = "north", "east", "west"
 FRONTS = ZONES[:2]
--- a/umbermoor/gateway/plot/machines.py
+++ b/umbermoor/gateway/local/machines.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from umbermoor.gateway.logbook.caller import Caller, Told
+from umbermoor.gateway.cli.caller import Caller, Told
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import write_response
--- a/umbermoor/gateway/plot/traffic.py
+++ b/umbermoor/gateway/local/traffic.py
@@ -7,8 +7,8 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from umbermoor.gateway.logbook.caller import Caller, Told
-from umbermoor.gateway.plot.machines import Machine
+from umbermoor.gateway.cli.caller import Caller, Told
+from umbermoor.gateway.local.machines import Machine
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Response
 from umbermoor.http1.writer import write_request
--- a/umbermoor/gateway/sonde/fronts.py
+++ b/umbermoor/gateway/membership/failure_detector.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from umbermoor.gateway.sonde.letters import (
+from umbermoor.gateway.membership.messages import (
     INCARNATION_MOST,
     ITEMS,
     LIFE_MOST,
--- a/umbermoor/gateway/barograph/__init__.py
+++ b/umbermoor/gateway/replication/__init__.py
@@ -15,7 +15,7 @@
 members and their disks:
 
 >>> import json, random
->>> from umbermoor.gateway.barograph.member import Member
+>>> from umbermoor.gateway.replication.replica import Member
 >>> from umbermoor.gateway.effects import Answer, Outcome, Send, Verdict, Write
 >>> names = ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 >>> disks = {name: {} for name in names}
--- a/umbermoor/gateway/barograph/peers.py
+++ b/umbermoor/gateway/replication/peers.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from umbermoor.gateway.barograph.view import MOST, Version
+from umbermoor.gateway.replication.view import MOST, Version
 
 SILENT = 700_000  # a gap in hearing that ends a steady time
 STEADY = 1_000_000  # heard for so long, one outside may be taken into the chain
--- a/umbermoor/gateway/barograph/member.py
+++ b/umbermoor/gateway/replication/replica.py
@@ -14,13 +14,13 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from umbermoor.gateway.barograph import membership, words
-from umbermoor.gateway.barograph.asks import Asks, Taken
-from umbermoor.gateway.barograph.contact import GAP, Contact, Rounds
-from umbermoor.gateway.barograph.disk import Disk
-from umbermoor.gateway.barograph.membership import NONE, Membership, Outlook, crowded
-from umbermoor.gateway.barograph.peers import STEADY, Peer, Peers
-from umbermoor.gateway.barograph.view import (
+from umbermoor.gateway.effects import Answer, Code, Effect, Outcome, Send, Verdict
+from umbermoor.gateway.replication import messages, replica_set
+from umbermoor.gateway.replication.leases import GAP, Contact, Rounds
+from umbermoor.gateway.replication.peers import STEADY, Peer, Peers
+from umbermoor.gateway.replication.replica_set import NONE, Membership, Outlook, crowded
+from umbermoor.gateway.replication.requests import Asks, Taken
+from umbermoor.gateway.replication.view import (
     MOST,
     NO_VIEW,
     Attempt,
@@ -30,7 +30,7 @@
     choose_chain,
     epoch_after,
 )
-from umbermoor.gateway.effects import Answer, Code, Effect, Outcome, Send, Verdict
+from umbermoor.gateway.replication.write_queue import Disk
 
 MS = 1000
 PING = 200 * MS
@@ -122,15 +122,15 @@
         self._contact = Contact()
         sets = json.loads(stored.get("sets", b"null")) or [None, 0, None]
         first = (
-            membership.founded(self.everyone, json.loads(stored.get("system", b"0")))
+            replica_set.founded(self.everyone, json.loads(stored.get("system", b"0")))
             if self.everyone
             else NONE
         )
         self._held_sets = (
-            membership.read(sets[0]) if sets[0] else first
+            replica_set.read(sets[0]) if sets[0] else first
         )  # of the view that was accepted last
         self._proven: tuple[int, Membership] = (
-            (sets[1], membership.read(sets[2])) if sets[2] else (0, first)
+            (sets[1], replica_set.read(sets[2])) if sets[2] else (0, first)
         )
         self._zones_kept: dict[str, str] = json.loads(
             stored.get("zones", b"{}")
@@ -197,7 +197,7 @@
     def message(self, now: int, sender: str, message: dict[str, Any]) -> list[Effect]:
         """Another member says this."""
         self._at(now)
-        if sender != self.me and words.shaped(message):
+        if sender != self.me and messages.shaped(message):
             self._hear(sender, message)
         return self._effects()
 
@@ -242,7 +242,7 @@
         JSON's."""
         self._at(now)
         try:
-            fit = words.key(key) and bool(write_json(value))
+            fit = messages.key(key) and bool(write_json(value))
         except (TypeError, ValueError, RecursionError):
             fit = False
         if not fit:
@@ -279,7 +279,7 @@
         elif (look := self.outlook(add, remove)).why or dry:
             if (
                 add
-                and words.name(add)
+                and messages.name(add)
                 and add not in (*self.everyone, *self._outside.heard(self._now))
             ):
                 self._send(
@@ -296,7 +296,7 @@
     def outlook(self, add: str, remove: str) -> Outlook:
         """What a change would leave, and why it would be refused."""
         present = self.sets
-        look = membership.outlook(
+        look = replica_set.outlook(
             present, self._view.chain, self.learners(), add, remove, self.bear
         )
         if not look.why and (zone := crowded(present.members, look.members, self._zones())):
@@ -596,9 +596,9 @@
         if self.me in members or ("number" in ping and self._blank):
             self._fresh, self._blank = False, True
             system = ping.get("system", 0)
-            self._proven = 0, membership.founded(members, system)
+            self._proven = 0, replica_set.founded(members, system)
             if ping.get("sets"):
-                self._proven = ping["sets"][0], membership.read(ping["sets"][1])
+                self._proven = ping["sets"][0], replica_set.read(ping["sets"][1])
             self._became()
 
     def _learn_sets(self, sender: str, ping: dict[str, Any]) -> None:
@@ -616,7 +616,7 @@
             self._became()
         if not ping.get("sets"):
             return
-        epoch, sets = ping["sets"][0], membership.read(ping["sets"][1])
+        epoch, sets = ping["sets"][0], replica_set.read(ping["sets"][1])
         known = self._proven[1]
         if sets.number > known.number and sets.system == known.system and epoch > self._proven[0]:
             self._proven = epoch, sets
@@ -668,7 +668,7 @@
 
     def _settle(self, members: Sequence[str], system: int) -> None:
         self._fresh = False
-        self._held_sets = membership.founded(members, system)
+        self._held_sets = replica_set.founded(members, system)
         self._proven = 0, self._held_sets
         self._became()
         puts = {"members": write_json(self.everyone), "system": write_json(self._held_sets.system)}
@@ -1072,8 +1072,8 @@
         """
         if not message.get("held") or not message.get("proven"):
             return  # of an earlier revision, in which the set never changes
-        epoch, proven = message["proven"][0], membership.read(message["proven"][1])
-        held, held_sets = promise.version[0], membership.read(message["held"])
+        epoch, proven = message["proven"][0], replica_set.read(message["proven"][1])
+        held, held_sets = promise.version[0], replica_set.read(message["held"])
         found, sets = (
             (held, held_sets) if held > epoch and not promise.blank else (epoch, proven.settled())
         )
@@ -1198,7 +1198,7 @@
             return
         if (self._blank and not self._ready()) or (not self._blank and not self._settled):
             return
-        sets = membership.read(message["sets"]) if message.get("sets") else self.sets
+        sets = replica_set.read(message["sets"]) if message.get("sets") else self.sets
         if (
             epoch <= self._held.epoch
             or tuple(message["members"]) != sets.names
--- a/umbermoor/gateway/barograph/store.py
+++ b/umbermoor/gateway/replication/store.py
@@ -23,8 +23,8 @@
 
 import lmdb
 
-from umbermoor.gateway.barograph import pages
 from umbermoor.gateway.effects import Unreadable
+from umbermoor.gateway.replication import pages
 
 FORMAT = 2  # 1: values alone, without digests or manifest; read, and written anew as 2
 MANIFEST = b"\0manifest"
--- a/umbermoor/gateway/barograph/view.py
+++ b/umbermoor/gateway/replication/view.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from umbermoor.gateway.barograph.membership import MOST, Membership
+from umbermoor.gateway.replication.replica_set import MOST, Membership
 
 STEP = 256 * MOST
 
--- a/umbermoor/gateway/anemometer/__init__.py
+++ b/umbermoor/gateway/rollout/__init__.py
@@ -38,8 +38,8 @@
     ('reverted', True, True)
 """
 
-from umbermoor.gateway.anemometer.core import Steps
-from umbermoor.gateway.anemometer.front import Trials
-from umbermoor.gateway.anemometer.plan import SECOND, Record
+from umbermoor.gateway.rollout.core import Steps
+from umbermoor.gateway.rollout.front import Trials
+from umbermoor.gateway.rollout.plan import SECOND, Record
 
 __all__ = ["SECOND", "Record", "Steps", "Trials"]
--- a/umbermoor/gateway/anemometer/core.py
+++ b/umbermoor/gateway/rollout/core.py
@@ -12,7 +12,8 @@
 from math import exp, log, sqrt
 from typing import Any
 
-from umbermoor.gateway.anemometer.plan import (
+from umbermoor.gateway.effects import Code, Outcome
+from umbermoor.gateway.rollout.plan import (
     ALL,
     LEAST,
     LONE,
@@ -25,9 +26,8 @@
     newer,
     speaks,
 )
-from umbermoor.gateway.anemometer.trial import ask, judge_begin
-from umbermoor.gateway.effects import Code, Outcome
-from umbermoor.ground.testroll import posterior, spread, weight
+from umbermoor.gateway.rollout.trial import ask, judge_begin
+from umbermoor.statistics.test_roll import posterior, spread, weight
 
 WORSE = (0.1, 0.3, 0.6)  # shares of else good answers that bad versions are supposed to spoil
 ALARM = log(3000)  # the test's sum, for one of these, that sends back
--- a/umbermoor/gateway/anemometer/front.py
+++ b/umbermoor/gateway/rollout/front.py
@@ -7,7 +7,7 @@
 from math import exp, log, sqrt
 from typing import Any
 
-from umbermoor.gateway.anemometer.plan import (
+from umbermoor.gateway.rollout.plan import (
     ALL,
     EXPOSED,
     FIRST_MEAN,
@@ -27,7 +27,7 @@
     newer,
     speaks,
 )
-from umbermoor.ground.testroll import needed, posterior, spread, weight
+from umbermoor.statistics.test_roll import needed, posterior, spread, weight
 
 PATIENT = (
     4 * SECOND
--- a/umbermoor/gateway/anemometer/trial.py
+++ b/umbermoor/gateway/rollout/trial.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from umbermoor.gateway.anemometer.plan import Record, earliest, newer
 from umbermoor.gateway.effects import Outcome, Verdict
+from umbermoor.gateway.rollout.plan import Record, earliest, newer
 
 KNOWN = 32  # orders of a service that are known again
 
--- a/umbermoor/gateway/almanac/routes.py
+++ b/umbermoor/gateway/routing/route_table.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple
 
-from .figures import host_name, us
+from umbermoor.gateway.config.quantities import host_name, us
 
 DEFAULT_PROBE = "/health"
 DEFAULT_SATURATION = 100
--- a/umbermoor/gateway/mast/clients.py
+++ b/umbermoor/gateway/server/client_connection.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import Any
 
-from umbermoor.gateway.mast.post import quicken
-from umbermoor.gateway.vane.answers import SINGLE
+from umbermoor.gateway.balancing.attempt_outcomes import SINGLE
+from umbermoor.gateway.server.peer_transport import quicken
 from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import REASONS
 
--- a/umbermoor/gateway/mast/lines.py
+++ b/umbermoor/gateway/server/connections.py
@@ -4,9 +4,18 @@
 import asyncio
 from collections.abc import Callable
 
-from umbermoor.gateway.mast.post import quicken
-from umbermoor.gateway.vane.answers import SINGLE, Event, Fate, Line, Stage, classify, clean, decide
-from umbermoor.gateway.vane.plants import Plant
+from umbermoor.gateway.balancing.attempt_outcomes import (
+    SINGLE,
+    Event,
+    Fate,
+    Line,
+    Stage,
+    classify,
+    clean,
+    decide,
+)
+from umbermoor.gateway.balancing.instances import Plant
+from umbermoor.gateway.server.peer_transport import quicken
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Response
 
--- a/umbermoor/gateway/mast/core.py
+++ b/umbermoor/gateway/server/controller.py
@@ -11,25 +11,12 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from umbermoor.gateway.almanac.configuration import check_slowly, read
-from umbermoor.gateway.almanac.faults import Fault
-from umbermoor.gateway.almanac.papers import Papers
-from umbermoor.gateway.anemometer.core import Steps
-from umbermoor.gateway.anemometer.plan import ROLLOUT
-from umbermoor.gateway.anemometer.trial import ask as asked_of
-from umbermoor.gateway.anemometer.trial import judge_begin, step
-from umbermoor.gateway.barograph.compare import Compare
-from umbermoor.gateway.barograph.member import Member
-from umbermoor.gateway.barograph.store import Store
-from umbermoor.gateway.effects import Answer, Code, Effect, Outcome, Send, Verdict, Write
-from umbermoor.gateway.heliograph.deltas import Carrier
-from umbermoor.gateway.heliograph.reader import Reader as Pulls
-from umbermoor.gateway.heliograph.reader import Teller
-from umbermoor.gateway.logbook.calls import Call, Desk, Reply, call, reply, wrong
-from umbermoor.gateway.logbook.orders import CONFIG, configuration, digest_slowly, judge
-from umbermoor.gateway.mast.events import event, watch
-from umbermoor.gateway.mast.post import Line, Post, frame
-from umbermoor.gateway.screen.registry import (
+from umbermoor.gateway.api.calls import Call, Desk, Reply, call, reply, wrong
+from umbermoor.gateway.api.orders import CONFIG, configuration, digest_slowly, judge
+from umbermoor.gateway.config.configuration import check_slowly, read
+from umbermoor.gateway.config.errors import Fault
+from umbermoor.gateway.config.node_settings import Papers
+from umbermoor.gateway.discovery.registry import (
     DRAINING,
     READY,
     SILENT,
@@ -39,6 +26,19 @@
     beat_of,
     entry_of,
 )
+from umbermoor.gateway.distribution.deltas import Carrier
+from umbermoor.gateway.distribution.reader import Reader as Pulls
+from umbermoor.gateway.distribution.reader import Teller
+from umbermoor.gateway.effects import Answer, Code, Effect, Outcome, Send, Verdict, Write
+from umbermoor.gateway.replication.anti_entropy import Compare
+from umbermoor.gateway.replication.replica import Member
+from umbermoor.gateway.replication.store import Store
+from umbermoor.gateway.rollout.core import Steps
+from umbermoor.gateway.rollout.plan import ROLLOUT
+from umbermoor.gateway.rollout.trial import ask as asked_of
+from umbermoor.gateway.rollout.trial import judge_begin, step
+from umbermoor.gateway.server.events import event, watch
+from umbermoor.gateway.server.peer_transport import Line, Post, frame
 
 SECOND = 1_000_000
 CLOCK = getattr(
--- a/umbermoor/gateway/mast/datagrams.py
+++ b/umbermoor/gateway/server/datagrams.py
@@ -11,7 +11,7 @@
 import asyncio
 from collections.abc import Callable
 
-from umbermoor.gateway.sonde.fronts import Out, Sonde
+from umbermoor.gateway.membership.failure_detector import Out, Sonde
 
 TICK = 0.1  # s
 MOST = 400  # datagrams taken in between two ticks; the rest of a flood is dropped unread
--- a/umbermoor/gateway/mast/front.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -10,24 +10,24 @@
 import time
 from typing import Any
 
-from umbermoor.gateway.almanac.faults import Fault
-from umbermoor.gateway.almanac.papers import Papers, read_papers
-from umbermoor.gateway.almanac.routes import Route, Routes
-from umbermoor.gateway.anemometer.front import Trials
-from umbermoor.gateway.anemometer.plan import ROLLOUT
-from umbermoor.gateway.heliograph.deltas import applied, digest_of
-from umbermoor.gateway.heliograph.reader import Reader as Pulls
-from umbermoor.gateway.mast import datagrams
-from umbermoor.gateway.mast.clients import ClientLine, relieve, request_bytes
-from umbermoor.gateway.mast.events import event, watch
-from umbermoor.gateway.mast.lines import Attempt, Pool
-from umbermoor.gateway.mast.post import Line, Post
-from umbermoor.gateway.mast.ready import ReadyLine
-from umbermoor.gateway.raingauge.budget import Budget
-from umbermoor.gateway.sonde.fronts import Sonde
-from umbermoor.gateway.vane.answers import UNRUN, Event, Fate
-from umbermoor.gateway.vane.exchange import ANSWER_MARGIN, Exchange, Relay, Told, Wait
-from umbermoor.gateway.vane.plants import Plant, Plants
+from umbermoor.gateway.balancing.attempt_outcomes import UNRUN, Event, Fate
+from umbermoor.gateway.balancing.instances import Plant, Plants
+from umbermoor.gateway.balancing.request import ANSWER_MARGIN, Exchange, Relay, Told, Wait
+from umbermoor.gateway.balancing.retry_budget import Budget
+from umbermoor.gateway.config.errors import Fault
+from umbermoor.gateway.config.node_settings import Papers, read_papers
+from umbermoor.gateway.distribution.deltas import applied, digest_of
+from umbermoor.gateway.distribution.reader import Reader as Pulls
+from umbermoor.gateway.membership.failure_detector import Sonde
+from umbermoor.gateway.rollout.front import Trials
+from umbermoor.gateway.rollout.plan import ROLLOUT
+from umbermoor.gateway.routing.route_table import Route, Routes
+from umbermoor.gateway.server import datagrams
+from umbermoor.gateway.server.client_connection import ClientLine, relieve, request_bytes
+from umbermoor.gateway.server.connections import Attempt, Pool
+from umbermoor.gateway.server.events import event, watch
+from umbermoor.gateway.server.peer_transport import Line, Post
+from umbermoor.gateway.server.readiness import ReadyLine
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Request, Response
 
--- a/umbermoor/gateway/chamber/checks.py
+++ b/umbermoor/gateway/simulation/checks.py
@@ -11,11 +11,11 @@
 from itertools import combinations
 from typing import Any
 
-from umbermoor.gateway.anemometer.plan import ROLLOUT, newer
-from umbermoor.gateway.chamber.script import MARGINS, SERVICES
-from umbermoor.gateway.chamber.virtual import SECOND
-from umbermoor.gateway.mast.core import CONFIG
-from umbermoor.gateway.screen.registry import DRAINING, GONE
+from umbermoor.gateway.discovery.registry import DRAINING, GONE
+from umbermoor.gateway.rollout.plan import ROLLOUT, newer
+from umbermoor.gateway.server.controller import CONFIG
+from umbermoor.gateway.simulation.script import MARGINS, SERVICES
+from umbermoor.gateway.simulation.virtual import SECOND
 
 NEVER = -(1 << 60)
 LATE_HEAD = SECOND // 2  # a member that has not been the head for so long has no say in roll-outs
--- a/umbermoor/gateway/chamber/play.py
+++ b/umbermoor/gateway/simulation/play.py
@@ -8,14 +8,14 @@
 from typing import Any
 from unittest.mock import patch
 
-from umbermoor.gateway.almanac.papers import Papers
-from umbermoor.gateway.chamber.checks import Checks
-from umbermoor.gateway.chamber.script import MARGINS, SERVICES, Day, Step, number_at
-from umbermoor.gateway.chamber.virtual import MS, SECOND, Box, Net, Process, Time
-from umbermoor.gateway.logbook.calls import Desk
-from umbermoor.gateway.mast import core as core_host
-from umbermoor.gateway.mast import front as front_host
-from umbermoor.gateway.vane.answers import Fate
+from umbermoor.gateway.api.calls import Desk
+from umbermoor.gateway.balancing.attempt_outcomes import Fate
+from umbermoor.gateway.config.node_settings import Papers
+from umbermoor.gateway.server import controller as core_host
+from umbermoor.gateway.server import proxy as front_host
+from umbermoor.gateway.simulation.checks import Checks
+from umbermoor.gateway.simulation.script import MARGINS, SERVICES, Day, Step, number_at
+from umbermoor.gateway.simulation.virtual import MS, SECOND, Box, Net, Process, Time
 from umbermoor.http1.reader import Request, Response
 
 PORT, CONTROL = 7620, 8649
--- a/umbermoor/gateway/chamber/register.py
+++ b/umbermoor/gateway/simulation/register.py
@@ -13,8 +13,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from umbermoor.gateway.barograph.member import Judge, Member
 from umbermoor.gateway.effects import Answer, Code, Outcome, Send, Verdict, Write
+from umbermoor.gateway.replication.replica import Judge, Member
 
 MS = 1000
 TICK = 50 * MS
--- a/umbermoor/membership/asking.py
+++ b/umbermoor/membership/asking.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from umbermoor.backoff import Again
 from umbermoor.membership import answers
 from umbermoor.membership.answers import Cut, Failed, NotOurs, NotThere, Target, There
-from umbermoor.pacing import Again
 
 SECOND = 1_000_000
 WAIT_LEAST, WAIT_MOST = SECOND // 5, 2 * SECOND  # for one answer
--- a/umbermoor/node/platform.py
+++ b/umbermoor/node/platform.py
@@ -8,6 +8,7 @@
 
 from twisted.internet.defer import Deferred
 
+from umbermoor.backoff import Again
 from umbermoor.charter import micros
 from umbermoor.facade import Complaint, Tally, Vote
 from umbermoor.http1.buffers import Buffers
@@ -17,7 +18,6 @@
 from umbermoor.node.formats import Event, EventStream, read_form, read_xml, write_form
 from umbermoor.node.lines import SECOND, Attempt, Line
 from umbermoor.node.outcomes import Failed, Outcome, Progress, shown
-from umbermoor.pacing import Again
 from umbermoor.station import Address
 
 log = logging.getLogger(__name__)
--- a/umbermoor/policy/verdict.py
+++ b/umbermoor/policy/verdict.py
@@ -2,7 +2,7 @@
 
 from math import sqrt
 
-from umbermoor.ground.testroll import needed, posterior, spread
+from umbermoor.statistics.test_roll import needed, posterior, spread
 from umbermoor.interface import Control, Decision, Do, Ending, News, Phase, Repeat, Verdict
 from umbermoor.policy.exposure import Exposure
 from umbermoor.policy.state import BEAT, EARLY, ENOUGH, FIRST_MEAN, LEAST, MOST, SECOND
--- a/umbermoor/watching.py
+++ b/umbermoor/watching.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from umbermoor.pacing import Again
+from umbermoor.backoff import Again
 
 SECOND = 1_000_000
 WAIT = 2 * SECOND  # how long a watch may wait for news; one that breaks off is noticed no sooner
