--- a/benchmarks/capacity/measures.py
+++ b/benchmarks/capacity/measures.py
@@ -25,7 +25,7 @@
 from umbermoor.gateway.discovery.registry import Entry, Registry, beat_of
 from umbermoor.gateway.distribution.deltas import applied, delta, digest_of
 from umbermoor.gateway.distribution.reader import Reader, Teller
-from umbermoor.gateway.effects import Outcome, Send, Verdict, Write
+from umbermoor.gateway.effects import Decision, Outcome, Send, Write
 from umbermoor.gateway.replication.replica import Member
 from umbermoor.gateway.rollout.core import Steps
 from umbermoor.gateway.rollout.front import Trials
@@ -661,8 +661,8 @@
     )
 
 
-def taken(held: Any, key: str, value: Any, epoch: int) -> Verdict:
-    return Verdict(Outcome.TAKEN, value)
+def taken(held: Any, key: str, value: Any, epoch: int) -> Decision:
+    return Decision(Outcome.ACCEPTED, value)
 
 
 class Wire:
--- a/umbermoor/gateway/__main__.py
+++ b/umbermoor/gateway/__main__.py
@@ -23,7 +23,7 @@
 
     from umbermoor.gateway.config.errors import Fault
     from umbermoor.gateway.config.node_settings import read_papers
-    from umbermoor.gateway.effects import Unreadable
+    from umbermoor.gateway.effects import UnsupportedFormatError
     from umbermoor.gateway.server import events
 
     path = os.environ.get("UMBERMOOR_SETTINGS", "/etc/umbermoor/settings.toml")
@@ -42,7 +42,7 @@
         from umbermoor.gateway.server.controller import serve
     try:
         asyncio.run(serve(papers, path))
-    except Unreadable as error:
+    except UnsupportedFormatError as error:
         print(f"settings: dataDir: {error}", file=sys.stderr)
         return 2
     return 0
--- a/umbermoor/gateway/api/orders.py
+++ b/umbermoor/gateway/api/orders.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from umbermoor.gateway.effects import Outcome, Verdict
+from umbermoor.gateway.effects import Decision, Outcome
 from umbermoor.gateway.rollout.plan import ROLLOUT, Record, newer
 from umbermoor.gateway.rollout.trial import judge_begin, judge_step
 
@@ -83,9 +83,9 @@
     return {"revision": revision, "text": text, "digest": digest}
 
 
-def judge(held: Mapping[str, Any], key: str, new: Any, epoch: int) -> Verdict:
+def judge(held: Mapping[str, Any], key: str, new: Any, epoch: int) -> Decision:
     """What a put of `new` under `key` comes to beside the map `held`, at a head of that epoch.
-    Never raises: a value of another shape than the key's is a CLASH."""
+    Never raises: a value of another shape than the key's is a CONFLICT."""
     try:
         if key == CONFIG:
             return _judge_configuration(held.get(key), new)
@@ -100,11 +100,11 @@
         RecursionError,
         OverflowError,
     ) as error:
-        return Verdict(Outcome.CLASH, None, f"garbled: {type(error).__name__}")
-    return Verdict(Outcome.CLASH, None, "no such key")
+        return Decision(Outcome.CONFLICT, None, f"garbled: {type(error).__name__}")
+    return Decision(Outcome.CONFLICT, None, "no such key")
 
 
-def _judge_configuration(held: Value | None, new: Value) -> Verdict:
+def _judge_configuration(held: Value | None, new: Value) -> Decision:
     revision, text = new["revision"], new["text"]
     if (
         type(revision) is not int
@@ -115,8 +115,8 @@
     mine = _digest_of(new)
     if held is None or revision > held["revision"]:
         past = b"" if held is None else _past(held) + _packed(held["revision"], _digest_of(held))
-        return Verdict(
-            Outcome.TAKEN,
+        return Decision(
+            Outcome.ACCEPTED,
             {
                 "revision": revision,
                 "text": text,
@@ -126,11 +126,11 @@
         )
     known = _digest_of(held) if revision == held["revision"] else _known(_past(held), revision)
     if known is None:
-        return Verdict(Outcome.OLDER, None, f"in force is {held['revision']:08x}")
+        return Decision(Outcome.STALE, None, f"in force is {held['revision']:08x}")
     if known == mine:
-        return Verdict(Outcome.SAME)
-    return Verdict(
-        Outcome.CLASH, None, f"revision: {revision:08x} is that of another configuration"
+        return Decision(Outcome.UNCHANGED)
+    return Decision(
+        Outcome.CONFLICT, None, f"revision: {revision:08x} is that of another configuration"
     )
 
 
@@ -165,7 +165,7 @@
     )
 
 
-def _judge_rollout(held: Mapping[str, Any], key: str, new: Record, epoch: int) -> Verdict:
+def _judge_rollout(held: Mapping[str, Any], key: str, new: Record, epoch: int) -> Decision:
     """An order has `begin`, a stage has `on`; what has neither came by a member of an earlier
     revision."""
     last, service = held.get(key), key[len(ROLLOUT) :]
@@ -176,7 +176,7 @@
         return judge_step(last, new, epoch)
     if "begin" in new:
         return judge_begin(last, new["begin"], lambda: _names(held.get(CONFIG), service))
-    return Verdict(Outcome.TAKEN, new) if newer(new, last) else Verdict(Outcome.OLDER)
+    return Decision(Outcome.ACCEPTED, new) if newer(new, last) else Decision(Outcome.STALE)
 
 
 def _names(configuration: Value | None, service: str) -> bool:
--- a/umbermoor/gateway/effects.py
+++ b/umbermoor/gateway/effects.py
@@ -1,68 +1,70 @@
-"""What state machines of the gateway return for a host to carry out: send, write, answer. Decides
-nothing."""
+"""What the gateway's state machines return for a host to carry out, and the outcomes they speak of.
+
+The state machines do no I/O. Each input returns a list of effects, in the order in which a host is
+to carry them out: a message to send, a write to sync, the result of a call.
+"""
 
 from collections.abc import Mapping
 from enum import Enum
 from typing import Any, NamedTuple
 
 
-class Code(Enum):
-    """How a call ended. Outcomes are values: a host maps them to statuses."""
+class Status(Enum):
+    """How a call ended. Outcomes are values: a host maps them to HTTP statuses."""
 
     OK = "ok"
-    LATER = (
-        "later"  # not done as far as is known here; the caller may ask another member, unchanged
-    )
-    CLASH = "clash"  # what was asked contradicts what is under way
-    WRONG = "wrong"  # it can never be done as asked
-    UNKNOWN = "unknown"  # there is no such thing
+    # not done as far as is known here; the caller may retry unchanged, at another member
+    UNAVAILABLE = "later"
+    CONFLICT = "clash"  # it contradicts what is in progress or stored
+    INVALID = "wrong"  # it can never be done as asked
+    NOT_FOUND = "unknown"
 
 
 class Outcome(Enum):
-    """What a conditional put came to, judged in the one place that orders puts, against what it
-    stands upon."""
+    """What a conditional write came to, as decided by the head, which orders all writes.
+
+    The values go over the wire between members.
+    """
 
-    TAKEN = "taken"  # it stands, or stood until something newer took its place
-    SAME = "same"  # a repetition: it stood already
-    OLDER = "older"  # something newer stands: it changes nothing
-    CLASH = "clash"  # what it was decided upon does not stand, or its number is another's
-    UNKNOWN = "unknown"  # it names what there is not
+    ACCEPTED = "taken"  # it is in force, or was until something newer replaced it
+    UNCHANGED = "same"  # a repetition of what is in force
+    STALE = "older"  # something newer is in force: it changes nothing
+    CONFLICT = "clash"  # its precondition does not hold, or its revision has other content
+    NOT_FOUND = "unknown"  # it names something that does not exist
 
 
-class Verdict(NamedTuple):
-    """An outcome, with what is to stand where that is TAKEN, and one line that says why."""
+class Decision(NamedTuple):
+    """An outcome, the value to store where that is ACCEPTED, and one line that says why."""
 
     outcome: Outcome
     value: Any = None
-    why: str = ""
+    reason: str = ""
 
 
 class Send(NamedTuple):
-    """A message to another process, best effort: it may be lost, doubled or late."""
+    """A message to another process, best effort: it may be lost, duplicated or late."""
 
     to: str  # its IP address
-    message: dict[str, Any]  # of what JSON can hold
+    message: dict[str, Any]  # JSON
 
 
 class Write(NamedTuple):
-    """Puts on disk, all or none; the host reports written(token) once they are synced, or
-    unwritten(token)."""
+    """Records to store, all or none. The host reports back once they are synced, or refused."""
 
     token: int
     puts: Mapping[str, bytes | None]  # None removes
 
 
-class Answer(NamedTuple):
-    """The end of a call that a host passed in under the number `ask`."""
+class CallResult(NamedTuple):
+    """The end of a call that a host passed in under the number `request_id`."""
 
-    ask: int
-    code: Code
-    value: Any = None  # of a read: the map; of a put: a Verdict
+    request_id: int
+    status: Status
+    value: Any = None  # of a read: the map; of a put: a Decision
 
 
-Effect = Send | Write | Answer
+Effect = Send | Write | CallResult
 
 
-class Unreadable(Exception):
-    """What is stored was written by a later revision: nothing is wrong with it, and nothing of it
-    is touched."""
+class UnsupportedFormatError(Exception):
+    """What is stored was written by a later revision: it is not damaged, and is not touched."""
--- a/umbermoor/gateway/replication/__init__.py
+++ b/umbermoor/gateway/replication/__init__.py
@@ -16,12 +16,12 @@
 
 >>> import json, random
 >>> from umbermoor.gateway.replication.replica import Member
->>> from umbermoor.gateway.effects import Answer, Outcome, Send, Verdict, Write
+>>> from umbermoor.gateway.effects import CallResult, Outcome, Send, Decision, Write
 >>> names = ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 >>> disks = {name: {} for name in names}
 >>> def judge(held, key, new, epoch):
 ...     newer = key not in held or new["revision"] > held[key]["revision"]
-...     return Verdict(Outcome.TAKEN, new) if newer else Verdict(Outcome.OLDER)
+...     return Decision(Outcome.ACCEPTED, new) if newer else Decision(Outcome.STALE)
 >>> def start(name, cold):
 ...     return Member(name, names, 1, cold, disks[name], judge, random.Random(name))
 >>> members = {name: start(name, cold=True) for name in names}
@@ -36,7 +36,7 @@
 ...             carry(now, name, members[name].written(now, effect.token))
 ...         else:
 ...             told = effect.value
-...             print(effect.code.name, told.outcome.value if isinstance(told, Verdict) else told)
+...             print(effect.status.name, told.outcome.value if isinstance(told, Decision) else told)
 >>> def pass_time(start, ms):
 ...     for now in range(start, start + ms * 1000, 50_000):
 ...         for name in list(members):
--- a/umbermoor/gateway/replication/replica.py
+++ b/umbermoor/gateway/replication/replica.py
@@ -2,7 +2,7 @@
 the package.
 
 Errors: a message of another shape or from outside is dropped; a call that cannot be told in 700 ms
-is answered LATER, and may be done nevertheless. Source of the rules: `view`, and van Renesse and
+is answered UNAVAILABLE, and may be done nevertheless. Source of the rules: `view`, and van Renesse and
 Schneider, Chain Replication (2004). Times are whole microseconds of a clock that never goes back in
 a life.
 """
@@ -14,7 +14,7 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from umbermoor.gateway.effects import Answer, Code, Effect, Outcome, Send, Verdict
+from umbermoor.gateway.effects import CallResult, Decision, Effect, Outcome, Send, Status
 from umbermoor.gateway.replication import messages, replica_set
 from umbermoor.gateway.replication.leases import GAP, Contact, Rounds
 from umbermoor.gateway.replication.peers import STEADY, Peer, Peers
@@ -63,12 +63,15 @@
 GONE = (
     2000 * MS
 )  # a member that nobody has heard for so long may be succeeded, by one that started after that
-CHANGE = 4000 * MS  # a change of the members that is not active by then is answered LATER
+CHANGE = 4000 * MS  # a change of the members that is not active by then is answered UNAVAILABLE
 
 Judge = Callable[
-    [Mapping[str, Any], str, Any, int], Verdict
+    [Mapping[str, Any], str, Any, int], Decision
 ]  # of the map at the head, a key, what is put, the epoch
-CODES = {Outcome.CLASH: Code.CLASH, Outcome.UNKNOWN: Code.UNKNOWN}  # of the others: OK
+CODES = {
+    Outcome.CONFLICT: Status.CONFLICT,
+    Outcome.NOT_FOUND: Status.NOT_FOUND,
+}  # of the others: OK
 
 
 class Entry(NamedTuple):
@@ -187,7 +190,7 @@
         self._sent, self._acked, self._sent_at, self._progress = 0, 0, 0, 0
         self._taken = Taken()
         # puts that change nothing, until what was before is committed
-        self._waiting: list[tuple[int, tuple[str, int, int], Verdict]] = []
+        self._waiting: list[tuple[int, tuple[str, int, int], Decision]] = []
         self._rounds = (
             Rounds()
         )  # those then, and reads, until a majority told that it promised no later epoch
@@ -236,9 +239,9 @@
         return self._effects()
 
     def put(self, now: int, ask: int, key: str, value: Any) -> list[Effect]:
-        """Have the head judge `value` for `key`. Answered with a Verdict once what that stands upon
-        is committed, and proven to be in force: OK where it was taken, or changes nothing; CLASH,
-        UNKNOWN; LATER if it cannot be told; WRONG if the key is too long, or the value is not
+        """Have the head judge `value` for `key`. Answered with a Decision once what that stands upon
+        is committed, and proven to be in force: OK where it was taken, or changes nothing; CONFLICT,
+        NOT_FOUND; UNAVAILABLE if it cannot be told; INVALID if the key is too long, or the value is not
         JSON's."""
         self._at(now)
         try:
@@ -246,18 +249,18 @@
         except (TypeError, ValueError, RecursionError):
             fit = False
         if not fit:
-            self._out.append(Answer(ask, Code.WRONG))
+            self._out.append(CallResult(ask, Status.INVALID))
         elif not self._able() or not self._asks.add(now, ask, (key, value)):
-            self._out.append(Answer(ask, Code.LATER))
+            self._out.append(CallResult(ask, Status.UNAVAILABLE))
         self._send_asks()
         return self._effects()
 
     def read(self, now: int, ask: int) -> list[Effect]:
-        """The whole map, no older than anything answered before this call; LATER if that cannot be
+        """The whole map, no older than anything answered before this call; UNAVAILABLE if that cannot be
         told."""
         self._at(now)
         if not self._able() or not self._asks.add(now, ask, None):
-            self._out.append(Answer(ask, Code.LATER))
+            self._out.append(CallResult(ask, Status.UNAVAILABLE))
         self._send_asks()
         return self._effects()
 
@@ -267,15 +270,19 @@
         """Have the set of members become another: one more, one fewer, or one in the place of
         another.
 
-        Answered OK with what it leaves once the new set is in force (`dry`: at once); CLASH with
-        `why` where it is refused; LATER where that cannot be told, and it may come to be
+        Answered OK with what it leaves once the new set is in force (`dry`: at once); CONFLICT with
+        `why` where it is refused; UNAVAILABLE where that cannot be told, and it may come to be
         nevertheless.
         """
         self._at(now)
         if not self._serving():
-            self._out.append(Answer(ask, Code.LATER, {"why": "this member is not in the chain"}))
+            self._out.append(
+                CallResult(ask, Status.UNAVAILABLE, {"why": "this member is not in the chain"})
+            )
         elif self._is_so(add, remove):
-            self._out.append(Answer(ask, Code.OK, self.outlook("", "")._replace(why="").told()))
+            self._out.append(
+                CallResult(ask, Status.OK, self.outlook("", "")._replace(why="").told())
+            )
         elif (look := self.outlook(add, remove)).why or dry:
             if (
                 add
@@ -285,9 +292,13 @@
                 self._send(
                     add, "ping", **self._ping(), **self._sets_for(add)
                 )  # its seeds may all be gone
-            self._out.append(Answer(ask, Code.CLASH if look.why else Code.OK, look.told()))
+            self._out.append(
+                CallResult(ask, Status.CONFLICT if look.why else Status.OK, look.told())
+            )
         elif self._change:
-            self._out.append(Answer(ask, Code.CLASH, {"why": "another change is under way"}))
+            self._out.append(
+                CallResult(ask, Status.CONFLICT, {"why": "another change is under way"})
+            )
         else:
             self._change = ask, now + CHANGE, add, remove
             self._go_on_changing()
@@ -947,10 +958,14 @@
             return
         ask, until, add, remove = self._change
         if self._is_so(add, remove) and self._proven[0] >= self._held.epoch:
-            self._out.append(Answer(ask, Code.OK, self.outlook("", "")._replace(why="").told()))
+            self._out.append(
+                CallResult(ask, Status.OK, self.outlook("", "")._replace(why="").told())
+            )
         elif self._now >= until:
             self._out.append(
-                Answer(ask, Code.LATER, {"why": "not agreed in time; it may come to be"})
+                CallResult(
+                    ask, Status.UNAVAILABLE, {"why": "not agreed in time; it may come to be"}
+                )
             )
         elif (
             self._attempt
@@ -960,7 +975,7 @@
         ):
             return
         elif (look := self.outlook(add, remove)).why:
-            self._out.append(Answer(ask, Code.CLASH, look.told()))
+            self._out.append(CallResult(ask, Status.CONFLICT, look.told()))
         else:
             self._propose(frozenset(), self.sets.changed(add, remove), add)
             return
@@ -1299,7 +1314,7 @@
         held = self._taken.find(life, number)
         if held is not None:
             seq, verdict = held
-            if verdict.outcome is not Outcome.TAKEN:
+            if verdict.outcome is not Outcome.ACCEPTED:
                 self._wait(seq, key, verdict)
             elif 0 <= seq <= self._committed_here():
                 self._done(key, verdict)
@@ -1314,22 +1329,22 @@
         ):
             return
         verdict = self._judge(self._state, message["key"], message["value"], epoch)
-        if verdict.outcome is Outcome.TAKEN:
+        if verdict.outcome is Outcome.ACCEPTED:
             self._take([Entry(message["key"], verdict.value, *key)])
         self._taken.note(life, number, self._last, verdict)
-        if verdict.outcome is not Outcome.TAKEN:
+        if verdict.outcome is not Outcome.ACCEPTED:
             self._wait(self._last, key, verdict)
 
-    def _wait(self, seq: int, key: tuple[str, int, int], verdict: Verdict) -> None:
+    def _wait(self, seq: int, key: tuple[str, int, int], verdict: Decision) -> None:
         """Tell what changes nothing once that write is committed, and a majority is asked."""
         if seq >= 0 and len(self._rounds) < READERS and all(one[1] != key for one in self._waiting):
             self._waiting.append((seq, key, verdict))
             self._tell_waiting()
 
-    def _done(self, key: tuple[str, int, int], verdict: Verdict) -> None:
+    def _done(self, key: tuple[str, int, int], verdict: Decision) -> None:
         origin, life, number = key
         self._send(
-            origin, "done", life=life, id=number, outcome=verdict.outcome.value, why=verdict.why
+            origin, "done", life=life, id=number, outcome=verdict.outcome.value, why=verdict.reason
         )
 
     def _committed_here(self) -> int:
@@ -1417,7 +1432,7 @@
                 self.committed[entry.key] = entry.value
             done += 1
             if self._neighbour(+1) is None:
-                self._done((entry.origin, entry.life, entry.id), Verdict(Outcome.TAKEN))
+                self._done((entry.origin, entry.life, entry.id), Decision(Outcome.ACCEPTED))
         self.version = self._joined, done
         self._acked = max(self._acked, min(done, self._sent))
         self._tell_waiting()
@@ -1450,7 +1465,7 @@
             self._now if self.counted else 1 << 62
         )  # one that was taken out can tell nothing any more: at once
         for ask, code in self._asks.over(until, epoch):
-            self._out.append(Answer(ask, code))
+            self._out.append(CallResult(ask, code))
         if not epoch or not self._able():
             return
         head, tail = self._view.chain[0], self._view.chain[-1]
@@ -1467,10 +1482,10 @@
 
     def _on_done(self, sender: str, message: dict[str, Any]) -> None:
         if message["life"] == self._life and (ask := self._asks.end(message["id"])):
-            verdict = Verdict(
+            verdict = Decision(
                 Outcome(message.get("outcome", "taken")), None, message.get("why", "")
             )
-            self._out.append(Answer(ask.ask, CODES.get(verdict.outcome, Code.OK), verdict))
+            self._out.append(CallResult(ask.ask, CODES.get(verdict.outcome, Status.OK), verdict))
 
     def _on_refused(self, sender: str, message: dict[str, Any]) -> None:
         if message["life"] == self._life:
@@ -1508,11 +1523,11 @@
             self._conclude()
 
     def _conclude(self) -> None:
-        """Answer what came before a quorum told that no later epoch was promised."""
+        """CallResult what came before a quorum told that no later epoch was promised."""
         if not self._serving():
             return
         for key, item in self._rounds.end(lambda heard: self.sets.quorum({self.me, *heard})):
-            if isinstance(item, Verdict):
+            if isinstance(item, Decision):
                 self._done(key, item)
                 continue
             origin, life, number = key
@@ -1527,7 +1542,7 @@
         if state is not None:
             self._learn_committed(version, state)
         if self.version >= version and (ask := self._asks.end(message["id"])):
-            self._out.append(Answer(ask.ask, Code.OK, dict(self.committed)))
+            self._out.append(CallResult(ask.ask, Status.OK, dict(self.committed)))
 
     # what those outside the chain learn
 
--- a/umbermoor/gateway/replication/requests.py
+++ b/umbermoor/gateway/replication/requests.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from umbermoor.gateway.effects import Code, Outcome, Verdict
+from umbermoor.gateway.effects import Decision, Outcome, Status
 
-WITHIN = 700_000  # a call that cannot be told by then is answered LATER
+WITHIN = 700_000  # a call that cannot be told by then is answered UNAVAILABLE
 AGAIN = 150_000
-MOST = 1024  # calls under way; more are answered LATER
+MOST = 1024  # calls under way; more are answered UNAVAILABLE
 LIVES, EACH = 32, 256  # what a head remembers
 
 
@@ -47,7 +47,7 @@
         if ask and ask.epoch == epoch:
             ask.epoch = 0
 
-    def over(self, now: int, epoch: int) -> list[tuple[int, Code]]:
+    def over(self, now: int, epoch: int) -> list[tuple[int, Status]]:
         """Take out what can no longer be told; `epoch` is the latest active. A put is never handed
         to two heads."""
         ended = [
@@ -55,7 +55,7 @@
             for number, ask in self._open.items()
             if now >= ask.until or (ask.put is not None and 0 < ask.epoch < epoch)
         ]
-        return [(self._open.pop(number).ask, Code.LATER) for number in ended]
+        return [(self._open.pop(number).ask, Status.UNAVAILABLE) for number in ended]
 
     def due(self, now: int, epoch: int) -> list[tuple[int, Ask]]:
         """What is to be sent now in that epoch, marked as sent."""
@@ -76,22 +76,22 @@
     the same verdict.
 
     >>> taken = Taken()
-    >>> taken.note(7, 1, 12, Verdict(Outcome.SAME))
+    >>> taken.note(7, 1, 12, Decision(Outcome.UNCHANGED))
     >>> taken.find(7, 1)[0], taken.find(7, 2)
     (12, None)
     """
 
-    _lives: OrderedDict[int, tuple[dict[int, tuple[int, Verdict]], list[int]]] = field(
+    _lives: OrderedDict[int, tuple[dict[int, tuple[int, Decision]], list[int]]] = field(
         default_factory=OrderedDict
     )
 
-    def find(self, life: int, number: int) -> tuple[int, Verdict] | None:
+    def find(self, life: int, number: int) -> tuple[int, Decision] | None:
         """After which write it is done, and its verdict without a value; None if it was not judged;
         -1 if that cannot be told any more."""
         ids, floor = self._lives.get(life, ({}, [0]))
-        return ids.get(number, (-1, Verdict(Outcome.OLDER)) if number <= floor[0] else None)
+        return ids.get(number, (-1, Decision(Outcome.STALE)) if number <= floor[0] else None)
 
-    def note(self, life: int, number: int, seq: int, verdict: Verdict) -> None:
+    def note(self, life: int, number: int, seq: int, verdict: Decision) -> None:
         ids, floor = self._lives.setdefault(life, ({}, [0]))
         self._lives.move_to_end(life)
         ids[number] = seq, verdict._replace(value=None)
--- a/umbermoor/gateway/replication/store.py
+++ b/umbermoor/gateway/replication/store.py
@@ -23,7 +23,7 @@
 
 import lmdb
 
-from umbermoor.gateway.effects import Unreadable
+from umbermoor.gateway.effects import UnsupportedFormatError
 from umbermoor.gateway.replication import pages
 
 FORMAT = 2  # 1: values alone, without digests or manifest; read, and written anew as 2
@@ -210,7 +210,7 @@
                 raise Rotten(f"record {key!r} is not what was written")
             digests[key] = int.from_bytes(mark, "big")
         if numbered(held, "format") > FORMAT:
-            raise Unreadable(
+            raise UnsupportedFormatError(
                 f"{self.path}: format {numbered(held, 'format')}, and this revision reads up to {FORMAT}"
             )
         if held != manifest(digests, txn):
@@ -281,7 +281,7 @@
 )
 
 
-FAULTS = (pages.Torn, Rotten, Unreadable, lmdb.Error)  # what a start would find
+FAULTS = (pages.Torn, Rotten, UnsupportedFormatError, lmdb.Error)  # what a start would find
 
 
 def verify(path: str) -> tuple[int, int]:
--- a/umbermoor/gateway/rollout/core.py
+++ b/umbermoor/gateway/rollout/core.py
@@ -12,7 +12,7 @@
 from math import exp, log, sqrt
 from typing import Any
 
-from umbermoor.gateway.effects import Code, Outcome
+from umbermoor.gateway.effects import Outcome, Status
 from umbermoor.gateway.rollout.plan import (
     ALL,
     LEAST,
@@ -119,8 +119,8 @@
 
     def begin(
         self, now: int, service: str, target: str, ramp_s: float, present: list[str]
-    ) -> Record | Code:
-        """An operator's order: the record to put, OK if nothing is to change, CLASH or WRONG.
+    ) -> Record | Status:
+        """An operator's order: the record to put, OK if nothing is to change, CONFLICT or INVALID.
         `ramp_s` in seconds; `present` names the revisions of the service's listed machines."""
         if (
             not target
@@ -128,23 +128,23 @@
             or isinstance(ramp_s, bool)
             or not (isinstance(ramp_s, (int, float)) and 0 < ramp_s < float("inf"))
         ):
-            return Code.WRONG
+            return Status.INVALID
         held = self.orders.get(service)
         told = judge_begin(
             held.record if held else None, ask(target, ramp_s, present), lambda: True
         )
         return (
             told.value
-            if told.outcome is Outcome.TAKEN
-            else Code.OK
-            if told.outcome is Outcome.SAME
-            else Code.CLASH
+            if told.outcome is Outcome.ACCEPTED
+            else Status.OK
+            if told.outcome is Outcome.UNCHANGED
+            else Status.CONFLICT
         )
 
-    def read(self, service: str) -> dict[str, str] | Code:
+    def read(self, service: str) -> dict[str, str] | Status:
         """What an operator reads: state and target."""
         held = self.orders.get(service)
-        return {key: held.record[key] for key in ("state", "target")} if held else Code.UNKNOWN
+        return {key: held.record[key] for key in ("state", "target")} if held else Status.NOT_FOUND
 
     def record(self, now: int, service: str, record: Record | None) -> None:
         """The durable record, as news brings it. Older ones are ignored."""
--- a/umbermoor/gateway/rollout/trial.py
+++ b/umbermoor/gateway/rollout/trial.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from umbermoor.gateway.effects import Outcome, Verdict
+from umbermoor.gateway.effects import Decision, Outcome
 from umbermoor.gateway.rollout.plan import Record, earliest, newer
 
 KNOWN = 32  # orders of a service that are known again
@@ -51,7 +51,7 @@
     return [] if last is None else last.get("known") or [[last["target"], ""]]
 
 
-def judge_begin(last: Record | None, asked: dict[str, Any], named: Callable[[], bool]) -> Verdict:
+def judge_begin(last: Record | None, asked: dict[str, Any], named: Callable[[], bool]) -> Decision:
     """What an order comes to. `named`: whether the configuration in force names the service.
 
     >>> first = judge_begin(None, ask("v2", 12, ["v1", "v2"]), lambda: True)
@@ -59,7 +59,7 @@
     ('taken', ['v1'])
     >>> judge_begin(first.value, ask("v2", 12, []), lambda: True).outcome.value
     'same'
-    >>> judge_begin(first.value, ask("v3", 12, []), lambda: True).why
+    >>> judge_begin(first.value, ask("v3", 12, []), lambda: True).reason
     'target: another is under way, v2'
     >>> settled = first.value | {"state": "settled"}
     >>> third = judge_begin(settled, ask("v3", 12, []), lambda: True).value
@@ -73,12 +73,12 @@
     if not (isinstance(target, str) and isinstance(key, str)):
         raise TypeError
     if [target, key] in known or (not key and any(target == one for one, _ in known)):
-        return Verdict(Outcome.SAME)
+        return Decision(Outcome.UNCHANGED)
     if last and last["state"] == "running":
-        return Verdict(Outcome.CLASH, None, f"target: another is under way, {last['target']}")
+        return Decision(Outcome.CONFLICT, None, f"target: another is under way, {last['target']}")
     if last is None and not asked["present"] and not named():
-        return Verdict(Outcome.UNKNOWN, None, "service: unknown, and no machine of it is known")
-    return Verdict(Outcome.TAKEN, first_record(last, asked))
+        return Decision(Outcome.NOT_FOUND, None, "service: unknown, and no machine of it is known")
+    return Decision(Outcome.ACCEPTED, first_record(last, asked))
 
 
 def step(record: Record, on: Record, epoch: int) -> Record:
@@ -87,11 +87,11 @@
     return record | {"on": [on["order"], on["serial"]], "epoch": epoch}
 
 
-def judge_step(last: Record | None, new: Record, epoch: int) -> Verdict:
+def judge_step(last: Record | None, new: Record, epoch: int) -> Decision:
     """Whether a stage still stands upon the record and the epoch that it was decided on."""
     if new["epoch"] != epoch:
-        return Verdict(Outcome.OLDER, None, "epoch: it was decided under another")
+        return Decision(Outcome.STALE, None, "epoch: it was decided under another")
     if last is None or new["on"] != [last["order"], last["serial"]]:
-        return Verdict(Outcome.OLDER, None, "it was decided on another record")
+        return Decision(Outcome.STALE, None, "it was decided on another record")
     record = {key: value for key, value in new.items() if key not in ("on", "epoch", "begin")}
-    return Verdict(Outcome.TAKEN, record) if newer(record, last) else Verdict(Outcome.OLDER)
+    return Decision(Outcome.ACCEPTED, record) if newer(record, last) else Decision(Outcome.STALE)
--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -29,7 +29,7 @@
 from umbermoor.gateway.distribution.deltas import Carrier
 from umbermoor.gateway.distribution.reader import Reader as Pulls
 from umbermoor.gateway.distribution.reader import Teller
-from umbermoor.gateway.effects import Answer, Code, Effect, Outcome, Send, Verdict, Write
+from umbermoor.gateway.effects import CallResult, Decision, Effect, Outcome, Send, Status, Write
 from umbermoor.gateway.replication.anti_entropy import Compare
 from umbermoor.gateway.replication.replica import Member
 from umbermoor.gateway.replication.store import Store
@@ -55,7 +55,13 @@
 LATER = Reply(503, b"", ((b"retry-after", b"0.2"),))
 FULL = b'{"error": "the disk is full: what is held stays and is read; a smaller one may be taken"}'
 SWEEP = 10 * SECOND  # us: from the end of a look at the disk to the next
-STATUS = {Code.OK: 200, Code.LATER: 503, Code.CLASH: 409, Code.WRONG: 422, Code.UNKNOWN: 404}
+STATUS = {
+    Status.OK: 200,
+    Status.UNAVAILABLE: 503,
+    Status.CONFLICT: 409,
+    Status.INVALID: 422,
+    Status.NOT_FOUND: 404,
+}
 MACHINES = "machines"
 KEY_MOST = 64  # characters of an order's key
 SAVE = SECOND  # us: the list of machines is written no more often
@@ -139,13 +145,13 @@
         )
         answer = await self.ask(lambda now, number: self.member.put(now, number, CONFIG, value))
         event(
-            "taken" if answer.code is Code.OK else "untaken",
+            "taken" if answer.status is Status.OK else "untaken",
             what="configuration",
             revision=body["revision"],
-            code=answer.code.value,
+            code=answer.status.value,
             **self.outcome(answer),
         )
-        if answer.code is Code.LATER and self.store.full:
+        if answer.status is Status.UNAVAILABLE and self.store.full:
             return Reply(503, FULL, LATER.headers)
         return self.told(answer)
 
@@ -160,26 +166,26 @@
             await asyncio.sleep(0)
 
     @staticmethod
-    def outcome(answer: Answer) -> dict[str, Any]:
+    def outcome(answer: CallResult) -> dict[str, Any]:
         """For the log."""
-        return {"outcome": answer.value.outcome.value} if isinstance(answer.value, Verdict) else {}
+        return {"outcome": answer.value.outcome.value} if isinstance(answer.value, Decision) else {}
 
     @staticmethod
-    def told(answer: Answer) -> Reply:
+    def told(answer: CallResult) -> Reply:
         """What an order's caller is told."""
-        if answer.code is Code.OK:
+        if answer.status is Status.OK:
             return Reply(200)
-        if answer.code is Code.LATER:
+        if answer.status is Status.UNAVAILABLE:
             return LATER
         return wrong(
-            STATUS[answer.code],
-            answer.value.why if isinstance(answer.value, Verdict) else answer.code.value,
+            STATUS[answer.status],
+            answer.value.reason if isinstance(answer.value, Decision) else answer.status.value,
         )
 
     @call("GET", "/Config.Read")
     async def config(self, ask: Call) -> Reply:
         answer = await self.ask(self.member.read)
-        if answer.code is not Code.OK:
+        if answer.status is not Status.OK:
             return LATER
         held = answer.value.get(CONFIG)
         if held is None:
@@ -251,8 +257,8 @@
         # the order changes nothing.
         last = self.member.committed.get(ROLLOUT + service)
         own = judge_begin(last, order, lambda: True)
-        if own.outcome is Outcome.CLASH and not self.member.judged:
-            return wrong(STATUS[Code.CLASH], own.why) if self.connected() else LATER
+        if own.outcome is Outcome.CONFLICT and not self.member.judged:
+            return wrong(STATUS[Status.CONFLICT], own.reason) if self.connected() else LATER
         value = (own.value or last) | {"begin": order}
         answer = await self.ask(
             lambda now, number: self.member.put(now, number, ROLLOUT + service, value)
@@ -262,7 +268,7 @@
             service=service,
             target=target,
             ramp_s=ramp,
-            code=answer.code.value,
+            code=answer.status.value,
             **self.outcome(answer),
         )
         return self.told(answer)
@@ -270,7 +276,7 @@
     @call("GET", "/Rollouts.Read/")
     async def rollout(self, ask: Call) -> Reply:
         answer = await self.ask(self.member.read)
-        if answer.code is not Code.OK:
+        if answer.status is not Status.OK:
             return LATER
         record = answer.value.get(ROLLOUT + ask.name)
         if record is None:
@@ -368,17 +374,17 @@
             add=add or "none",
             remove=remove or "none",
             dry=dry,
-            code=answer.code.value,
+            code=answer.status.value,
             set=told.get("number", ""),
             why=told.get("why", ""),
         )
-        if answer.code is Code.LATER:
+        if answer.status is Status.UNAVAILABLE:
             return LATER
         return reply(
-            STATUS[answer.code], {**told, "error": told["why"]} if told.get("why") else told
+            STATUS[answer.status], {**told, "error": told["why"]} if told.get("why") else told
         )
 
-    async def ask(self, put: Any, within: float = 0.9) -> Answer:
+    async def ask(self, put: Any, within: float = 0.9) -> CallResult:
         """Passes a call to the chain and waits for its end."""
         self.number += 1
         number, future = self.number, asyncio.get_running_loop().create_future()
@@ -388,7 +394,7 @@
             async with asyncio.timeout(within):
                 return await future
         except TimeoutError:
-            return Answer(number, Code.LATER)
+            return CallResult(number, Status.UNAVAILABLE)
         finally:
             self.asks.pop(number, None)
 
@@ -476,8 +482,8 @@
                 ).add_done_callback(
                     lambda done, token=effect.token: self.written(token, done.result())
                 )
-            elif isinstance(effect, Answer):
-                future = self.asks.get(effect.ask)
+            elif isinstance(effect, CallResult):
+                future = self.asks.get(effect.request_id)
                 if future is not None and not future.done():
                     future.set_result(effect)
         if self.member.version != self.learnt:
--- a/umbermoor/gateway/simulation/register.py
+++ b/umbermoor/gateway/simulation/register.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from umbermoor.gateway.effects import Answer, Code, Outcome, Send, Verdict, Write
+from umbermoor.gateway.effects import CallResult, Decision, Outcome, Send, Status, Write
 from umbermoor.gateway.replication.replica import Judge, Member
 
 MS = 1000
@@ -25,10 +25,10 @@
     """A promise of the register was broken."""
 
 
-def judge(held: Mapping[str, Any], key: str, new: Any, epoch: int) -> Verdict:
+def judge(held: Mapping[str, Any], key: str, new: Any, epoch: int) -> Decision:
     """Revisions rise, except under keys that take whatever comes."""
     taken = key.startswith("any/") or key not in held or new["rev"] > held[key]["rev"]
-    return Verdict(Outcome.TAKEN, new) if taken else Verdict(Outcome.OLDER)
+    return Decision(Outcome.ACCEPTED, new) if taken else Decision(Outcome.STALE)
 
 
 @dataclass
@@ -51,7 +51,7 @@
     began: int
     put: tuple[str, Any] | None
     floor: dict[str, int]  # per key the revision that was told before it began
-    answered: Code | None = None
+    answered: Status | None = None
 
 
 class Model:
@@ -172,7 +172,7 @@
         machine.ended = self.now
         for call in self.calls.values():
             if call.machine == name and call.answered is None:
-                call.answered = Code.LATER
+                call.answered = Status.UNAVAILABLE
 
     def lose_disk(self, name: str) -> bool:
         """Stop it and wipe its disk, if that many may be lost."""
@@ -210,7 +210,7 @@
                 assert machine.pending is None, "two writes at once"
                 machine.pending = effect.token, dict(effect.puts)
                 self._sync(machine, machine.life, effect.token)
-            elif isinstance(effect, Answer):
+            elif isinstance(effect, CallResult):
                 self._answered(effect)
 
     def _sync(self, machine: Machine, life: int, token: int) -> None:
@@ -279,14 +279,14 @@
             self._do(machine, machine.member.read(self.now, number))
         return number
 
-    def _answered(self, answer: Answer) -> None:
-        call, told = self.calls[answer.ask], self.model.told
+    def _answered(self, answer: CallResult) -> None:
+        call, told = self.calls[answer.request_id], self.model.told
         if call.answered is not None:
             raise Broken(f"{call} was answered twice")
-        call.answered = answer.code
+        call.answered = answer.status
         if self.now - call.began > 800 * MS:
             raise Broken(f"{call} was answered after {self.now - call.began}")
-        if answer.code is not Code.OK:
+        if answer.status is not Status.OK:
             self.model.later += 1
         elif call.put:
             self.model.puts += 1
@@ -360,7 +360,7 @@
         for name in self.names:
             for number in (self.put(name, "config/last"), self.read(name)):
                 self.run(900 * MS)
-                if self.calls[number].answered is not Code.OK:
+                if self.calls[number].answered is not Status.OK:
                     raise Broken(f"{name} answers {self.calls[number].answered} once all is well")
         for machine in self.machines.values():
             assert machine.member
