--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -462,7 +462,8 @@
                 self.carry(self.member.message(now, line.peer, body))
 
     def learn(self, now: int, entries: list[Entry]) -> None:
-        if any(self.registry.take(now, entry) for entry in entries):
+        changed = [self.registry.take(now, entry) for entry in entries]  # each one is to be taken
+        if any(changed):
             self.tell_soon()
 
     def lost(self, line: Line) -> None:
