--- a/umbermoor/gateway/__main__.py
+++ b/umbermoor/gateway/__main__.py
@@ -21,27 +21,27 @@
     import asyncio
     import os
 
-    from umbermoor.gateway.config.errors import Fault
-    from umbermoor.gateway.config.node_settings import read_papers
+    from umbermoor.gateway.config.errors import ValidationError
+    from umbermoor.gateway.config.node_settings import read_node_settings
     from umbermoor.gateway.effects import UnsupportedFormatError
     from umbermoor.gateway.server import events
 
     path = os.environ.get("UMBERMOOR_SETTINGS", "/etc/umbermoor/settings.toml")
-    papers = read_papers(path)
-    if isinstance(papers, Fault):
-        print(papers, file=sys.stderr)
+    settings = read_node_settings(path)
+    if isinstance(settings, ValidationError):
+        print(settings, file=sys.stderr)
         return 2
     needed = ("front", "ready") if program == "vane" else ("control",)
-    if missing := [name for name in needed if name not in papers.listen]:
+    if missing := [name for name in needed if name not in settings.listen]:
         print(f"settings: listen.{missing[0]}: missing, {program} serves it", file=sys.stderr)
         return 2
-    events.start(program, papers.name)
+    events.start(program, settings.name)
     if program == "vane":
         from umbermoor.gateway.server.proxy import serve
     else:
         from umbermoor.gateway.server.controller import serve
     try:
-        asyncio.run(serve(papers, path))
+        asyncio.run(serve(settings, path))
     except UnsupportedFormatError as error:
         print(f"settings: dataDir: {error}", file=sys.stderr)
         return 2
--- a/umbermoor/gateway/cli/command.py
+++ b/umbermoor/gateway/cli/command.py
@@ -17,8 +17,8 @@
 
 from umbermoor.gateway.cli.caller import Caller, Nobody, Told
 from umbermoor.gateway.config.configuration import parse
-from umbermoor.gateway.config.errors import Fault
-from umbermoor.gateway.config.node_settings import read_papers
+from umbermoor.gateway.config.errors import ValidationError
+from umbermoor.gateway.config.node_settings import read_node_settings
 
 EXPORT = 1  # format of an export
 LOOK = 0.5  # s between two looks at a roll-out
@@ -99,11 +99,11 @@
     return held if isinstance(held, dict) else None
 
 
-def _read_file(path: Path) -> bytes | Fault:
+def _read_file(path: Path) -> bytes | ValidationError:
     try:
         return path.read_bytes()
     except OSError as error:
-        return Fault("", str(path), error.strerror or "cannot be read")
+        return ValidationError("", str(path), error.strerror or "cannot be read")
 
 
 @app.command(name="vane")
@@ -141,10 +141,10 @@
 @check.command(name="settings")
 def check_settings(file: Path) -> int:
     """Checks a settings file."""
-    papers = read_papers(str(file))
-    if isinstance(papers, Fault):
-        return _complain(str(papers), Exit.BAD)
-    _say(f"{file}: sound, {papers.name} in {papers.zone}")
+    settings = read_node_settings(str(file))
+    if isinstance(settings, ValidationError):
+        return _complain(str(settings), Exit.BAD)
+    _say(f"{file}: sound, {settings.name} in {settings.zone}")
     return Exit.DONE
 
 
@@ -152,8 +152,8 @@
 def check_configuration(file: Path) -> int:
     """Checks a configuration."""
     raw = _read_file(file)
-    held = raw if isinstance(raw, Fault) else parse(raw)
-    if isinstance(held, Fault):
+    held = raw if isinstance(raw, ValidationError) else parse(raw)
+    if isinstance(held, ValidationError):
         return _complain(str(held), Exit.BAD)
     _say(f"{file}: sound, revision {held.body['revision']}, {len(held.body['routes'])} routes")
     return Exit.DONE
@@ -187,8 +187,8 @@
     """Checks a configuration and puts it. One that is not above the one held changes nothing, and
     is taken too."""
     raw = _read_file(file)
-    held = raw if isinstance(raw, Fault) else parse(raw)
-    if isinstance(held, Fault):
+    held = raw if isinstance(raw, ValidationError) else parse(raw)
+    if isinstance(held, ValidationError):
         return _complain(str(held), Exit.BAD)
     caller = Caller(at, within_s)
     told = caller.call("POST", "/Config.Replace", raw)
@@ -489,14 +489,15 @@
         Says what it would change, and puts nothing.
     """
     raw = _read_file(file)
-    table = None if isinstance(raw, Fault) else _table(raw)
-    if isinstance(raw, Fault) or table is None or table.get("format") != EXPORT:
+    table = None if isinstance(raw, ValidationError) else _table(raw)
+    if isinstance(raw, ValidationError) or table is None or table.get("format") != EXPORT:
         return _complain(
-            f"{file}: {raw if isinstance(raw, Fault) else 'no export of this format'}", Exit.BAD
+            f"{file}: {raw if isinstance(raw, ValidationError) else 'no export of this format'}",
+            Exit.BAD,
         )
     text = str(table.get("configuration", ""))
     held = parse(text.encode())
-    if isinstance(held, Fault):
+    if isinstance(held, ValidationError):
         return _complain(f"{file}: configuration: {held}", Exit.BAD)
     caller = Caller(at, within_s)
     told = caller.call("GET", "/Config.Read")
--- a/umbermoor/gateway/config/__init__.py
+++ b/umbermoor/gateway/config/__init__.py
@@ -1,6 +1,6 @@
-"""The almanac: what a process is told. Its settings file, the operator's configurations, and routes
-compiled from one.
+"""Reads and validates what a process is told: its settings file and the operator's configurations.
 
-`papers` and `configuration` need cerberus and load it when they first check something; `routes`
-does without.
+Open `node_settings.NodeSettings` and `configuration.parse` first. What is invalid comes back as an
+`errors.ValidationError`. cerberus is loaded when something is first checked. This package imports
+no other part of the gateway.
 """
--- a/umbermoor/gateway/config/errors.py
+++ b/umbermoor/gateway/config/errors.py
@@ -1,24 +1,33 @@
-"""What is wrong with something that was read, as a value."""
+"""What is wrong with settings or a configuration, as a value that is returned and not raised."""
 
 from typing import Any, NamedTuple
 
-_LONGEST = 200
+MAX_TEXT_LENGTH = 200
+_ELLIPSIS = "..."
 
 
-class Fault(NamedTuple):
-    """One thing that is wrong; its text is one line."""
+class ValidationError(NamedTuple):
+    """The first thing found wrong with a document; its text is one line.
 
-    where: str  # what holds the key: "route r-1", "service a", "settings"; "" where it is the whole
-    key: str  # dotted where it lies deeper: "mix.0.gain"; "" where there is none
-    what: str
+    Attributes:
+        location: What holds the key: "route r-1", "service a", "settings"; "" for the document.
+        key: The key, dotted where it lies deeper ("mix.0.gain"); "" where there is none.
+        reason: What is wrong with it.
+    """
+
+    location: str
+    key: str
+    reason: str
 
     def __str__(self) -> str:
         line = ": ".join(" ".join(part.split()) for part in self if part)
-        return line if len(line) <= _LONGEST else line[: _LONGEST - 3] + "..."
+        if len(line) <= MAX_TEXT_LENGTH:
+            return line
+        return line[: MAX_TEXT_LENGTH - len(_ELLIPSIS)] + _ELLIPSIS
 
 
-def first_fault(where: str, errors: Any) -> Fault:
-    """The first of what cerberus found: its `errors`, tables and lists in one another."""
+def first_cerberus_error(location: str, errors: Any) -> ValidationError:
+    """The first of the `errors` of a cerberus validator, which are dicts and lists, nested."""
     keys = []
     while not isinstance(errors, str):
         if isinstance(errors, dict):
@@ -26,4 +35,4 @@
             keys.append(str(key))
         else:
             errors = errors[0]
-    return Fault(where, ".".join(keys), errors)
+    return ValidationError(location, ".".join(keys), errors)
--- a/umbermoor/gateway/config/node_settings.py
+++ b/umbermoor/gateway/config/node_settings.py
@@ -1,5 +1,10 @@
-"""A process's papers: its settings file (DEPLOY.md, "What a process is told"), times as whole
-microseconds."""
+"""The start settings of one process, read from its TOML settings file.
+
+`NodeSettings` is the type to open first. `parse_node_settings` is the only place where the file's
+keys (DEPLOY.md, "What a process is told") are read; from there on the fields carry the gateway's
+own names, and every time is a whole number of microseconds. What is wrong with a file is returned
+as a `ValidationError`, not raised. cerberus is loaded when a file is first checked.
+"""
 
 import math
 import tomllib
@@ -8,192 +13,233 @@
 from functools import cache
 from typing import Any
 
-from umbermoor.gateway.config.errors import Fault, first_fault
-from umbermoor.gateway.config.quantities import us
+from umbermoor.gateway.config.errors import ValidationError, first_cerberus_error
+from umbermoor.gateway.config.quantities import to_microseconds
+
+MAX_PORT = 65535
 
-Figure = float | bool
-Place = tuple[str, int]  # IP address, port
+MarginValue = float | bool
+SocketAddress = tuple[str, int]  # IP address, port
 
 
 @dataclass(frozen=True, slots=True)
-class Papers:
-    """What the settings file says. Unknown fields are skipped; absent ones have the values
-    shown."""
+class NodeSettings:
+    """What the settings file says; unknown keys are skipped, absent ones have the defaults here.
+
+    Attributes:
+        name: Name of this process, unique in the system.
+        role: The role that the deployment gives it.
+        machine_class: The class of machine that it runs on.
+        ip: The address that its own sockets listen on.
+        zone: The zone that it runs in.
+        port_range: First and last of the ports free for the gateway's own use.
+        region: The region that the zone lies in.
+        serves: The duties that the deployment gives it.
+        seeds: Control addresses of controllers to meet first, as "ip:port".
+        cold_start: Whether the whole system starts for the first time.
+        quorum_member: Whether this controller belongs to the replica set.
+        data_dir: The directory that it may keep data in; None where it has no disk.
+        heartbeat_interval_us: Time between two heartbeats of an instance, in microseconds.
+        invariants: The invariants that the deployment asks for.
+        margins: Tuning values by name; times are in seconds.
+        zones: The region of each zone.
+        listen: Addresses to serve on, by "front", "ready" and "control": whichever are there.
+        memory_mb: Memory that the process may use, in MiB.
+        descriptors: File descriptors that it may open.
+        cpu_share: Share of one core's time that it may use.
+        cores: Cores of its machine.
+        disk_mb: Disk space that it may use, in MiB.
+        tolerated_machine_losses: Machines of quorum members that may be lost at once.
+    """
 
     name: str
     role: str
     machine_class: str
     ip: str
     zone: str
-    ports: tuple[int, int]  # first and last of those free for the gateway's own use
+    port_range: tuple[int, int]
     region: str = ""
     serves: tuple[str, ...] = ()
-    seeds: tuple[str, ...] = ()  # control addresses, "ip:port"
-    cold: bool = False  # the whole system starts for the first time
-    quorum: bool = False
+    seeds: tuple[str, ...] = ()
+    cold_start: bool = False
+    quorum_member: bool = False
     data_dir: str | None = None
-    period_us: int = 1_500_000  # between a machine's beats
+    heartbeat_interval_us: int = 1_500_000
     invariants: tuple[str, ...] = ()
-    margins: Mapping[str, Figure] = field(default_factory=dict)
-    zones: Mapping[str, str] = field(default_factory=dict)  # region by zone
-    listen: Mapping[str, Place] = field(
-        default_factory=dict
-    )  # front, ready, control: whichever are there
+    margins: Mapping[str, MarginValue] = field(default_factory=dict)
+    zones: Mapping[str, str] = field(default_factory=dict)
+    listen: Mapping[str, SocketAddress] = field(default_factory=dict)
     memory_mb: float = 256
     descriptors: int = 1024
     cpu_share: float = 1.0
     cores: float = 1
     disk_mb: float = 0
-    bear_machines: int = 0  # machines with quorumMember that may be lost at once
+    tolerated_machine_losses: int = 0
 
-    def margin(self, name: str, default: Figure) -> Figure:
-        """A margin's figure as written, or the default where there is none."""
+    def margin(self, name: str, default: MarginValue) -> MarginValue:
+        """The value of a margin as written, or `default` where there is none."""
         return self.margins.get(name, default)
 
     def margin_us(self, name: str, default_s: float) -> int:
         """A margin that is a time, in microseconds; the default is in seconds."""
-        figure = self.margins.get(name, default_s)
-        return us(default_s if isinstance(figure, bool) else figure)
+        value = self.margins.get(name, default_s)
+        return to_microseconds(default_s if isinstance(value, bool) else value)
+
 
+def read_node_settings(path: str) -> NodeSettings | ValidationError:
+    """Reads the file at `path`.
 
-def read_papers(path: str) -> Papers | Fault:
-    """Reads the file at `path`; a fault if it cannot be read, is no TOML, or a field is missing or
-    odd."""
+    Returns a `ValidationError` if it cannot be read, is no TOML, or a key is missing or invalid.
+    """
     try:
         with open(path, "rb") as file:
             raw = file.read()
     except OSError as error:
-        return Fault("settings", path, error.strerror or "cannot be read")
-    return papers_from(raw)
+        return ValidationError("settings", path, error.strerror or "cannot be read")
+    return parse_node_settings(raw)
 
 
-def papers_from(raw: bytes) -> Papers | Fault:
-    """Papers from a settings file's bytes."""
+def parse_node_settings(raw: bytes) -> NodeSettings | ValidationError:
+    """The settings in the bytes of a settings file, or the first thing that is wrong with them."""
     try:
         table = tomllib.loads(raw.decode())
     except (ValueError, RecursionError) as error:
-        return Fault("settings", "", f"no TOML: {error}")
-    checker = _checker()
-    if not checker.validate(table, normalize=False):
-        return first_fault("settings", checker.errors)
+        return ValidationError("settings", "", f"no TOML: {error}")
+    validator = _validator()
+    if not validator.validate(table, normalize=False):
+        return first_cerberus_error("settings", validator.errors)
+    first_port, last_port = table["portRange"]
+    return NodeSettings(
+        name=table["nodeName"],
+        role=table["role"],
+        machine_class=table["machineClass"],
+        ip=table["ip"],
+        zone=table["zone"],
+        port_range=(first_port, last_port),
+        **_optional_fields(table),
+    )
+
+
+def _optional_fields(table: Mapping[str, Any]) -> dict[str, Any]:
+    """Those of the optional fields that a valid table states."""
     envelope = table.get("envelope", {})
-    listen = {name: _place(text) for name, text in table.get("listen", {}).items()}
-    told: dict[str, Any] = {
+    period_s = table.get("periodS")
+    fields: dict[str, Any] = {
         "region": table.get("region"),
         "serves": _tuple(table.get("serves")),
         "seeds": _tuple(table.get("seeds")),
-        "cold": table.get("coldStart"),
-        "quorum": table.get("quorumMember"),
+        "cold_start": table.get("coldStart"),
+        "quorum_member": table.get("quorumMember"),
         "data_dir": table.get("dataDir") or None,
-        "period_us": us(table["periodS"]) if "periodS" in table else None,
+        "heartbeat_interval_us": None if period_s is None else to_microseconds(period_s),
         "invariants": _tuple(table.get("invariants")),
         "margins": _margins(table.get("margins", [])),
         "zones": table.get("zones"),
-        "listen": listen,
+        "listen": {name: _address(text) for name, text in table.get("listen", {}).items()},
         "memory_mb": envelope.get("memoryMb"),
         "descriptors": envelope.get("descriptors"),
         "cpu_share": envelope.get("cpuShare"),
         "cores": envelope.get("cores"),
         "disk_mb": envelope.get("diskMb"),
-        "bear_machines": table.get("robustness", {}).get("machines"),
+        "tolerated_machine_losses": table.get("robustness", {}).get("machines"),
     }
-    first, last = table["portRange"]
-    return Papers(
-        name=table["nodeName"],
-        role=table["role"],
-        machine_class=table["machineClass"],
-        ip=table["ip"],
-        zone=table["zone"],
-        ports=(first, last),
-        **{key: value for key, value in told.items() if value is not None},
-    )
+    return {name: value for name, value in fields.items() if value is not None}
 
 
 def _tuple(texts: list[str] | None) -> tuple[str, ...] | None:
     return None if texts is None else tuple(texts)
 
 
-def _place(text: str) -> Place:
+def _address(text: str) -> SocketAddress:
     ip, _, port = text.rpartition(":")
     return ip, int(port)
 
 
-def _margins(texts: list[str] | str) -> dict[str, Figure]:
-    """Figures by name; what is no figure may be for a later reader and is skipped."""
-    margins: dict[str, Figure] = {}
+def _margins(texts: list[str] | str) -> dict[str, MarginValue]:
+    """Margins by name, from "name=value" texts; values that are no numbers are skipped.
+
+    Those may be for a later reader of the same file.
+    """
+    margins: dict[str, MarginValue] = {}
     for text in texts.split(",") if isinstance(texts, str) else texts:
         name, _, value = (part.strip() for part in text.partition("="))
         if value in ("true", "false"):
             margins[name] = value == "true"
             continue
         try:
-            figure = float(value)
+            number = float(value)
         except ValueError:
             continue
-        if math.isfinite(figure):
-            margins[name] = figure
+        if math.isfinite(number):
+            margins[name] = number
     return margins
 
 
+def _check_finite(field: str, value: Any, error: Any) -> None:
+    if not math.isfinite(value):
+        error(field, "must be a finite number")
+
+
+def _check_address(field: str, value: str, error: Any) -> None:
+    ip, _, port = value.rpartition(":")
+    if not ip or not port.isdecimal() or int(port) > MAX_PORT:
+        error(field, f"must be ip:port, not {value!r}")
+
+
+def _check_ascending(field: str, value: list[int], error: Any) -> None:
+    if len(value) == 2 and value[0] > value[1]:
+        error(field, "must not fall")
+
+
+_TEXT = {"type": "string"}
+_REQUIRED_TEXT = {"type": "string", "required": True, "empty": False}
+_TEXTS = {"type": "list", "schema": _TEXT}
+_FLAG = {"type": "boolean"}
+_AMOUNT = {"type": "number", "min": 0, "check_with": _check_finite}
+_COUNT = {"type": "integer", "min": 0}
+_PORT = {"type": "integer", "min": 1, "max": MAX_PORT}
+_ADDRESS = {"type": "string", "check_with": _check_address}
+_SCHEMA = {
+    "nodeName": _REQUIRED_TEXT,
+    "role": _REQUIRED_TEXT,
+    "machineClass": _REQUIRED_TEXT,
+    "ip": _REQUIRED_TEXT,
+    "zone": _REQUIRED_TEXT,
+    "region": _TEXT,
+    "portRange": {
+        "type": "list",
+        "required": True,
+        "minlength": 2,
+        "maxlength": 2,
+        "schema": _PORT,
+        "check_with": _check_ascending,
+    },
+    "serves": _TEXTS,
+    "seeds": {"type": "list", "schema": _ADDRESS},
+    "coldStart": _FLAG,
+    "quorumMember": _FLAG,
+    "dataDir": _TEXT,
+    "periodS": {"type": "number", "min": 0.001, "check_with": _check_finite},
+    "invariants": _TEXTS,
+    "margins": {"anyof": [_TEXTS, _TEXT]},
+    "zones": {"type": "dict", "valuesrules": _TEXT},
+    "listen": {"type": "dict", "valuesrules": _ADDRESS},
+    "envelope": {
+        "type": "dict",
+        "schema": {
+            "cpuShare": _AMOUNT,
+            "cores": _AMOUNT,
+            "memoryMb": _AMOUNT,
+            "descriptors": _COUNT,
+            "diskMb": _AMOUNT,
+        },
+    },
+    "robustness": {"type": "dict", "schema": {"machines": _COUNT}},
+}
+
+
 @cache
-def _checker() -> Any:
+def _validator() -> Any:
     from cerberus import Validator
 
-    def finite(field: str, value: Any, error: Any) -> None:
-        if not math.isfinite(value):
-            error(field, "must be a finite number")
-
-    def place(field: str, value: str, error: Any) -> None:
-        ip, _, port = value.rpartition(":")
-        if not ip or not port.isdecimal() or int(port) > 65535:
-            error(field, f"must be ip:port, not {value!r}")
-
-    def rising(field: str, value: list[int], error: Any) -> None:
-        if len(value) == 2 and value[0] > value[1]:
-            error(field, "must not fall")
-
-    text = {"type": "string"}
-    named = {"type": "string", "required": True, "empty": False}
-    texts = {"type": "list", "schema": text}
-    flag = {"type": "boolean"}
-    amount = {"type": "number", "min": 0, "check_with": finite}
-    count = {"type": "integer", "min": 0}
-    port = {"type": "integer", "min": 1, "max": 65535}
-    schema = {
-        "nodeName": named,
-        "role": named,
-        "machineClass": named,
-        "ip": named,
-        "zone": named,
-        "region": text,
-        "portRange": {
-            "type": "list",
-            "required": True,
-            "minlength": 2,
-            "maxlength": 2,
-            "schema": port,
-            "check_with": rising,
-        },
-        "serves": texts,
-        "seeds": {"type": "list", "schema": {"type": "string", "check_with": place}},
-        "coldStart": flag,
-        "quorumMember": flag,
-        "dataDir": text,
-        "periodS": {"type": "number", "min": 0.001, "check_with": finite},
-        "invariants": texts,
-        "margins": {"anyof": [texts, text]},
-        "zones": {"type": "dict", "valuesrules": text},
-        "listen": {"type": "dict", "valuesrules": {"type": "string", "check_with": place}},
-        "envelope": {
-            "type": "dict",
-            "schema": {
-                "cpuShare": amount,
-                "cores": amount,
-                "memoryMb": amount,
-                "descriptors": count,
-                "diskMb": amount,
-            },
-        },
-        "robustness": {"type": "dict", "schema": {"machines": count}},
-    }
-    return Validator(schema, allow_unknown=True)
+    return Validator(_SCHEMA, allow_unknown=True)
--- a/umbermoor/gateway/config/quantities.py
+++ b/umbermoor/gateway/config/quantities.py
@@ -1,14 +1,16 @@
-"""Times and places as the pages write them, as the gateway keeps them."""
+"""Times and host names in the form that the gateway keeps them in."""
 
+MICROSECONDS_PER_SECOND = 1_000_000
 
-def us(seconds: float) -> int:
-    """Seconds as whole microseconds, to the nearest."""
-    return round(seconds * 1_000_000)
 
+def to_microseconds(seconds: float) -> int:
+    """Seconds as whole microseconds, rounded to the nearest."""
+    return round(seconds * MICROSECONDS_PER_SECOND)
 
-def host_name(host: str) -> str:
-    """A `Host` value without its port, in lower case."""
+
+def normalize_host(host: str) -> str:
+    """A `Host` header's value in lower case, without its port."""
     host = host.strip().lower()
-    if host.startswith("["):
+    if host.startswith("["):  # an IPv6 address
         return host.partition("]")[0] + "]"
     return host.partition(":")[0]
--- a/umbermoor/gateway/routing/route_table.py
+++ b/umbermoor/gateway/routing/route_table.py
@@ -1,162 +1,204 @@
-"""Routes compiled from a checked configuration, and which of them a request's host and path
-pick."""
+"""Routes compiled from a validated configuration; a request's host and path pick one of them.
+
+Open `RouteTable` first. The configuration's keys are read here and nowhere else in the data plane.
+"""
 
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple
 
-from umbermoor.gateway.config.quantities import host_name, us
+from umbermoor.gateway.config.quantities import normalize_host, to_microseconds
+
+DEFAULT_HEALTH_CHECK_PATH = "/health"
+DEFAULT_MAX_CONNECTIONS = 100
+
+WeightedServices = tuple[tuple[str, float], ...]  # weights are above 0 and add up to 1
 
-DEFAULT_PROBE = "/health"
-DEFAULT_SATURATION = 100
 
+class ClientLimits(NamedTuple):
+    """What a client may send and how long it may take: the "envelope" of PROTOCOL.md.
 
-class Envelope(NamedTuple):
-    """What a client may send and how long it may take (PROTOCOL.md, "The operator"); idle_us is a
-    free wait."""
+    Attributes:
+        header_bytes: Most bytes of a request's head.
+        body_bytes: Most bytes of a request's body.
+        header_timeout_us: Longest time to send a head, in microseconds.
+        idle_timeout_us: Longest time that a connection may stay idle, in microseconds.
+    """
 
     header_bytes: int = 16_384
     body_bytes: int = 64 << 20
-    header_us: int = 3_000_000
-    idle_us: int = 15_000_000
+    header_timeout_us: int = 3_000_000
+    idle_timeout_us: int = 15_000_000
 
 
 class Service(NamedTuple):
-    """What holds for all machines of a service."""
+    """What holds for all instances of a service.
+
+    Attributes:
+        name: Its name in the configuration.
+        health_check_path: The path that answers whether an instance is healthy.
+        max_connections: Connections that an instance accepts from all callers together.
+        protocol: The protocol that instances speak, such as "h1".
+        tls: Whether they speak it over TLS.
+    """
 
     name: str
-    probe: str  # path
-    saturation: int  # connections a machine accepts from all callers together
+    health_check_path: str
+    max_connections: int
     protocol: str
     tls: bool
 
 
 class Route:
-    """Where requests of one host and prefix go, and what may be done with them."""
+    """Where requests of one host and prefix go, and what may be done with them.
+
+    Attributes:
+        name: Its name in the configuration.
+        host: In lower case, without port.
+        prefix: Of the path; begins and ends with a slash.
+        idempotent: Whether a request may run more than once ("safe").
+        timeout_us: Longest time that a request may be held ("horizonS"), in microseconds.
+        latency_target_us: A response within it earns its full value ("setpointS"), in
+            microseconds; the timeout where none is stated.
+        priority: 0 is highest.
+        max_attempts: Most instances that one request may go to ("tries").
+        weighted_services: Services and their weights ("mix").
+    """
 
     __slots__ = (
-        "horizon_us",
         "host",
-        "mix",
+        "idempotent",
+        "latency_target_us",
+        "max_attempts",
         "name",
         "prefix",
         "priority",
-        "safe",
-        "setpoint_us",
-        "tries",
+        "timeout_us",
+        "weighted_services",
     )
 
     name: str
-    host: str  # lower case, without port
+    host: str
     prefix: str
-    safe: bool  # may run more than once
-    horizon_us: int  # the longest a request may be held
-    setpoint_us: int  # an answer within it earns its full worth; the horizon where none is stated
-    priority: float  # 0 is highest
-    tries: int  # the most machines one try may go to
-    mix: tuple[
-        tuple[str, float], ...
-    ]  # services and their shares, which are over 0 and add up to 1
+    idempotent: bool
+    timeout_us: int
+    latency_target_us: int
+    priority: float
+    max_attempts: int
+    weighted_services: WeightedServices
 
     def __init__(
-        self, name: str, host: str, mix: tuple[tuple[str, float], ...], table: Mapping[str, Any]
+        self, name: str, host: str, weighted_services: WeightedServices, table: Mapping[str, Any]
     ) -> None:
-        horizon = table["horizonS"]
-        setpoint = table.get("setpointS")
+        timeout_s = table["horizonS"]
+        target_s = table.get("setpointS")
         tries = table.get("tries")
         self.name = name
         self.host = host
         self.prefix = table["prefix"]
-        self.safe = table["kind"] == "safe"
-        self.horizon_us = max(1, us(horizon))
-        self.setpoint_us = self.horizon_us if setpoint is None else max(0, us(setpoint))
+        self.idempotent = table["kind"] == "safe"
+        self.timeout_us = max(1, to_microseconds(timeout_s))
+        self.latency_target_us = (
+            self.timeout_us if target_s is None else max(0, to_microseconds(target_s))
+        )
         self.priority = table.get("priority") or 0
-        self.tries = 1 if tries is None else int(tries)
-        self.mix = mix
+        self.max_attempts = 1 if tries is None else int(tries)
+        self.weighted_services = weighted_services
 
-    def service_for(self, chance: float) -> str:
+    def service_for(self, draw: float) -> str:
         """The service for a number drawn evenly from 0 up to 1."""
-        for service, share in self.mix:
-            if chance < share:
+        for service, weight in self.weighted_services:
+            if draw < weight:
                 return service
-            chance -= share
-        return self.mix[-1][0]
+            draw -= weight
+        return self.weighted_services[-1][0]
 
     def __repr__(self) -> str:
         return f"Route({self.name!r}, {self.host!r}, {self.prefix!r})"
 
 
-class Routes:
-    """A configuration as fronts use it; never changed once built. About 0.5 KB a route, texts
-    included."""
+class RouteTable:
+    """A configuration as proxies use it; never changed once built.
 
-    __slots__ = ("_hosts", "_longest", "envelope", "revision", "revision_text", "services")
+    Takes about 0.5 KB a route, texts included.
+    """
+
+    __slots__ = (
+        "_longest_prefix",
+        "_routes_by_host",
+        "client_limits",
+        "revision",
+        "revision_text",
+        "services",
+    )
 
     def __init__(self, body: Mapping[str, Any]) -> None:
-        """From a decoded configuration that `configuration.check` found sound; keeps its texts, not
-        its tables."""
+        """Compiles a decoded configuration that `configuration.check` found valid.
+
+        Keeps its texts, not its tables. Raises KeyError, TypeError or ValueError on an invalid one.
+        """
         self.revision_text: str = body["revision"]
         self.revision = int(self.revision_text, 16)
         self.services: dict[str, Service] = {
             name: _service(name, table) for name, table in body["services"].items()
         }
-        self.envelope = _envelope(body.get("envelope") or {})
-        self._hosts: dict[str, dict[str, Route]] = {}
-        self._longest = 0  # of all prefixes
+        self.client_limits = _client_limits(body.get("envelope") or {})
+        self._routes_by_host: dict[str, dict[str, Route]] = {}
+        self._longest_prefix = 0
         hosts: dict[str, str] = {}  # equal hosts and mixes are kept once
-        mixes: dict[Any, Any] = {}
+        mixes: dict[WeightedServices, WeightedServices] = {}
         for name, table in body["routes"].items():
             host = hosts.get(table["host"])
             if host is None:
-                host = hosts[table["host"]] = host_name(table["host"])
-            mix = _mix(table)
+                host = hosts[table["host"]] = normalize_host(table["host"])
+            mix = _weighted_services(table)
             route = Route(name, host, mixes.setdefault(mix, mix), table)
-            self._hosts.setdefault(host, {})[route.prefix] = route
-            self._longest = max(self._longest, len(route.prefix))
+            self._routes_by_host.setdefault(host, {})[route.prefix] = route
+            self._longest_prefix = max(self._longest_prefix, len(route.prefix))
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of this host whose prefix is the longest that begins the path; None is a 404.
+        """The route of this host with the longest prefix of the path; None where there is none.
 
-        The host may carry a port and capitals; a query is not looked at. A few microseconds,
-        however many routes.
+        The host may carry a port and capitals; a query is ignored. Takes a few microseconds,
+        however many routes there are.
         """
-        prefixes = self._hosts.get(host) or self._hosts.get(host_name(host))
-        if prefixes is None:
+        routes = self._routes_by_host.get(host) or self._routes_by_host.get(normalize_host(host))
+        if routes is None:
             return None
         query = path.find("?")
-        end = path.rfind("/", 0, self._longest if query < 0 else min(query, self._longest))
+        longest = self._longest_prefix
+        end = path.rfind("/", 0, longest if query < 0 else min(query, longest))
         while end >= 0:
-            route = prefixes.get(path[: end + 1])
+            route = routes.get(path[: end + 1])
             if route is not None:
                 return route
             end = path.rfind("/", 0, end)
         return None
 
     def __iter__(self) -> Iterator[Route]:
-        for prefixes in self._hosts.values():
-            yield from prefixes.values()
+        for routes in self._routes_by_host.values():
+            yield from routes.values()
 
     def __len__(self) -> int:
-        return sum(map(len, self._hosts.values()))
+        return sum(map(len, self._routes_by_host.values()))
 
 
-def newer(a: str | int | None, b: str | int | None) -> bool:
-    """Whether revision `a` is above `b`; as eight hexadecimal digits or a number, None where there
-    is none."""
-    return _number(a) > _number(b)
+def is_newer(revision: str | int | None, other: str | int | None) -> bool:
+    """Whether `revision` is above `other`: hexadecimal digits or a number, None where none is."""
+    return _revision_number(revision) > _revision_number(other)
 
 
-def _number(revision: str | int | None) -> int:
+def _revision_number(revision: str | int | None) -> int:
     if revision is None:
         return -1
     return revision if isinstance(revision, int) else int(revision, 16)
 
 
-def _mix(table: Mapping[str, Any]) -> tuple[tuple[str, float], ...]:
-    parts = table.get("mix")
-    if not parts:
+def _weighted_services(table: Mapping[str, Any]) -> WeightedServices:
+    mix = table.get("mix")
+    if not mix:
         return ((table["service"], 1.0),)
     gains: dict[str, float] = {}
-    for part in parts:
+    for part in mix:
         if part["gain"] > 0:
             gains[part["service"]] = gains.get(part["service"], 0) + part["gain"]
     total = sum(gains.values())
@@ -166,27 +208,27 @@
 def _service(name: str, table: Mapping[str, Any]) -> Service:
     saturation = table.get("saturation")
     return Service(
-        name,
-        table.get("probe") or DEFAULT_PROBE,
-        DEFAULT_SATURATION if saturation is None else max(1, int(saturation)),
-        table.get("protocol") or "h1",
-        bool(table.get("tls")),
+        name=name,
+        health_check_path=table.get("probe") or DEFAULT_HEALTH_CHECK_PATH,
+        max_connections=DEFAULT_MAX_CONNECTIONS if saturation is None else max(1, int(saturation)),
+        protocol=table.get("protocol") or "h1",
+        tls=bool(table.get("tls")),
     )
 
 
-def _envelope(table: Mapping[str, Any]) -> Envelope:
-    said = {
-        "header_bytes": _whole(table.get("headerBytes")),
-        "body_bytes": _whole(table.get("bodyBytes")),
-        "header_us": _micros(table.get("headerS")),
-        "idle_us": _micros(table.get("idleS")),
+def _client_limits(table: Mapping[str, Any]) -> ClientLimits:
+    stated = {
+        "header_bytes": _optional_int(table.get("headerBytes")),
+        "body_bytes": _optional_int(table.get("bodyBytes")),
+        "header_timeout_us": _optional_microseconds(table.get("headerS")),
+        "idle_timeout_us": _optional_microseconds(table.get("idleS")),
     }
-    return Envelope(**{key: value for key, value in said.items() if value is not None})
+    return ClientLimits(**{name: value for name, value in stated.items() if value is not None})
 
 
-def _whole(figure: float | None) -> int | None:
-    return None if figure is None else int(figure)
+def _optional_int(number: float | None) -> int | None:
+    return None if number is None else int(number)
 
 
-def _micros(seconds: float | None) -> int | None:
-    return None if seconds is None else us(seconds)
+def _optional_microseconds(seconds: float | None) -> int | None:
+    return None if seconds is None else to_microseconds(seconds)
--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -13,9 +13,9 @@
 
 from umbermoor.gateway.api.calls import Call, Desk, Reply, call, reply, wrong
 from umbermoor.gateway.api.orders import CONFIG, configuration, digest_slowly, judge
-from umbermoor.gateway.config.configuration import check_slowly, read
-from umbermoor.gateway.config.errors import Fault
-from umbermoor.gateway.config.node_settings import Papers
+from umbermoor.gateway.config.configuration import check_in_steps, decode
+from umbermoor.gateway.config.errors import ValidationError
+from umbermoor.gateway.config.node_settings import NodeSettings
 from umbermoor.gateway.discovery.registry import (
     DRAINING,
     READY,
@@ -68,7 +68,7 @@
 
 
 class Core:
-    def __init__(self, papers: Papers, chance: random.Random) -> None:
+    def __init__(self, papers: NodeSettings, chance: random.Random) -> None:
         self.papers, self.chance = papers, chance
         self.store = Store(papers.data_dir or "", round(papers.disk_mb * 0.6) << 20)
         self.disk = ThreadPoolExecutor(1)
@@ -79,19 +79,19 @@
             self.store.lost
         ):  # a disk that can't be believed is one that was lost, and no new system's
             event("disk_lost", why=self.store.lost)
-        cold = papers.cold and not self.store.lost
+        cold = papers.cold_start and not self.store.lost
         self.member = Member(
             papers.ip,
             seeds,
-            papers.bear_machines,
+            papers.tolerated_machine_losses,
             cold,
             stored,
             judge,
             chance,
             papers.zone,
-            papers.quorum,
+            papers.quorum_member,
         )
-        self.registry = Registry(chance.getrandbits(40) | 1, papers.period_us)
+        self.registry = Registry(chance.getrandbits(40) | 1, papers.heartbeat_interval_us)
         for entry in filter(None, map(entry_of, machines)):
             self.registry.take(self.now(), entry)
         self.compare = Compare()
@@ -99,7 +99,7 @@
         self.saved, self.saved_at, self.saving = self.registry.shape, 0, False
         self.pulls = Pulls(seeds, papers.ip)
         self.teller, self.steps, self.learnt = Teller(), Steps(), (0, 0)
-        self.post = Post(papers.ip, papers.ports[0], self.receive, self.lost)
+        self.post = Post(papers.ip, papers.port_range[0], self.receive, self.lost)
         self.asks: dict[int, asyncio.Future] = {}
         self.heards: dict[int, tuple[set[str], asyncio.Event]] = {}
         self.number = chance.getrandbits(
@@ -133,10 +133,10 @@
 
     @call("POST", "/Config.Replace")
     async def replace(self, ask: Call) -> Reply:
-        body = read(ask.body)
-        if isinstance(body, Fault):
+        body = decode(ask.body)
+        if isinstance(body, ValidationError):
             return wrong(400, str(body))
-        fault = await self.slowly(check_slowly(body))
+        fault = await self.slowly(check_in_steps(body))
         if fault is not None:
             event("refused", what="configuration", why=str(fault))
             return wrong(400, str(fault))
@@ -342,7 +342,7 @@
                 "chain": story["chain"],
                 "learners": {name: name in member.learners() for name in story["learners"]},
                 "thin": story["thin"],
-                "bear": self.papers.bear_machines,
+                "bear": self.papers.tolerated_machine_losses,
                 "connected": member.connected,
             },
         )
@@ -720,7 +720,7 @@
             await asyncio.sleep(TICK)
 
 
-async def serve(papers: Papers, path: str = "") -> None:
+async def serve(papers: NodeSettings, path: str = "") -> None:
     """Runs a barograph until it is told to end. Of its settings nothing is read again: members stay
     as founded."""
     await Core(papers, random.Random()).serve()
--- a/umbermoor/gateway/server/datagrams.py
+++ b/umbermoor/gateway/server/datagrams.py
@@ -1,9 +1,9 @@
 """Datagrams between fronts: the sonde's host, on the front's own address and port.
 
-Usage, in a host with `papers` and a wall-clock start:
+Usage, in a host with `settings` and a wall-clock start:
 
-    sonde = Sonde(papers.ip, time.time_ns() // 1000, random.Random())
-    datagrams = await listen(sonde, papers.ip, papers.ports[0], self.now)  # OSError where the port
+    sonde = Sonde(settings.ip, time.time_ns() // 1000, random.Random())
+    datagrams = await listen(sonde, settings.ip, settings.port_range[0], self.now)  # OSError where the port
 is taken
     ...; sonde.heard_of(self.now(), ips); sonde.count(); datagrams.leave(); datagrams.close()
 """
--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -14,14 +14,14 @@
 from umbermoor.gateway.balancing.instances import Plant, Plants
 from umbermoor.gateway.balancing.request import ANSWER_MARGIN, Exchange, Relay, Told, Wait
 from umbermoor.gateway.balancing.retry_budget import Budget
-from umbermoor.gateway.config.errors import Fault
-from umbermoor.gateway.config.node_settings import Papers, read_papers
+from umbermoor.gateway.config.errors import ValidationError
+from umbermoor.gateway.config.node_settings import NodeSettings, read_node_settings
 from umbermoor.gateway.distribution.deltas import applied, digest_of
 from umbermoor.gateway.distribution.reader import Reader as Pulls
 from umbermoor.gateway.membership.failure_detector import Sonde
 from umbermoor.gateway.rollout.front import Trials
 from umbermoor.gateway.rollout.plan import ROLLOUT
-from umbermoor.gateway.routing.route_table import Route, Routes
+from umbermoor.gateway.routing.route_table import Route, RouteTable
 from umbermoor.gateway.server import datagrams
 from umbermoor.gateway.server.client_connection import ClientLine, relieve, request_bytes
 from umbermoor.gateway.server.connections import Attempt, Pool
@@ -62,19 +62,19 @@
 
 
 class Front:
-    def __init__(self, papers: Papers, chance: random.Random, path: str = "") -> None:
+    def __init__(self, settings: NodeSettings, chance: random.Random, path: str = "") -> None:
         """`path` of the settings file, to be read again when it changes; "" never."""
-        self.papers, self.chance, self.path, self.changed = papers, chance, path, _changed(path)
-        self.sonde = Sonde(papers.ip, time.time_ns() // 1000, chance)
+        self.settings, self.chance, self.path, self.changed = settings, chance, path, _changed(path)
+        self.sonde = Sonde(settings.ip, time.time_ns() // 1000, chance)
         self.text = ""  # of the configuration in force, as the operator sent it
         self.stages: dict[str, tuple] = {}  # of roll-outs, as last logged
         self.clock = time.monotonic
-        self.plants, self.trials, self.routes = Plants(papers.zone), Trials(), None
-        self.buffers = Buffers(papers.memory_mb << 20)
+        self.plants, self.trials, self.routes = Plants(settings.zone), Trials(), None
+        self.buffers = Buffers(settings.memory_mb << 20)
         self.pool = Pool(self.buffers, self.clock, self.may)
-        self.pulls = Pulls([seed.rpartition(":")[0] for seed in papers.seeds])
+        self.pulls = Pulls([seed.rpartition(":")[0] for seed in settings.seeds])
         self.pulls.salt = chance.getrandbits(32)
-        self.post = Post(papers.ip, papers.ports[0], self.receive, self.lost)
+        self.post = Post(settings.ip, settings.port_range[0], self.receive, self.lost)
         self.lines: set[ClientLine] = set()
         self.going: dict[int, Going] = {}  # by id of its slot
         self.budgets: dict[str, Budget] = {}
@@ -103,10 +103,10 @@
             line.told(slot, 400, b"", {})
             return
         told = request.headers.get("x-time-remaining", "")
-        left = int(told) * 1000 - WAY if told.isdecimal() and len(told) < 9 else route.horizon_us
+        left = int(told) * 1000 - WAY if told.isdecimal() and len(told) < 9 else route.timeout_us
         service = route.service_for(self.chance.random())
         exchange = Exchange(
-            service, route.safe, route.tries, now, now + min(left, route.horizon_us)
+            service, route.idempotent, route.max_attempts, now, now + min(left, route.timeout_us)
         )
         going = self.going[id(slot)] = Going(line, slot, request, route, exchange)
         self.budget(service).request(now)
@@ -118,7 +118,7 @@
         route = self.routes and self.routes.find(
             request.headers.get("host", ""), request.target.partition("?")[0]
         )
-        return route is None or route.safe
+        return route is None or route.idempotent
 
     def may(self, plant: Plant) -> bool:
         """The gate right before every send."""
@@ -130,9 +130,9 @@
     def budget(self, service: str) -> Budget:
         held = self.budgets.get(service)
         if held is None:
-            margin = self.papers.margin
+            margin = self.settings.margin
             held = self.budgets[service] = Budget(
-                margin("retryRatio", 0.2), self.papers.margin_us("retryWindowS", 10)
+                margin("retryRatio", 0.2), self.settings.margin_us("retryWindowS", 10)
             )
         return held
 
@@ -242,7 +242,7 @@
             entry.revision,
             plant.id,
             plant.listed,
-            now - sent <= going.route.setpoint_us,
+            now - sent <= going.route.latency_target_us,
             fate is not Fate.WHOLE or status >= 500,
             number > 1 or unrun,
         )
@@ -354,7 +354,7 @@
             body = json.loads(text)
             if self.routes is not None and int(body["revision"], 16) <= self.routes.revision:
                 return
-            routes = Routes(body)
+            routes = RouteTable(body)
         except (
             KeyError,
             TypeError,
@@ -365,10 +365,13 @@
         self.routes, self.text = routes, text
         self.pulls.base = digest_of(text)
         self.pulls.revision = max(self.pulls.revision, routes.revision)
-        envelope = routes.envelope
-        self.idle_s, self.head_s = envelope.idle_us / SECOND + 1.0, envelope.header_us / SECOND
-        self.body_most = min(BODY_MOST, envelope.body_bytes)
-        self.keep_s = max(1, round(envelope.idle_us / SECOND) - 1)
+        limits = routes.client_limits
+        self.idle_s, self.head_s = (
+            limits.idle_timeout_us / SECOND + 1.0,
+            limits.header_timeout_us / SECOND,
+        )
+        self.body_most = min(BODY_MOST, limits.body_bytes)
+        self.keep_s = max(1, round(limits.idle_timeout_us / SECOND) - 1)
         event("configured", revision=routes.revision_text, source="news")
 
     def lost(self, line: Line) -> None:
@@ -391,13 +394,13 @@
         loop.add_signal_handler(signal.SIGHUP, self.read_again)
         await self.post.listen()
         sounding = await datagrams.listen(
-            self.sonde, self.papers.ip, self.papers.ports[0], self.now
+            self.sonde, self.settings.ip, self.settings.port_range[0], self.now
         )
-        host, port = self.papers.listen["ready"]
+        host, port = self.settings.listen["ready"]
         await loop.create_server(
             lambda: ReadyLine(lambda: self.ready and not self.leaving), host, port
         )
-        host, port = self.papers.listen["front"]
+        host, port = self.settings.listen["front"]
         server = await loop.create_server(lambda: ClientLine(self), host, port, backlog=512)
         gc.collect()
         gc.freeze()
@@ -443,12 +446,12 @@
                     self.plants.forget(id)
                 if _changed(self.path) != self.changed:
                     self.read_again()
-                slack, fronts = self.papers.margin("retrySlack", 0.0), self.sonde.count()
+                slack, fronts = self.settings.margin("retrySlack", 0.0), self.sonde.count()
                 for budget in self.budgets.values():
                     budget.shared(now, slack, fronts)
                 for line in list(self.lines):
                     line.sweep(clock, self.head_s, self.idle_s)
-                if broken := relieve(self.lines, self.papers.memory_mb << 17):
+                if broken := relieve(self.lines, self.settings.memory_mb << 17):
                     event("unread", broken=broken)
             await asyncio.sleep(TICK)
 
@@ -456,16 +459,16 @@
         """The settings file changed. What is wrong with it is logged, and the one held stays in
         force."""
         self.changed = _changed(self.path)
-        papers = read_papers(self.path)
-        if isinstance(papers, Fault):
-            event("garbled", what="settings", why=papers)
+        settings = read_node_settings(self.path)
+        if isinstance(settings, ValidationError):
+            event("garbled", what="settings", why=settings)
             return
-        self.papers = papers
+        self.settings = settings
         for budget in self.budgets.values():
-            budget.set_ratio(papers.margin("retryRatio", 0.2))
-        for seed in papers.seeds:
+            budget.set_ratio(settings.margin("retryRatio", 0.2))
+        for seed in settings.seeds:
             self.pulls.meet(seed.rpartition(":")[0])
-        event("settings", seeds=",".join(papers.seeds))
+        event("settings", seeds=",".join(settings.seeds))
 
     def leave(self) -> None:
         if not self.leaving:
@@ -480,7 +483,7 @@
         while self.clock() < until:
             await asyncio.sleep(0.1)
         server.close()
-        most = self.clock() + self.papers.margin("graceS", 6.0) - LINGER - 0.7
+        most = self.clock() + self.settings.margin("graceS", 6.0) - LINGER - 0.7
         while self.clock() < most:
             for line in list(self.lines):
                 if not line.row and not line.reader.midway and not line.ended:
@@ -499,6 +502,6 @@
     return stat.st_mtime_ns, stat.st_size
 
 
-async def serve(papers: Papers, path: str = "") -> None:
+async def serve(settings: NodeSettings, path: str = "") -> None:
     """Runs a vane until it is told to end."""
-    await Front(papers, random.Random(), path).serve()
+    await Front(settings, random.Random(), path).serve()
