--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -80,7 +80,7 @@
                 program = (
                     ["benchmarks.capacity.taker", self.ip, str(CONTROL)]
                     if self.kind == "plain"
-                    else ["umbermoor.gateway", "barograph"]
+                    else ["umbermoor.gateway", "controller"]
                 )
                 process = subprocess.Popen(
                     [sys.executable, "-m", *program],
@@ -344,7 +344,7 @@
 
 def settings(ip: str, folder: str) -> str:
     return f"""nodeName = "core"
-role = "barograph"
+role = "controller"
 machineClass = "core"
 serves = ["controller"]
 ip = "{ip}"
--- a/benchmarks/members_replaced.py
+++ b/benchmarks/members_replaced.py
@@ -3,7 +3,7 @@
 
     python -m benchmarks.members_replaced [--lost]
 
-Three barographs, two vanes and stand-in machines (umbermoor.gateway.local), three machines more of
+Three controllers, two proxies and stand-in machines (umbermoor.gateway.local), three machines more of
 the core that start empty. A configuration every 0.15 s and a trickle of requests go on while
 `member replace` puts each newcomer in the place of a first member, which is then told to end.
 Prints how long no configuration was acknowledged around each change, and what became of the
@@ -173,7 +173,7 @@
         await asyncio.sleep(2.0)
         plot.say(f"before: {stream.longest(0):.0f} ms at the most without an acknowledgement")
         for number, (zone, old) in enumerate(zip(ZONES, first)):
-            new = Node(f"core-{zone}-new", "barograph", f"{plot.net}.{51 + number}", zone)
+            new = Node(f"core-{zone}-new", "controller", f"{plot.net}.{51 + number}", zone)
             plot.nodes.append(new)
             await change(plot, stream, old, new)
     finally:
--- a/umbermoor/gateway/__main__.py
+++ b/umbermoor/gateway/__main__.py
@@ -1,23 +1,36 @@
-"""The gateway's programs: `vane` carries traffic, `barograph` holds what must last. Operators'
-calls: `--help`."""
+"""Entry point of the gateway's processes and of its command line.
+
+`proxy` is the data plane: it carries requests. `controller` is the control plane: it keeps the
+configuration, the rollouts and the registry of instances. Everything else is the command line of
+`umbermoor.gateway.cli`; `--help` lists it.
+"""
 
 import sys
 
-PROGRAMS = "vane", "barograph"
+DEFAULT_SETTINGS_PATH = "/etc/umbermoor/settings.toml"
+REQUIRED_LISTEN_ADDRESSES = {"proxy": ("front", "ready"), "controller": ("control",)}
+DEPRECATED_PROGRAMS = {"vane": "proxy", "barograph": "controller"}  # answer for one more release
+EXIT_BAD_INPUT = 2
 
 
 def main() -> int:
-    """Starts a program, or hands over to the operators' command line."""
-    if len(sys.argv) == 2 and sys.argv[1] in PROGRAMS:
-        return run(sys.argv[1])
+    """Starts the program named by the one argument, or runs the operators' command line."""
+    arguments = sys.argv[1:]
+    if len(arguments) == 1 and (
+        arguments[0] in REQUIRED_LISTEN_ADDRESSES or arguments[0] in DEPRECATED_PROGRAMS
+    ):
+        return run(arguments[0])
     from umbermoor.gateway.cli.command import main as command
 
     return command()
 
 
-def run(program: str) -> int:
-    """A daemon on the settings file that the environment names. What is wrong with it: one line,
-    status 2."""
+def run(name: str) -> int:
+    """Runs a program until it is told to end and returns its exit status.
+
+    Its settings are read from the file that `UMBERMOOR_SETTINGS` names. A fault in them is printed
+    as one line on standard error, with status 2.
+    """
     import asyncio
     import os
 
@@ -26,17 +39,20 @@
     from umbermoor.gateway.effects import UnsupportedFormatError
     from umbermoor.gateway.server import events
 
-    path = os.environ.get("UMBERMOOR_SETTINGS", "/etc/umbermoor/settings.toml")
+    program = DEPRECATED_PROGRAMS.get(name, name)
+    path = os.environ.get("UMBERMOOR_SETTINGS", DEFAULT_SETTINGS_PATH)
     papers = read_papers(path)
     if isinstance(papers, Fault):
         print(papers, file=sys.stderr)
-        return 2
-    needed = ("front", "ready") if program == "vane" else ("control",)
-    if missing := [name for name in needed if name not in papers.listen]:
+        return EXIT_BAD_INPUT
+    required = REQUIRED_LISTEN_ADDRESSES[program]
+    if missing := [address for address in required if address not in papers.listen]:
         print(f"settings: listen.{missing[0]}: missing, {program} serves it", file=sys.stderr)
-        return 2
+        return EXIT_BAD_INPUT
     events.start(program, papers.name)
-    if program == "vane":
+    if name != program:
+        events.event("deprecated", command=name, use=program)
+    if program == "proxy":
         from umbermoor.gateway.server.proxy import serve
     else:
         from umbermoor.gateway.server.controller import serve
@@ -44,7 +60,7 @@
         asyncio.run(serve(papers, path))
     except UnsupportedFormatError as error:
         print(f"settings: dataDir: {error}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_INPUT
     return 0
 
 
--- a/umbermoor/gateway/cli/command.py
+++ b/umbermoor/gateway/cli/command.py
@@ -106,20 +106,34 @@
         return Fault("", str(path), error.strerror or "cannot be read")
 
 
-@app.command(name="vane")
-def vane() -> int:
-    """Carries requests. Reads the settings file that UMBERMOOR_SETTINGS names."""
+def _run(program: str) -> int:
     from umbermoor.gateway.__main__ import run
 
-    return run("vane")
+    return run(program)
 
 
-@app.command(name="barograph")
-def barograph() -> int:
+@app.command(name="proxy")
+def proxy() -> int:
+    """Carries requests. Reads the settings file that UMBERMOOR_SETTINGS names."""
+    return _run("proxy")
+
+
+@app.command(name="controller")
+def controller() -> int:
     """Keeps what must last. Reads the settings file that UMBERMOOR_SETTINGS names."""
-    from umbermoor.gateway.__main__ import run
+    return _run("controller")
+
+
+@app.command(name="vane")
+def vane() -> int:
+    """Deprecated: the earlier name of `proxy`."""
+    return _run("vane")
+
 
-    return run("barograph")
+@app.command(name="barograph")
+def barograph() -> int:
+    """Deprecated: the earlier name of `controller`."""
+    return _run("barograph")
 
 
 @app.command(name="local")
--- a/umbermoor/gateway/local/gateway.py
+++ b/umbermoor/gateway/local/gateway.py
@@ -1,4 +1,4 @@
-"""A whole gateway on loopback: real barographs and vanes, stand-in machines, one request. Ends all
+"""A whole gateway on loopback: real controllers and proxies, stand-in machines, one request. Ends all
 that it started."""
 
 import asyncio
@@ -77,11 +77,11 @@
 
     @property
     def cores(self) -> list[Node]:
-        return [one for one in self.nodes if one.program == "barograph"]
+        return [one for one in self.nodes if one.program == "controller"]
 
     @property
     def fronts(self) -> list[Node]:
-        return [one for one in self.nodes if one.program == "vane"]
+        return [one for one in self.nodes if one.program == "proxy"]
 
     @property
     def controls(self) -> list[str]:
@@ -111,7 +111,7 @@
 
     def settings(self, node: Node, cold: bool) -> str:
         """A settings file as the platform writes them."""
-        core, ports = node.program == "barograph", self.ports
+        core, ports = node.program == "controller", self.ports
         listen = (
             {"control": ports.control} if core else {"front": ports.front, "ready": ports.ready}
         )
@@ -345,9 +345,9 @@
 
     async def play(self, stay: bool, kill_head: bool) -> None:
         for number, zone in enumerate(ZONES):
-            self.nodes.append(Node(f"core-{zone}", "barograph", f"{self.net}.{11 + number}", zone))
+            self.nodes.append(Node(f"core-{zone}", "controller", f"{self.net}.{11 + number}", zone))
         for number, zone in enumerate(FRONTS):
-            self.nodes.append(Node(f"front-{zone}", "vane", f"{self.net}.{21 + number}", zone))
+            self.nodes.append(Node(f"front-{zone}", "proxy", f"{self.net}.{21 + number}", zone))
         for node in self.nodes:
             await self.start(node, cold=True)
         chain = await self.chain(3)
--- a/umbermoor/gateway/simulation/play.py
+++ b/umbermoor/gateway/simulation/play.py
@@ -54,7 +54,7 @@
         process = self.box.process = Process(self.box)
         papers = Papers(
             f"core-{self.box.ip}",
-            "barograph",
+            "controller",
             "core",
             self.box.ip,
             self.zone,
@@ -163,7 +163,7 @@
         process = self.box.process = Process(self.box)
         papers = Papers(
             f"front-{self.box.ip}",
-            "vane",
+            "proxy",
             "front",
             self.box.ip,
             self.zone,
