--- a/Makefile
+++ b/Makefile
@@ -12,7 +12,9 @@
 
 lint: build
 	.venv/bin/pip -q install -r requirements-lint.txt
+	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
+	.venv/bin/mypy
 
 # LB_CONFIG names the configuration
 run: build
