--- a/umbermoor/gateway/__init__.py
+++ b/umbermoor/gateway/__init__.py
@@ -1,2 +1,2 @@
 """The gateway: fronts that carry traffic, a chain of core machines that holds what must last.
-docs/system.md."""
+docs/ARCHITECTURE.md."""
--- a/umbermoor/gateway/api/orders.py
+++ b/umbermoor/gateway/api/orders.py
@@ -3,7 +3,7 @@
 
 The one place where puts are decided (`judge`): no I/O, no clock, no copy of its own. A number
 (`revision`) has one content for good, as far back as digests are kept. Source: PROTOCOL.md, "The
-operator"; docs/control.md says why.
+operator"; docs/consistency.md says why.
 """
 
 import json
--- a/umbermoor/gateway/balancing/attempt_outcomes.py
+++ b/umbermoor/gateway/balancing/attempt_outcomes.py
@@ -1,6 +1,6 @@
 """What an event on a line to a machine proves of the request on it, and what becomes of the line.
-One table, the same as in docs/answers.md, where the reasons stand; all that is decided of an answer
-is decided here. No I/O."""
+One table, the same as in docs/attempt-outcomes.md, where the reasons stand; all that is decided of
+an answer is decided here. No I/O."""
 
 from collections.abc import Mapping
 from enum import Enum
--- a/umbermoor/gateway/membership/failure_detector.py
+++ b/umbermoor/gateway/membership/failure_detector.py
@@ -5,7 +5,7 @@
 arXiv 1707.00788): who is itself slow or cut off doubts itself first. Differences: nobody is
 believed alive, or regained, who has not answered this front itself; each front probes a suspect
 itself before it removes it; "gone" hastens a suspicion, no more. Times are whole microseconds.
-docs/sonde.md tells the ways weighed.
+docs/failure-detector.md tells the ways weighed.
 """
 
 import math
--- a/umbermoor/membership/__init__.py
+++ b/umbermoor/membership/__init__.py
@@ -1,2 +1,2 @@
 """Who the machines are, from several sources that may fail, flap or disagree; decided without I/O.
-See docs/membership.md."""
+See docs/service-discovery.md."""
