--- a/benchmarks/answers_cost.py
+++ b/benchmarks/answers_cost.py
@@ -7,6 +7,7 @@
 play, the median of the pairs' ratios, and the ratio of the least. Without --this, the second one is this tree.
 """
 
+import ast
 import asyncio
 import json
 import os
@@ -104,6 +105,16 @@
     writer.close()
 
 
+def proxy_program(root: Path) -> str:
+    """The program that runs a revision's proxy, by the names that its modules have there."""
+    module = ast.parse((root / "benchmarks" / "answers_cost.py").read_text())
+    return next(
+        statement.value.value
+        for statement in module.body
+        if isinstance(statement, ast.Assign) and statement.targets[0].id in ("FRONT", "PROXY")
+    )
+
+
 async def play(root: Path, many: int) -> float:
     """Microseconds of processor time a request."""
     loop = asyncio.get_running_loop()
@@ -112,7 +123,7 @@
     front = await asyncio.create_subprocess_exec(
         sys.executable,
         "-c",
-        FRONT,
+        proxy_program(root),
         json.dumps(SETTINGS),
         json.dumps(addresses),
         json.dumps(ROUTES),
--- a/umbermoor/backoff.py
+++ b/umbermoor/backoff.py
@@ -1,8 +1,7 @@
-"""When something that failed is tried again, so that a fleet does not do it in one moment. No I/O:
-chance is given.
+"""Exponential backoff with jitter, after "Exponential Backoff And Jitter" (AWS, 2015). No I/O.
 
-Threat: what fails for one front fails for all (a list service or a platform that goes, a fleet
-started at once). Tries that double from the same first pause then come in step, and who has just
+Threat: what fails for one process fails for all (a name service or a platform that goes, a fleet
+started at once). Retries that double from the same first delay then come in step, and who has just
 come back is asked by all together.
 """
 
@@ -11,22 +10,28 @@
 
 
 @dataclass(slots=True)
-class Again:
-    """Pauses that double from ``first`` to ``most``, each spread by chance over half of itself to
-    one and a half times itself; chance gives numbers from 0 to 1. The mean pause is the same as
-    without chance."""
-
-    first: float
-    most: float
-    chance: Callable[[], float]
-    _span: float = field(default=0.0, init=False)
-
-    def pause(self) -> float:
-        """How long until the next try, in the unit of ``first``, after one more that failed."""
-        self._span = min(self.most, 2 * self._span or self.first)
-        return self._span * (0.5 + self.chance())
-
-    def well(self) -> None:
-        """A try went well, or another party is asked from now on: the next pause is the first
-        again."""
-        self._span = 0.0
+class Backoff:
+    """Delays that double from ``initial`` to ``maximum``, each spread by jitter.
+
+    The jitter goes from half of a delay to one and a half times itself, so that the mean delay is
+    the same as without.
+
+    Attributes:
+        initial: The first delay, in any unit of time.
+        maximum: The longest delay before jitter, in the same unit.
+        random: Gives numbers from 0 to 1.
+    """
+
+    initial: float
+    maximum: float
+    random: Callable[[], float]
+    _delay: float = field(default=0.0, init=False)
+
+    def next_delay(self) -> float:
+        """The delay until the next retry, after one more failure; in the unit of ``initial``."""
+        self._delay = min(self.maximum, 2 * self._delay or self.initial)
+        return self._delay * (0.5 + self.random())
+
+    def reset(self) -> None:
+        """A try succeeded, or another party is asked from now on: the next delay is the first."""
+        self._delay = 0.0
--- a/umbermoor/gateway/balancing/attempt_outcomes.py
+++ b/umbermoor/gateway/balancing/attempt_outcomes.py
@@ -1,13 +1,17 @@
-"""What an event on a line to a machine proves of the request on it, and what becomes of the line.
-One table, the same as in docs/attempt-outcomes.md, where the reasons stand; all that is decided of
-an answer is decided here. No I/O."""
+"""What an event on a connection to an instance proves of the request on it.
+
+All that is decided of a response is decided here, in one table: `TABLE` is the table of
+docs/attempt-outcomes.md, where the reasons stand, and a test compares the two. No I/O.
+"""
 
 from collections.abc import Mapping
 from enum import Enum
 from typing import NamedTuple
 
-PROMISES = frozenset((408, 421, 429, 503))  # to a client: it has not run, and never will
-SINGLE = frozenset(
+# Statuses that promise a client that its request has not been executed and never will be.
+REJECTION_STATUSES = frozenset((408, 421, 429, 503))
+# Headers that mean nothing where they are there twice.
+SINGLE_VALUE_HEADERS = frozenset(
     (
         "host",
         "x-attempt-id",
@@ -16,148 +20,207 @@
         "x-time-remaining",
         "x-target-instance",
     )
-)  # headers that mean nothing where they stand twice
+)
 
 
-class _Word(Enum):
-    """One of a set; told apart by what it is, which costs a request less than by its name."""
+class IdentityEnum(Enum):
+    """An enum whose members hash by identity, which costs a request less than by name."""
 
     __hash__ = object.__hash__
 
 
-class Fate(_Word):
-    """How an attempt at a machine ended."""
+class AttemptOutcome(IdentityEnum):
+    """How an attempt at an instance ended."""
 
-    WHOLE = "whole"  # a whole answer that belongs to it
-    FULL = "full"  # turned away, not run
-    WRONG = "wrong"  # another machine has the address, not run
-    UNSENT = "unsent"  # the machine took no connection: no byte of it left
-    DROPPED = "dropped"  # this front took it back before a byte of it left
-    BROKEN = "broken"  # no whole answer; it may have run
-    SPOILT = "spoilt"  # bytes that are no answer of that machine; it may have run
+    COMPLETE = "complete"  # a complete response that belongs to it
+    REJECTED = "rejected"  # the instance says that it did not execute it: overloaded
+    MISDIRECTED = "misdirected"  # another instance has the address: not executed
+    CONNECT_FAILED = "connect_failed"  # no connection: never sent
+    CANCELLED = "cancelled"  # taken back by this proxy before a byte was sent
+    TRUNCATED = "truncated"  # no complete response: may have executed
+    PROTOCOL_ERROR = "protocol_error"  # no response of that instance: may have executed
 
 
-UNRUN = frozenset(
-    (Fate.FULL, Fate.WRONG, Fate.UNSENT, Fate.DROPPED)
-)  # proved not to have run, and never to
+# Proved not to have been executed, and never to be.
+NOT_EXECUTED = frozenset(
+    (
+        AttemptOutcome.REJECTED,
+        AttemptOutcome.MISDIRECTED,
+        AttemptOutcome.CONNECT_FAILED,
+        AttemptOutcome.CANCELLED,
+    )
+)
 
 
-class Stage(_Word):
-    """How far an attempt and its line are. Told by this process alone: what its kernel took may be
-    anywhere."""
+class AttemptStage(IdentityEnum):
+    """How far an attempt and its connection are.
+
+    This process alone tells: what its kernel took may be anywhere.
+    """
 
     CONNECTING = "connecting"  # nothing was written
     WRITING = "writing"  # head or body half written: a part waits in this process
     WRITTEN = "written"  # the kernel took all of it
-    READING = "reading"  # the first byte of an answer, its head, or a part of its body
-    RESTING = "resting"  # no attempt is on it
-
-
-class Event(_Word):
-    UNREACHED = "unreached"  # refused, reset or timed out before anything was written
-    # connected, and by now the machine may get nothing (drained, gone, its version barred)
-    BARRED = "barred"
-    # its client left, another attempt was answered, or its client must be answered now
-    UNWANTED = "unwanted"
-    OVER = "over"  # the time of its request is over
-    ANSWER = "answer"  # whole, with its id
-    REFUSAL = "refusal"  # whole, its own, X-Not-Executed
-    MISDIRECTED = "misdirected"  # whole, its own, 421
-    HOLLOW = "hollow"  # whole, and not to be passed on: what it says is not proved
-    FOREIGN = "foreign"  # whole, with another id: a surplus answer of an earlier request
-    GARBLED = "garbled"  # bytes that are no answer
-    ENDED = "ended"  # close, half close or reset before a whole answer
-    SURPLUS = "surplus"  # any byte that nobody waits for
-
-
-class Line(_Word):
-    REST = "rest"  # kept, where it is clean (see `clean`)
+    READING = "reading"  # the first byte of a response, its head, or a part of its body
+    IDLE = "idle"  # no attempt is on the connection
+
+
+class ConnectionEvent(IdentityEnum):
+    """What happens to an attempt or to a connection."""
+
+    CONNECT_FAILED = "connect_failed"  # refused, reset or timed out before anything was written
+    # Connected, and by now the instance may get nothing: draining, gone, its version not allowed.
+    NOT_ALLOWED = "not_allowed"
+    # The client left, another attempt was answered, or the client must be answered now.
+    CANCELLED = "cancelled"
+    DEADLINE_EXCEEDED = "deadline_exceeded"  # the time of its request is over
+    RESPONSE = "response"  # complete, with the attempt's id
+    REJECTION = "rejection"  # complete, its own, with X-Not-Executed
+    MISDIRECTED = "misdirected"  # complete, its own, 421
+    UNPROVEN_RESPONSE = "unproven_response"  # complete, and what it says is not proved
+    FOREIGN_RESPONSE = "foreign_response"  # complete, with the id of an earlier request
+    MALFORMED = "malformed"  # bytes that are no response
+    CLOSED = "closed"  # close, half close or reset before a complete response
+    UNEXPECTED_DATA = "unexpected_data"  # any byte that nobody waits for
+
+
+class ConnectionAction(IdentityEnum):
+    """What becomes of the connection."""
+
+    KEEP = "keep"  # for another request, where `is_reusable`
     CLOSE = "close"
-    BREAK = "break"  # what waits to be written is not written
-    GO_ON = "go on"
+    ABORT = "abort"  # what waits to be written is not written
+    CONTINUE = "continue"
 
 
 class Verdict(NamedTuple):
-    fate: Fate | None  # None: the attempt goes on, or there is none
-    line: Line
-
-
-_UNDER_WAY = {
-    Event.UNWANTED: Verdict(None, Line.GO_ON),
-    Event.OVER: Verdict(Fate.BROKEN, Line.BREAK),
-    Event.ANSWER: Verdict(Fate.WHOLE, Line.REST),
-    Event.REFUSAL: Verdict(Fate.FULL, Line.REST),
-    Event.MISDIRECTED: Verdict(Fate.WRONG, Line.CLOSE),
-    Event.HOLLOW: Verdict(Fate.SPOILT, Line.CLOSE),
-    Event.FOREIGN: Verdict(None, Line.GO_ON),
-    Event.GARBLED: Verdict(Fate.SPOILT, Line.BREAK),
-    Event.ENDED: Verdict(Fate.BROKEN, Line.BREAK),
+    """What an event proves, and what becomes of the connection.
+
+    Attributes:
+        outcome: How the attempt ended; None where it goes on, or where there is none.
+        action: What becomes of the connection.
+    """
+
+    outcome: AttemptOutcome | None
+    action: ConnectionAction
+
+
+_SENT = {
+    ConnectionEvent.CANCELLED: Verdict(None, ConnectionAction.CONTINUE),
+    ConnectionEvent.DEADLINE_EXCEEDED: Verdict(AttemptOutcome.TRUNCATED, ConnectionAction.ABORT),
+    ConnectionEvent.RESPONSE: Verdict(AttemptOutcome.COMPLETE, ConnectionAction.KEEP),
+    ConnectionEvent.REJECTION: Verdict(AttemptOutcome.REJECTED, ConnectionAction.KEEP),
+    ConnectionEvent.MISDIRECTED: Verdict(AttemptOutcome.MISDIRECTED, ConnectionAction.CLOSE),
+    ConnectionEvent.UNPROVEN_RESPONSE: Verdict(
+        AttemptOutcome.PROTOCOL_ERROR, ConnectionAction.CLOSE
+    ),
+    ConnectionEvent.FOREIGN_RESPONSE: Verdict(None, ConnectionAction.CONTINUE),
+    ConnectionEvent.MALFORMED: Verdict(AttemptOutcome.PROTOCOL_ERROR, ConnectionAction.ABORT),
+    ConnectionEvent.CLOSED: Verdict(AttemptOutcome.TRUNCATED, ConnectionAction.ABORT),
 }
-TABLE: dict[Stage, dict[Event, Verdict]] = {
-    Stage.CONNECTING: {
-        Event.UNREACHED: Verdict(Fate.UNSENT, Line.BREAK),
-        Event.BARRED: Verdict(Fate.DROPPED, Line.CLOSE),
-        Event.UNWANTED: Verdict(Fate.DROPPED, Line.CLOSE),
-        Event.OVER: Verdict(Fate.DROPPED, Line.CLOSE),
-        Event.SURPLUS: Verdict(Fate.UNSENT, Line.BREAK),
-        Event.ENDED: Verdict(Fate.UNSENT, Line.BREAK),
-    },
-    Stage.WRITING: {
-        event: verdict if verdict.line is Line.GO_ON else Verdict(verdict.fate, Line.BREAK)
-        for event, verdict in _UNDER_WAY.items()
+_HALF_SENT = {
+    event: (
+        verdict
+        if verdict.action is ConnectionAction.CONTINUE
+        else Verdict(verdict.outcome, ConnectionAction.ABORT)
+    )
+    for event, verdict in _SENT.items()
+}
+TABLE: dict[AttemptStage, dict[ConnectionEvent, Verdict]] = {
+    AttemptStage.CONNECTING: {
+        ConnectionEvent.CONNECT_FAILED: Verdict(
+            AttemptOutcome.CONNECT_FAILED, ConnectionAction.ABORT
+        ),
+        ConnectionEvent.NOT_ALLOWED: Verdict(AttemptOutcome.CANCELLED, ConnectionAction.CLOSE),
+        ConnectionEvent.CANCELLED: Verdict(AttemptOutcome.CANCELLED, ConnectionAction.CLOSE),
+        ConnectionEvent.DEADLINE_EXCEEDED: Verdict(
+            AttemptOutcome.CANCELLED, ConnectionAction.CLOSE
+        ),
+        ConnectionEvent.UNEXPECTED_DATA: Verdict(
+            AttemptOutcome.CONNECT_FAILED, ConnectionAction.ABORT
+        ),
+        ConnectionEvent.CLOSED: Verdict(AttemptOutcome.CONNECT_FAILED, ConnectionAction.ABORT),
     },
-    Stage.WRITTEN: _UNDER_WAY,
-    Stage.READING: _UNDER_WAY,
-    Stage.RESTING: {
-        Event.SURPLUS: Verdict(None, Line.BREAK),
-        Event.ENDED: Verdict(None, Line.CLOSE),
+    AttemptStage.WRITING: _HALF_SENT,
+    AttemptStage.WRITTEN: _SENT,
+    AttemptStage.READING: _SENT,
+    AttemptStage.IDLE: {
+        ConnectionEvent.UNEXPECTED_DATA: Verdict(None, ConnectionAction.ABORT),
+        ConnectionEvent.CLOSED: Verdict(None, ConnectionAction.CLOSE),
     },
 }
 
 
-def decide(stage: Stage, event: Event) -> Verdict:
-    """KeyError: that cannot come at that stage, an invariant is broken."""
+def decide(stage: AttemptStage, event: ConnectionEvent) -> Verdict:
+    """What an event proves at a stage.
+
+    Raises KeyError where the event cannot come at that stage: an invariant is broken.
+    """
     return TABLE[stage][event]
 
 
 def classify(
-    status: int, headers: Mapping[str, str], id: str, alone: bool, framed: bool = True
-) -> Event:
-    """What a whole answer is to the request with `id` on its line; alone: its line has carried no
-    other one. framed: where it ends was told by a length or by chunks, and not by the connection's
-    end alone."""
-    told = headers.get("x-attempt-id")
-    if told != id and (told is not None or not alone):
-        return Event.HOLLOW if told is None else Event.FOREIGN
+    status: int,
+    headers: Mapping[str, str],
+    attempt_id: str,
+    only_request: bool,
+    framed: bool = True,
+) -> ConnectionEvent:
+    """What a complete response is to the request with `attempt_id` on its connection.
+
+    Args:
+        status: Status of the response.
+        headers: Headers of the response, names in lower case.
+        attempt_id: The X-Attempt-Id of the request on the connection.
+        only_request: Whether the connection has carried no other request.
+        framed: Whether a length or chunks told where the response ends, and not the end of the
+            connection alone.
+    """
+    response_id = headers.get("x-attempt-id")
+    if response_id != attempt_id and (response_id is not None or not only_request):
+        if response_id is None:
+            return ConnectionEvent.UNPROVEN_RESPONSE
+        return ConnectionEvent.FOREIGN_RESPONSE
     if status == 421:
-        return Event.MISDIRECTED
+        return ConnectionEvent.MISDIRECTED
     if "x-not-executed" in headers:
-        return Event.REFUSAL if status >= 400 else Event.HOLLOW
+        return ConnectionEvent.REJECTION if status >= 400 else ConnectionEvent.UNPROVEN_RESPONSE
     if (
-        told is None
+        response_id is None
         or not framed
-        or status in PROMISES
+        or status in REJECTION_STATUSES
         or "content-encoding" in headers
         or (200 <= status < 300 and "x-server-seal" not in headers)
     ):
-        return Event.HOLLOW
-    return Event.ANSWER
+        return ConnectionEvent.UNPROVEN_RESPONSE
+    return ConnectionEvent.RESPONSE
+
+
+def is_reusable(keep_alive: bool, tainted: bool, surplus: bool, bodiless: bool) -> bool:
+    """Whether a connection may carry another request behind a complete response.
+
+    Args:
+        keep_alive: Whether the instance keeps it open.
+        tainted: Whether a response to another request came on it.
+        surplus: Whether a byte lies behind the response.
+        bodiless: Whether the request was a HEAD: a second response to it that comes late would
+            be read as one with a body.
+    """
+    return keep_alive and not (tainted or surplus or bodiless)
 
 
-def clean(keep: bool, tainted: bool, surplus: bool, bodiless: bool) -> bool:
-    """Whether a line may carry another request behind a whole answer. keep: the machine keeps it;
-    tainted: it had an answer of another request; surplus: a byte lies behind the answer; bodiless:
-    the answer was to a HEAD, and one that comes late would be read with the next request's eyes."""
-    return keep and not (tainted or surplus or bodiless)
+def may_reject(may_have_executed: bool, in_flight: int) -> bool:
+    """Whether a client may be told one of REJECTION_STATUSES.
 
+    Each attempt must have ended, each proved not to have been executed.
 
-def may_promise(ran: bool, under_way: int) -> bool:
-    """Whether a client may be told one of PROMISES: each attempt has ended, and each is proved not
-    to have run. `ran`: one ended of which that is not proved; `under_way`: attempts whose end is
-    not known, connecting ones too."""
-    return not ran and not under_way
+    Args:
+        may_have_executed: Whether that is not proved of one that ended.
+        in_flight: Attempts that have not ended, connecting ones too.
+    """
+    return not may_have_executed and not in_flight
 
 
-def may_repeat(safe: bool, ran: bool) -> bool:
-    """Whether a request none of whose attempts is under way may go to a machine again."""
-    return safe or not ran
+def may_retry(idempotent: bool, may_have_executed: bool) -> bool:
+    """Whether a request with no attempt in flight may go to an instance again."""
+    return idempotent or not may_have_executed
--- a/umbermoor/gateway/balancing/instances.py
+++ b/umbermoor/gateway/balancing/instances.py
@@ -1,127 +1,106 @@
-"""Machines as one front meets them: who may take a request now, and who takes it soonest. No I/O.
+"""All instances that one proxy may send requests to, and the choice among them.
 
-The present front's measure, in the terms of this wire: expected time = pace x (own work + what is
-ahead), longer for machines whose failures or silence stand out; only what a front sees itself and
-what machines tell of their load."""
+Open `Instances.choose` first: the instance with the least expected time, in the way of "least
+expected delay" balancing (each estimate is in `instance`), with random spread so that proxies that
+know the same do not all choose the same. No I/O.
+"""
 
 from collections.abc import Callable, Container, Iterable
-from math import exp
 
+from umbermoor.gateway.balancing.instance import Instance, ServiceTimeEstimate
 from umbermoor.gateway.discovery.registry import DRAINING, GONE, READY, Entry
 
-SECOND = 1_000_000
-LEARN = 0.15  # weight of the newest answer in a machine's pace
-TOLD = 600_000  # us: what a machine told of its load fades with this
-REST = 150_000  # us: after a failure; doubled with each in a row
-REST_MOST = 3 * SECOND
-ROW = 3  # failures in a row of kinds that need not be the machine's fault
-CHANCE = 0.15  # by so much chance spreads like machines
-# a machine of another zone is chosen where it seems faster by so much: bytes between zones cost
-FAR = 1.2
-COLD = 2.0  # how much slower a machine is taken to be while it warms
-HUNG = (
-    6.0  # a machine that has said nothing for so many usual times, with requests out, is left alone
-)
-
-
-class Plant:
-    """One life of a machine."""
-
-    __slots__ = (
-        "denied",
-        "entry",
-        "heard",
-        "listed",
-        "open",
-        "pace",
-        "rest_until",
-        "row",
-        "since",
-        "told",
-        "told_at",
-        "told_open",
-        "warm_at",
-    )
-
-    def __init__(self, entry: Entry, now: int) -> None:
-        self.entry, self.listed, self.warm_at = entry, now, now + entry.warm_us
-        self.open, self.pace, self.told, self.told_at, self.told_open = 0, 1.0, 0.0, 0, 0
-        self.row, self.rest_until, self.heard, self.since, self.denied = 0, 0, now, 0, False
-
-    @property
-    def id(self) -> str:
-        return self.entry.id
-
-    def load(self, now: int) -> float:
-        """Requests there, as far as known: what it told, fading, and this front's own since."""
-        fade = exp((self.told_at - now) / TOLD)
-        return max(self.open, self.told * fade + self.open - self.told_open * fade)
-
-
-class Plants:
-    """All machines this front may meet, by service."""
+RANDOM_SPREAD = 0.15  # how much longer an instance may be taken to need, by chance
+RETRY_PENALTY = 10  # mean service times: an instance that was tried before comes last
+DEFAULT_SERVICE_TIME_US = 50_000.0  # before the first response of a service
+
+
+class Instances:
+    """Instances by id and by service, as discovery last told.
+
+    Attributes:
+        zone: The zone of this proxy.
+        by_id: All instances.
+        by_service: The instances of each service, by id.
+        service_times: The usual service time of each service that has answered.
+        changed_services: Services whose instances changed since the caller emptied this.
+    """
 
     def __init__(self, zone: str = "") -> None:
         self.zone = zone
-        self.by_id: dict[str, Plant] = {}
-        self.services: dict[str, dict[str, Plant]] = {}
-        self.usual: dict[str, float] = {}  # time of an answer by service, us
-        self.changed: set[str] = set()  # services whose lists changed since this was emptied
-
-    def take(self, now: int, entries: Iterable[Entry]) -> list[Plant]:
-        """Notes the news; returns those that may get nothing any more."""
-        left = []
+        self.by_id: dict[str, Instance] = {}
+        self.by_service: dict[str, dict[str, Instance]] = {}
+        self.service_times: dict[str, ServiceTimeEstimate] = {}
+        self.changed_services: set[str] = set()
+
+    def update(self, now: int, entries: Iterable[Entry]) -> list[Instance]:
+        """Takes over changed entries; returns the instances that may get no request any more."""
+        removed = []
         for entry in entries:
-            plant = self.by_id.get(entry.id)
+            instance = self.by_id.get(entry.id)
             if entry.state in (GONE, DRAINING):
-                if plant is not None:
-                    self._drop(plant)
-                    left.append(plant)
+                if instance is not None:
+                    self._remove(instance)
+                    removed.append(instance)
                 continue
-            if plant is None:
+            if instance is None:
                 if not entry.service or entry.state != READY:
                     continue
-                plant = self.by_id[entry.id] = Plant(entry, now)
-                self.services.setdefault(entry.service, {})[entry.id] = plant
-                self.changed.add(entry.service)
-            elif plant.entry.state != entry.state or plant.entry.revision != entry.revision:
-                self.changed.add(entry.service)
-            plant.entry = entry
+                instance = self._add(entry, now)
+            elif instance.entry.state != entry.state or instance.entry.revision != entry.revision:
+                self.changed_services.add(entry.service)
+            instance.entry = entry
             if entry.warm_us:
-                plant.warm_at = now + entry.warm_us
-        return left
-
-    def _drop(self, plant: Plant) -> None:
-        del self.by_id[plant.id]
-        self.services.get(plant.entry.service, {}).pop(plant.id, None)
-        self.changed.add(plant.entry.service)
-
-    def forget(self, id: str) -> None:
-        """No member knows it any more."""
-        if plant := self.by_id.get(id):
-            self._drop(plant)
-
-    def wrong(self, plant: Plant) -> None:
-        """Another machine has its address."""
-        if self.by_id.get(plant.id) is plant:
-            self._drop(plant)
-
-    def listed(self, service: str) -> Iterable[Plant]:
-        return self.services.get(service, {}).values()
-
-    def judged(self, service: str) -> list[Plant]:
-        """Those by which a version is judged: its ready ones, or, where it has none, the silent. A
-        dead one that is still listed would make a version's last machine seem one of several, and
-        its failures that machine's own."""
-        listed = list(self.listed(service))
-        ready = {one.entry.revision for one in listed if one.entry.state == READY}
+                instance.warm_at = now + entry.warm_us
+        return removed
+
+    def _add(self, entry: Entry, now: int) -> Instance:
+        instance = self.by_id[entry.id] = Instance(entry, now)
+        self.by_service.setdefault(entry.service, {})[entry.id] = instance
+        self.changed_services.add(entry.service)
+        return instance
+
+    def _remove(self, instance: Instance) -> None:
+        del self.by_id[instance.id]
+        self.by_service.get(instance.entry.service, {}).pop(instance.id, None)
+        self.changed_services.add(instance.entry.service)
+
+    def forget(self, instance_id: str) -> None:
+        """Removes an instance that no controller knows any more."""
+        if instance := self.by_id.get(instance_id):
+            self._remove(instance)
+
+    def misdirected(self, instance: Instance) -> None:
+        """Removes an instance whose address another one has by now."""
+        if self.is_listed(instance):
+            self._remove(instance)
+
+    def of_service(self, service: str) -> Iterable[Instance]:
+        """The instances of a service."""
+        return self.by_service.get(service, {}).values()
+
+    def judged_by_rollout(self, service: str) -> list[Instance]:
+        """Those by which a version is judged: its ready ones or, where it has none, the silent.
+
+        A dead one that is still listed would make a version's last instance seem one of several,
+        and its failures that instance's own.
+        """
+        instances = list(self.of_service(service))
+        ready_revisions = {one.entry.revision for one in instances if one.entry.state == READY}
         return [
-            one for one in listed if one.entry.state == READY or one.entry.revision not in ready
+            instance
+            for instance in instances
+            if instance.entry.state == READY or instance.entry.revision not in ready_revisions
         ]
 
-    def may(self, now: int, plant: Plant) -> bool:
-        """The gate before every send: it is still listed, and not leaving."""
-        return self.by_id.get(plant.id) is plant
+    def is_listed(self, instance: Instance) -> bool:
+        """Whether an instance may be sent requests: it is listed still, and not draining."""
+        return self.by_id.get(instance.id) is instance
+
+    def service_time_us(self, service: str, default_us: float) -> float:
+        """The mean service time of a service, in microseconds."""
+        estimate = self.service_times.get(service)
+        return default_us if estimate is None else estimate.mean_us
 
     def choose(
         self,
@@ -130,81 +109,51 @@
         revision: str,
         only: Container[str],
         tried: Container[str],
-        chance: Callable[[], float],
-        most_wait: float,
-    ) -> Plant | None:
-        """The machine of that version expected to answer soonest; None where none can within
-        most_wait (us). Those tried come last; `only`, unless empty, names those that may be
-        taken."""
-        usual, best, least = self.usual.get(service, 50_000.0), None, 0.0
-        for plant in self.listed(service):
-            if plant.entry.revision != revision or (only and plant.id not in only):
+        random: Callable[[], float],
+        max_wait_us: float,
+    ) -> Instance | None:
+        """The instance of a version that is expected to respond soonest.
+
+        Args:
+            now: The present time.
+            service: The service that the request is for.
+            revision: The version of the service.
+            only: Unless empty, the ids that may be chosen.
+            tried: Ids that this request went to before, which come last.
+            random: Draws a number from 0 up to 1.
+            max_wait_us: The longest expected time, in microseconds.
+
+        Returns:
+            None where no instance can respond in time.
+        """
+        estimate = self.service_times.get(service)
+        mean_us = DEFAULT_SERVICE_TIME_US if estimate is None else estimate.mean_us
+        best, least, zone = None, 0.0, self.zone
+        for instance in self.of_service(service):
+            if instance.entry.revision != revision or (only and instance.id not in only):
                 continue
-            if plant.rest_until > now and plant.open > 0:
+            ejected_us = instance.ejection.ejected_until - now
+            if ejected_us > 0 and instance.load.in_flight > 0:
                 continue
-            time = self.time(now, plant, usual) * (1 + CHANCE * chance())
-            if plant.rest_until > now:
-                time += plant.rest_until - now
-            if plant.id in tried:
-                time += 10 * usual
-            if best is None or time < least:
-                best, least = plant, time
-        return best if best is not None and least <= most_wait else None
-
-    def time(self, now: int, plant: Plant, usual: float) -> float:
-        """Expected time of an answer, us."""
-        slots, load = plant.entry.capacity, plant.load(now)
-        time = usual * plant.pace * (1 + max(0.0, load + 1 - slots) / slots + 0.3 * load / slots)
-        if now < plant.warm_at:
-            time *= COLD
-        if plant.entry.zone != self.zone:
-            time *= FAR
-        if plant.entry.state != READY:
-            time *= 4
-        if plant.open and now - max(plant.heard, plant.since) > HUNG * usual * plant.pace:
-            time *= 20
-        return time
-
-    def sent(self, now: int, plant: Plant) -> None:
-        if not plant.open:
-            plant.since = now
-        plant.open += 1
-
-    def back(self, plant: Plant) -> None:
-        """A request is no longer out there, whatever became of it."""
-        plant.open -= 1
-
-    def load_told(self, now: int, plant: Plant, text: str) -> None:
-        """X-Load-Level: running, waiting, slots."""
-        parts = text.split(",")
-        if len(parts) == 3 and all(part.strip().isdecimal() and len(part) < 9 for part in parts):
-            plant.told, plant.told_at, plant.told_open = (
-                float(parts[0]) + float(parts[1]),
-                now,
-                plant.open,
-            )
-
-    def answered(self, now: int, plant: Plant, took: int) -> None:
-        """A whole answer after `took` us."""
-        service = plant.entry.service
-        usual, took = self.usual.get(service), max(1, took)
-        if usual is None:
-            self.usual[service] = float(took)
+            spread = 1 + RANDOM_SPREAD * random()
+            expected = instance.expected_time(now, mean_us, zone) * spread
+            if ejected_us > 0:
+                expected += ejected_us
+            if instance.id in tried:
+                expected += RETRY_PENALTY * mean_us
+            if best is None or expected < least:
+                best, least = instance, expected
+        return best if best is not None and least <= max_wait_us else None
+
+    def responded(self, now: int, instance: Instance, duration_us: int) -> None:
+        """A complete response of an instance came after `duration_us`."""
+        service = instance.entry.service
+        duration_us = max(1, duration_us)
+        estimate = self.service_times.get(service)
+        if estimate is None:
+            self.service_times[service] = ServiceTimeEstimate(duration_us)
+            instance.last_response_at = now
         else:
-            self.usual[service] = usual + (took - usual) * 0.02
-            part = min(4.0, took / usual)
-            plant.pace = min(4.0, max(0.4, plant.pace + (part - plant.pace) * LEARN * 0.5))
-        plant.row, plant.rest_until, plant.heard = 0, 0, now
-
-    def full(self, now: int, plant: Plant) -> None:
-        """It turned a request away: it has all it can carry."""
-        plant.heard = now
-        plant.told = max(plant.told, 2.0 * plant.entry.capacity)
-        plant.told_at, plant.told_open = now, plant.open
-
-    def failed(self, now: int, plant: Plant, sure: bool) -> None:
-        """It failed a request; sure: nothing there took the connection."""
-        plant.row += 1
-        if sure or plant.row >= ROW:
-            times = plant.row if sure else plant.row - ROW + 1
-            plant.rest_until = now + min(REST_MOST, REST << min(6, times))
+            instance.responded(now, duration_us, estimate.mean_us)
+            estimate.add(duration_us)
+        instance.ejection.success()
--- a/umbermoor/gateway/balancing/request.py
+++ b/umbermoor/gateway/balancing/request.py
@@ -1,119 +1,254 @@
-"""The life of one request: inputs say what happened, `step` says what is to be done next. No I/O.
+"""The life of one request: inputs say what happened, `next_step` says what is to be done. No I/O.
+
+What it guards: a request that is not idempotent goes on to another instance only where it is proved
+not to have been executed; a rejection (503) is told only where that is proved of every instance it
+went to. Retries and hedged requests have their budget, which the caller asks.
+
+The states of a request and its way through them are `TRANSITIONS`. Times are whole microseconds of
+the caller's steady clock.
+"""
+
+from typing import NamedTuple, Protocol
+
+from umbermoor.gateway.balancing.attempt_outcomes import (
+    NOT_EXECUTED,
+    AttemptOutcome,
+    IdentityEnum,
+    may_reject,
+    may_retry,
+)
+from umbermoor.gateway.balancing.instance import Instance
+
+BAD_GATEWAY = 502
+UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
+
+RETRY_AFTER_SOON_S = 0.05  # told to clients where an instance may be free at once
+RETRY_AFTER_LATER_S = 0.25  # where none is listed, or all are overloaded
+RESPONSE_MARGIN_US = 15_000  # the last response of this proxy leaves so long before the deadline
+HEDGE_FRACTION = 0.45  # of the time left, after which a slow idempotent request is hedged
+MAX_UNSENT_ATTEMPTS = 4  # attempts of which nothing was sent, that are made up for
+MAX_IN_FLIGHT = 2  # a request and its hedge
+
+
+class RequestState(IdentityEnum):
+    """Where a request is in its life."""
+
+    ADMITTED = "admitted"  # routed; no attempt is in flight, and none has responded
+    IN_FLIGHT = "in_flight"  # an attempt is in flight, or two
+    RESPONDED = "responded"  # an instance's response is to be relayed
+    FINISHED = "finished"  # its client was answered, or left
+
+
+class RequestEvent(IdentityEnum):
+    """What moves a request on."""
+
+    ATTEMPT_STARTED = "attempt_started"
+    ATTEMPTS_FAILED = "attempts_failed"  # the last one in flight ended without a final response
+    RESPONSE = "response"
+    FINISHED = "finished"
+
+
+_ADMITTED = RequestState.ADMITTED
+_IN_FLIGHT = RequestState.IN_FLIGHT
+_RESPONDED = RequestState.RESPONDED
+_FINISHED = RequestState.FINISHED
+
+# KeyError: that event cannot come in that state, an invariant is broken.
+TRANSITIONS: dict[RequestState, dict[RequestEvent, RequestState]] = {
+    _ADMITTED: {
+        RequestEvent.ATTEMPT_STARTED: _IN_FLIGHT,
+        RequestEvent.FINISHED: _FINISHED,
+    },
+    _IN_FLIGHT: {
+        RequestEvent.ATTEMPT_STARTED: _IN_FLIGHT,  # a hedge
+        RequestEvent.ATTEMPTS_FAILED: _ADMITTED,  # for a retry, or for the proxy's own response
+        RequestEvent.RESPONSE: _RESPONDED,
+        RequestEvent.FINISHED: _FINISHED,
+    },
+    _RESPONDED: {
+        RequestEvent.ATTEMPTS_FAILED: _RESPONDED,  # the hedge, later
+        RequestEvent.RESPONSE: _RESPONDED,
+        RequestEvent.FINISHED: _FINISHED,
+    },
+    _FINISHED: {
+        # Attempts that were in flight then may end later.
+        RequestEvent.ATTEMPTS_FAILED: _FINISHED,
+        RequestEvent.RESPONSE: _FINISHED,
+    },
+}
+
+
+class Response(Protocol):
+    """A complete response of an instance, as the proxy's HTTP reader gives it."""
 
-What it guards: a request that may not repeat goes on to another machine only if it is proved not to
-have run; a refusal (503) is told only where that is proved of every machine it went to; second
-tries have their budget."""
-
-from dataclasses import dataclass, field
-from typing import NamedTuple
+    status: int
+    headers: dict[str, str]
+    body: bytes
 
-from umbermoor.gateway.balancing.attempt_outcomes import UNRUN, Fate, may_promise, may_repeat
-from umbermoor.gateway.balancing.instances import Plant
 
+class Respond(NamedTuple):
+    """The proxy's own response.
 
-class Told(NamedTuple):
-    """The final answer, made here."""
+    Attributes:
+        status: Its status.
+        retry_after_s: What its Retry-After says, in seconds; None where it has none.
+    """
 
     status: int
-    retry_after: float | None = None  # s
+    retry_after_s: float | None = None
 
 
 class Relay(NamedTuple):
-    """The machine's answer, as it came."""
+    """The instance's response, as it came."""
 
-    answer: object
+    response: Response
 
 
 class Wait(NamedTuple):
-    """Nothing to do before `until` (us), or the next input."""
+    """Nothing is to be done before `until`, in microseconds, or the next input."""
 
     until: int
 
 
-Step = Told | Relay | Wait
-
-RETRY_SOON = 0.05  # s: told to clients where a machine may be free at once
-RETRY_LATER = 0.25  # s: where none is listed, or all are jammed
-ANSWER_MARGIN = 15_000  # us: our last word leaves so long before the deadline
-HEDGE_PART = 0.45  # of the time left after which a safe request that hangs goes to a second machine
-
-
-@dataclass(slots=True)
-class Exchange:
-    """One request. Times in us on the host's steady clock."""
-
-    service: str
-    safe: bool
-    tries: int
-    came: int
-    due: int  # when its client or its route gives up
-    revision: str | None = None  # the build it goes to
-    sends: int = 0  # attempts of which bytes may have left
-    unsent: int = 0
-    out: dict[int, tuple[Plant, int]] = field(
-        default_factory=dict
-    )  # attempts under way, since when
-    tried: set[str] = field(default_factory=set)
-    ran: bool = False  # an attempt ended of which it is not proved that it did not run
-    spoilt: int = 502
-    answer: object = None
-    failed: object = None  # a failure that a machine answered whole
-    hedge_at: int = 0
-    closed: bool = False
-
-    def attempt(self, now: int, number: int, plant: Plant, hedge_after: int) -> None:
-        """The host hands it to a machine."""
-        self.out[number] = plant, now
-        self.tried.add(plant.id)
-        self.sends += 1
-        self.hedge_at = (
-            now + max(hedge_after, round((self.due - now) * HEDGE_PART)) if self.safe else self.due
-        )
-
-    def ended(
-        self, number: int, fate: Fate, answer: object = None, status: int = 0
-    ) -> Plant | None:
-        """An attempt ended; a failed status is a whole answer all the same."""
-        held = self.out.pop(number, None)
-        if held is None:
+Step = Respond | Relay | Wait
+
+
+class RequestLifecycle:
+    """One request.
+
+    Attributes:
+        service: The service that it goes to.
+        idempotent: Whether it may be executed more than once.
+        max_attempts: Most attempts of which bytes may have left.
+        deadline: When its client or its route gives up.
+        state: Where it is in its life.
+        in_flight: Attempts in flight, by number: where, and since when.
+        tried: Ids of the instances that it went to.
+        response: The response to relay, once there is one.
+    """
+
+    __slots__ = (
+        "_attempts_sent",
+        "_attempts_unsent",
+        "_error_response",
+        "_hedge_at",
+        "_may_have_executed",
+        "deadline",
+        "idempotent",
+        "in_flight",
+        "max_attempts",
+        "response",
+        "service",
+        "state",
+        "tried",
+    )
+
+    def __init__(self, service: str, idempotent: bool, max_attempts: int, deadline: int) -> None:
+        self.service = service
+        self.idempotent = idempotent
+        self.max_attempts = max_attempts
+        self.deadline = deadline
+        self.state = _ADMITTED
+        self.in_flight: dict[int, Instance] = {}
+        self.tried: set[str] = set()
+        self.response: Response | None = None
+        self._error_response: Response | None = None  # complete, of an idempotent request
+        self._attempts_sent = 0
+        self._attempts_unsent = 0
+        self._may_have_executed = False  # not proved otherwise of an attempt that ended
+        self._hedge_at = 0
+
+    def is_retry(self) -> bool:
+        """Whether the next attempt costs a token of the retry budget."""
+        return self._attempts_sent > 0
+
+    def may_attempt(self, now: int) -> bool:
+        """Whether another instance may be asked now: first, as a retry or as a hedge."""
+        state = self.state
+        if state is _RESPONDED or state is _FINISHED:
+            return False
+        if (
+            self._attempts_sent >= self.max_attempts
+            or self._attempts_unsent > MAX_UNSENT_ATTEMPTS
+            or now >= self.deadline - RESPONSE_MARGIN_US
+        ):
+            return False
+        if state is _ADMITTED:
+            return may_retry(self.idempotent, self._may_have_executed)
+        return self.idempotent and len(self.in_flight) < MAX_IN_FLIGHT and now >= self._hedge_at
+
+    def attempt_started(
+        self, now: int, number: int, instance: Instance, hedge_after_us: int
+    ) -> None:
+        """The caller sends it to an instance; a hedge is due after `hedge_after_us` at least."""
+        self.state = TRANSITIONS[self.state][RequestEvent.ATTEMPT_STARTED]
+        self.in_flight[number] = instance
+        self.tried.add(instance.id)
+        self._attempts_sent += 1
+        if self.idempotent:
+            time_left = self.deadline - now
+            self._hedge_at = now + max(hedge_after_us, round(time_left * HEDGE_FRACTION))
+        else:
+            self._hedge_at = self.deadline
+
+    def give_up_hedging(self) -> None:
+        """No budget or no instance is left for another attempt while one is in flight."""
+        self._hedge_at = self.deadline
+
+    def attempt_ended(
+        self, number: int, outcome: AttemptOutcome, response: Response | None = None
+    ) -> Instance | None:
+        """An attempt ended; returns where it was, None where it had ended before.
+
+        A complete response with an error status may be made up for by a retry where the request is
+        idempotent; else it is the response to relay.
+        """
+        instance = self.in_flight.pop(number, None)
+        if instance is None:
             return None
-        if fate is Fate.WHOLE:
-            if status < 500 or not self.safe:
-                self.answer = answer
+        event = RequestEvent.ATTEMPTS_FAILED
+        if outcome is AttemptOutcome.COMPLETE and response is not None:
+            self._may_have_executed = True
+            if response.status < 500 or not self.idempotent:
+                self.response = response
+                event = RequestEvent.RESPONSE
             else:
-                self.failed = answer
-            self.ran = True
-        elif fate in (Fate.UNSENT, Fate.DROPPED):
-            self.sends -= 1
-            self.unsent += 1
-        elif fate not in UNRUN:
-            self.ran = True
-        return held[0]
-
-    def may_go_on(self, now: int) -> bool:
-        """Whether another machine may be asked now."""
-        if self.sends >= self.tries or self.unsent > 4 or now >= self.due - ANSWER_MARGIN:
-            return False
-        if not self.out:
-            return may_repeat(self.safe, self.ran)
-        return self.safe and len(self.out) < 2 and now >= self.hedge_at
-
-    def rest(self, now: int) -> Step:
-        """What is to be done where no machine is asked (now)."""
-        if self.answer is not None:
-            return Relay(self.answer)
-        if self.out:
-            if now >= self.due - ANSWER_MARGIN:
-                return Told(504)
-            hedge = (
-                self.hedge_at
-                if self.safe and len(self.out) < 2 and self.sends < self.tries
-                else self.due
-            )
-            until = hedge if now < hedge else self.due
-            return Wait(min(until, self.due - ANSWER_MARGIN))
-        if self.failed is not None:
-            return Relay(self.failed)
-        if not may_promise(self.ran, len(self.out)):
-            return Told(504 if now >= self.due - ANSWER_MARGIN else self.spoilt)
-        return Told(503, RETRY_SOON if self.tried else RETRY_LATER)
+                self._error_response = response
+        elif outcome is AttemptOutcome.CONNECT_FAILED or outcome is AttemptOutcome.CANCELLED:
+            self._attempts_sent -= 1
+            self._attempts_unsent += 1
+        elif outcome not in NOT_EXECUTED:
+            self._may_have_executed = True
+        if event is RequestEvent.RESPONSE or not self.in_flight:
+            self.state = TRANSITIONS[self.state][event]
+        return instance
+
+    def finish(self) -> None:
+        """Its client was answered, or left."""
+        self.state = TRANSITIONS[self.state][RequestEvent.FINISHED]
+
+    def next_step(self, now: int) -> Step:
+        """What is to be done where no instance is asked now."""
+        if self.response is not None:
+            return Relay(self.response)
+        last_moment = self.deadline - RESPONSE_MARGIN_US
+        if self.in_flight:
+            return self._wait(now, last_moment)
+        if self._error_response is not None:
+            return Relay(self._error_response)
+        if not may_reject(self._may_have_executed, len(self.in_flight)):
+            return Respond(GATEWAY_TIMEOUT if now >= last_moment else BAD_GATEWAY)
+        return Respond(UNAVAILABLE, RETRY_AFTER_SOON_S if self.tried else RETRY_AFTER_LATER_S)
+
+    def _wait(self, now: int, last_moment: int) -> Step:
+        if now >= last_moment:
+            return Respond(GATEWAY_TIMEOUT)
+        may_hedge = (
+            self.idempotent
+            and len(self.in_flight) < MAX_IN_FLIGHT
+            and self._attempts_sent < self.max_attempts
+        )
+        if may_hedge and now < self._hedge_at:
+            return Wait(min(self._hedge_at, last_moment))
+        return Wait(last_moment)
--- a/umbermoor/gateway/balancing/retry_budget.py
+++ b/umbermoor/gateway/balancing/retry_budget.py
@@ -1,68 +1,100 @@
-"""Second tries of one front at one service: each request earns a part of one, so the sum over all
-fronts holds whatever their number is. What the bound allows beside the ratio is left for what no
-front counts: restarts and window edges."""
+"""Retry budgets: how many retries and hedged requests one proxy may send to one service.
 
-from umbermoor.statistics.windowed import Windowed
+Each request earns a part of a retry, so the sum over all proxies holds whatever their number is
+(as the retry budgets of Finagle). What the bound allows beside the ratio is left for what no proxy
+counts: restarts and window edges. Times are whole microseconds.
+"""
 
-PART = 0.8  # of the ratio that a front uses: windows lie anywhere
-SHARED = 0.5  # of the slack that all fronts share
-FLOOR = 4  # fronts that there are at least held to be
-SECOND = 1_000_000
+from umbermoor.statistics.windowed import SLOTS, SlidingWindowSum
 
+USED_RATIO = 0.8  # of the ratio that a proxy uses: windows lie anywhere
+SHARED_SLACK = 0.5  # of the slack that all proxies share
+MIN_PROXIES = 4  # proxies that there are at least taken to be
 
-class Budget:
-    """Tokens: earned by requests, lost again once the requests that earned them leave the
-    window."""
 
-    def __init__(self, ratio: float, window: int, start: float = 0.0) -> None:
-        self.ratio, self.start = ratio * PART, start
-        self.earned, self.spent = Windowed(window), Windowed(window)
-        self.window = window + window // 20  # us; a `Windowed` may hold one slot more than it says
-        self._asked = self._began = self._since = -1
-        self._counted = self._last = 0
+class RetryBudget:
+    """Tokens earned by requests, and lost once those requests leave the window.
+
+    available = slack_share + USED_RATIO * ratio * requests - retries, both counted in the window.
+    """
+
+    __slots__ = (
+        "_asked_at",
+        "_began_at",
+        "_counted_proxies",
+        "_last_proxies",
+        "_unchanged_since",
+        "ratio",
+        "requests",
+        "retries",
+        "slack_share",
+        "window_us",
+    )
+
+    def __init__(self, ratio: float, window_us: int, slack_share: float = 0.0) -> None:
+        self.ratio = ratio * USED_RATIO
+        self.slack_share = slack_share
+        self.requests = SlidingWindowSum(window_us)
+        self.retries = SlidingWindowSum(window_us)
+        # A `SlidingWindowSum` may hold one slot more than it says.
+        self.window_us = window_us + window_us // SLOTS
+        self._asked_at = self._began_at = self._unchanged_since = -1
+        self._counted_proxies = self._last_proxies = 0
 
     def set_ratio(self, ratio: float) -> None:
-        """The bound changed: second tries to first ones."""
-        self.ratio = ratio * PART
+        """Changes the bound: retries to requests."""
+        self.ratio = ratio * USED_RATIO
 
-    def request(self, now: int) -> None:
-        self.earned.add(now, 1)
+    def request_arrived(self, now: int) -> None:
+        """Earns a part of a token."""
+        self.requests.add(now, 1)
 
-    def left(self, now: int) -> float:
-        """Second tries that may be made now."""
-        return self.start + self.ratio * self.earned.sum(now) - self.spent.sum(now)
+    def available(self, now: int) -> float:
+        """Retries that may be sent now."""
+        return self.slack_share + self.ratio * self.requests.sum(now) - self.retries.sum(now)
 
-    def spend(self, now: int) -> bool:
-        """Takes one; whether there was one."""
-        if self.left(now) < 1:
+    def try_spend(self, now: int) -> bool:
+        """Takes one token; whether there was one."""
+        if self.available(now) < 1:
             return False
-        self.spent.add(now, 1)
+        self.retries.add(now, 1)
         return True
 
-    def shared(self, now: int, slack: float, fronts: int, floor: int = FLOOR) -> None:
-        """Sets `start` to this front's share of `slack` (second tries a window that all fronts
-        together may make beyond the ratio), by the number of fronts believed to run. Call it at
-        least once a window, such as each tick.
+    def share_slack(
+        self, now: int, slack: float, proxies: int, min_proxies: int = MIN_PROXIES
+    ) -> None:
+        """Sets `slack_share` to this proxy's share, by the number of proxies believed to run.
 
-        It is 0 for the first whole window of a life; then SHARED x slack / max(counted, floor).
-        `counted` rises at once with `fronts`, and falls only to a number that has been the same for
-        a whole window; longer than half a window without a call counts as a change.
+        Call it at least once a window, such as each tick. The share is 0 for the first whole window
+        of an incarnation; then SHARED_SLACK * slack / max(counted, min_proxies). `counted` rises at
+        once with `proxies`, and falls only to a number that has been the same for a whole window;
+        longer than half a window without a call counts as a change.
 
-        Why the shares sum to no more than the slack. Take any window, T - W to T; let n fronts run
+        Why the shares sum to no more than the slack. Take any window, T - W to T; let n proxies run
         at T - W. Who uses its share at t within it began at t - W or before, so it ran at T - W:
-        there are at most n, and a former life at one of their addresses ended before T - W. Each
-        one's `counted` at t is no less than what it believed at T - W, since that lies within its
-        last window. Where each believed at least n / 2 then, its share is at most 0.5 x slack / (n
-        / 2) = slack / n, and all together slack. Where they believed n, half of it is left.
+        there are at most n, and a former incarnation at one of their addresses ended before T - W.
+        Each one's `counted` at t is no less than what it believed at T - W, since that lies within
+        its last window. Where each believed at least n / 2 then, its share is at most
+        0.5 * slack / (n / 2) = slack / n, and all together slack. Where they believed n, half of it
+        is left.
+
+        Args:
+            now: The present time.
+            slack: Retries a window that all proxies together may send beyond the ratio.
+            proxies: Proxies believed to run, this one included.
+            min_proxies: Proxies that there are at least taken to be.
         """
-        if self._asked < 0:
-            self._began = self._since = now
-            self._counted = self._last = fronts
-        if fronts != self._last or now - self._asked > self.window // 2:
-            self._last, self._since = fronts, now
-        self._asked = now
-        if now - self._since >= self.window:
-            self._counted = fronts
-        self._counted = max(self._counted, fronts)
-        settled = now - self._began >= self.window
-        self.start = SHARED * slack / max(self._counted, floor, 1) if settled else 0.0
+        if self._asked_at < 0:
+            self._began_at = self._unchanged_since = now
+            self._counted_proxies = self._last_proxies = proxies
+        if proxies != self._last_proxies or now - self._asked_at > self.window_us // 2:
+            self._last_proxies = proxies
+            self._unchanged_since = now
+        self._asked_at = now
+        if now - self._unchanged_since >= self.window_us:
+            self._counted_proxies = proxies
+        self._counted_proxies = max(self._counted_proxies, proxies)
+        if now - self._began_at >= self.window_us:
+            self.slack_share = SHARED_SLACK * slack / max(self._counted_proxies, min_proxies, 1)
+        else:
+            self.slack_share = 0.0
--- a/umbermoor/gateway/server/client_connection.py
+++ b/umbermoor/gateway/server/client_connection.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from umbermoor.gateway.balancing.attempt_outcomes import SINGLE
+from umbermoor.gateway.balancing.attempt_outcomes import SINGLE_VALUE_HEADERS
 from umbermoor.gateway.server.peer_transport import quicken
 from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import REASONS
@@ -91,7 +91,7 @@
 
     def __init__(self, front: Any) -> None:
         self.front, self.transport = front, None
-        self.reader = Reader(front.buffers, body_most=front.body_most, single=SINGLE)
+        self.reader = Reader(front.buffers, body_most=front.body_most, single=SINGLE_VALUE_HEADERS)
         self.row: list[
             list
         ] = []  # [request, (status, body, headers) or None, started], oldest first
--- a/umbermoor/gateway/server/connections.py
+++ b/umbermoor/gateway/server/connections.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 
 from umbermoor.gateway.balancing.attempt_outcomes import (
-    SINGLE,
-    Event,
-    Fate,
-    Line,
-    Stage,
+    SINGLE_VALUE_HEADERS,
+    AttemptOutcome,
+    AttemptStage,
+    ConnectionAction,
+    ConnectionEvent,
     classify,
-    clean,
     decide,
+    is_reusable,
 )
-from umbermoor.gateway.balancing.instances import Plant
+from umbermoor.gateway.balancing.instance import Instance
 from umbermoor.gateway.server.peer_transport import quicken
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Response
@@ -39,7 +39,7 @@
         self,
         data: bytes,
         id: str,
-        done: Callable[[Fate, Response | None], None],
+        done: Callable[[AttemptOutcome, Response | None], None],
         bodiless: bool = False,
         anew: bool = False,
     ) -> None:
@@ -48,19 +48,19 @@
         self.anew = anew  # on a new connection: this request was at this machine before
         self.line: MachineLine | None = None  # that carries it, or did
 
-    def end(self, fate: Fate, response: Response | None = None) -> None:
+    def end(self, outcome: AttemptOutcome, response: Response | None = None) -> None:
         if not self.over:
             self.over = True
-            self.done(fate, response)
+            self.done(outcome, response)
 
-    def meet(self, event: Event) -> None:
+    def meet(self, event: ConnectionEvent) -> None:
         """What happens to it from this side: UNWANTED or OVER."""
         if self.over:
             return
         if self.line is not None:
             self.line.meet(event)
-        elif (fate := decide(Stage.CONNECTING, event).fate) is not None:
-            self.end(fate)
+        elif (outcome := decide(AttemptStage.CONNECTING, event).outcome) is not None:
+            self.end(outcome)
 
 
 class MachineLine(asyncio.Protocol):
@@ -69,17 +69,19 @@
         "idle_most",
         "idle_since",
         "ids",
-        "plant",
+        "instance",
         "pool",
         "reader",
         "tainted",
         "transport",
     )
 
-    def __init__(self, pool: "Pool", plant: Plant) -> None:
-        self.pool, self.plant = pool, plant
+    def __init__(self, pool: "Pool", instance: Instance) -> None:
+        self.pool, self.instance = pool, instance
         self.transport = self.attempt = None
-        self.reader = Reader(pool.buffers, responses=True, body_most=ANSWER_MOST, single=SINGLE)
+        self.reader = Reader(
+            pool.buffers, responses=True, body_most=ANSWER_MOST, single=SINGLE_VALUE_HEADERS
+        )
         self.idle_since, self.idle_most, self.tainted = 0.0, IDLE, False
         self.ids: tuple[str, ...] = ()  # of the last requests on it, newest first
 
@@ -88,12 +90,12 @@
         quicken(transport)
 
     @property
-    def stage(self) -> Stage:
+    def stage(self) -> AttemptStage:
         if self.attempt is None:
-            return Stage.RESTING
+            return AttemptStage.IDLE
         if self.transport.get_write_buffer_size():
-            return Stage.WRITING
-        return Stage.READING if self.reader.midway else Stage.WRITTEN
+            return AttemptStage.WRITING
+        return AttemptStage.READING if self.reader.midway else AttemptStage.WRITTEN
 
     def carry(self, attempt: Attempt) -> None:
         self.attempt, attempt.line = attempt, self
@@ -103,16 +105,16 @@
 
     def data_received(self, data: bytes) -> None:
         if self.attempt is None:
-            self.meet(Event.SURPLUS)
+            self.meet(ConnectionEvent.UNEXPECTED_DATA)
             return
         all_found = self.reader.feed(data)
         for place, found in enumerate(all_found, 1):
             attempt = self.attempt
             if attempt is None:
-                self.meet(Event.SURPLUS)
+                self.meet(ConnectionEvent.UNEXPECTED_DATA)
                 return
             if isinstance(found, Fault):
-                self.meet(Event.GARBLED)
+                self.meet(ConnectionEvent.MALFORMED)
                 return
             self.meet(
                 classify(found.status, found.headers, attempt.id, len(self.ids) == 1),
@@ -120,25 +122,27 @@
                 place < len(all_found) or self.reader.midway,
             )
 
-    def meet(self, event: Event, found: Response | None = None, surplus: bool = False) -> None:
+    def meet(
+        self, event: ConnectionEvent, found: Response | None = None, surplus: bool = False
+    ) -> None:
         """Carries out what the table says; surplus: bytes lie behind the answer that was found."""
-        fate, line = decide(self.stage, event)
-        if line is Line.GO_ON:
-            self.tainted = self.tainted or event is Event.FOREIGN
+        outcome, line = decide(self.stage, event)
+        if line is ConnectionAction.CONTINUE:
+            self.tainted = self.tainted or event is ConnectionEvent.FOREIGN_RESPONSE
             return
         attempt, self.attempt = self.attempt, None
-        if line is Line.BREAK:
+        if line is ConnectionAction.ABORT:
             self.transport.abort()
         elif (
-            line is Line.REST
-            and clean(found.keep, self.tainted, surplus, attempt.bodiless)
+            line is ConnectionAction.KEEP
+            and is_reusable(found.keep, self.tainted, surplus, attempt.bodiless)
             and self.pool.keeps(self)
         ):
             self._rest(found.headers.get("keep-alive", ""))
         else:
             self.transport.close()
         if attempt is not None:
-            attempt.end(fate, found)
+            attempt.end(outcome, found)
 
     def _rest(self, told: str) -> None:
         self.idle_since, self.idle_most = self.pool.clock(), IDLE
@@ -156,32 +160,32 @@
             event = classify(
                 found.status, found.headers, attempt.id, len(self.ids) == 1, framed=False
             )
-            if event is not Event.FOREIGN:
+            if event is not ConnectionEvent.FOREIGN_RESPONSE:
                 self.meet(event, found)
         if not self.transport.is_closing():
-            self.meet(Event.ENDED)
+            self.meet(ConnectionEvent.CLOSED)
         return False
 
     def connection_lost(self, error) -> None:
         self.reader.drop()
         self.pool.lost(self)
         if self.attempt is not None:
-            self.meet(Event.ENDED)
+            self.meet(ConnectionEvent.CLOSED)
 
 
 class Pool:
     """Connections to all machines, by machine life."""
 
     def __init__(
-        self, buffers: Buffers, clock: Callable[[], float], may: Callable[[Plant], bool]
+        self, buffers: Buffers, clock: Callable[[], float], may: Callable[[Instance], bool]
     ) -> None:
         self.buffers, self.clock, self.may = buffers, clock, may
         self.idle: dict[str, list[MachineLine]] = {}
         self._tasks: set[asyncio.Task] = set()
 
-    def start(self, plant: Plant, attempt: Attempt, once: bool) -> None:
+    def start(self, instance: Instance, attempt: Attempt, once: bool) -> None:
         """Sends on a kept connection, or on a new one."""
-        lines = [] if attempt.anew else self.idle.get(plant.id, [])
+        lines = [] if attempt.anew else self.idle.get(instance.id, [])
         now, most = self.clock(), IDLE_ONCE if once else IDLE
         for place in range(len(lines) - 1, -1, -1):
             line = lines[place]
@@ -195,48 +199,48 @@
                 line.carry(attempt)
                 return
             line.transport.close()
-        task = asyncio.get_running_loop().create_task(self._open(plant, attempt))
+        task = asyncio.get_running_loop().create_task(self._open(instance, attempt))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _open(self, plant: Plant, attempt: Attempt) -> None:
-        host, _, port = plant.entry.address.rpartition(":")
+    async def _open(self, instance: Instance, attempt: Attempt) -> None:
+        host, _, port = instance.entry.address.rpartition(":")
         try:
             async with asyncio.timeout(CONNECT):
                 _, line = await asyncio.get_running_loop().create_connection(
-                    lambda: MachineLine(self, plant), host, int(port)
+                    lambda: MachineLine(self, instance), host, int(port)
                 )
         except (OSError, TimeoutError, ValueError):
-            attempt.end(decide(Stage.CONNECTING, Event.UNREACHED).fate)
+            attempt.end(decide(AttemptStage.CONNECTING, ConnectionEvent.CONNECT_FAILED).outcome)
             return
         if attempt.over:
             line.transport.close()
         elif (
             line.transport.is_closing()
         ):  # it was reset, or said something, before anything was written
-            attempt.end(decide(Stage.CONNECTING, Event.ENDED).fate)
-        elif not self.may(plant):  # what changed while it was opened
+            attempt.end(decide(AttemptStage.CONNECTING, ConnectionEvent.CLOSED).outcome)
+        elif not self.may(instance):  # what changed while it was opened
             line.transport.close()
-            attempt.end(decide(Stage.CONNECTING, Event.BARRED).fate)
+            attempt.end(decide(AttemptStage.CONNECTING, ConnectionEvent.NOT_ALLOWED).outcome)
         else:
             line.carry(attempt)
 
     def keeps(self, line: MachineLine) -> bool:
-        return self.may(line.plant) and len(self.idle.get(line.plant.id, ())) < KEPT
+        return self.may(line.instance) and len(self.idle.get(line.instance.id, ())) < KEPT
 
     def rest(self, line: MachineLine) -> None:
-        self.idle.setdefault(line.plant.id, []).append(line)
+        self.idle.setdefault(line.instance.id, []).append(line)
 
     def lost(self, line: MachineLine) -> None:
-        lines = self.idle.get(line.plant.id)
+        lines = self.idle.get(line.instance.id)
         if lines and line in lines:
             lines.remove(line)
         if lines is not None and not lines:
-            del self.idle[line.plant.id]
+            del self.idle[line.instance.id]
 
-    def drop(self, plant: Plant) -> None:
+    def drop(self, instance: Instance) -> None:
         """It gets nothing any more."""
-        for line in self.idle.pop(plant.id, []):
+        for line in self.idle.pop(instance.id, []):
             line.transport.close()
 
     def sweep(self) -> None:
--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -10,10 +10,22 @@
 import time
 from typing import Any
 
-from umbermoor.gateway.balancing.attempt_outcomes import UNRUN, Event, Fate
-from umbermoor.gateway.balancing.instances import Plant, Plants
-from umbermoor.gateway.balancing.request import ANSWER_MARGIN, Exchange, Relay, Told, Wait
-from umbermoor.gateway.balancing.retry_budget import Budget
+from umbermoor.gateway.balancing.attempt_outcomes import (
+    NOT_EXECUTED,
+    AttemptOutcome,
+    ConnectionEvent,
+)
+from umbermoor.gateway.balancing.instance import Instance
+from umbermoor.gateway.balancing.instances import Instances
+from umbermoor.gateway.balancing.request import (
+    RESPONSE_MARGIN_US,
+    Relay,
+    RequestLifecycle,
+    RequestState,
+    Respond,
+    Wait,
+)
+from umbermoor.gateway.balancing.retry_budget import RetryBudget
 from umbermoor.gateway.config.errors import ValidationError
 from umbermoor.gateway.config.node_settings import NodeSettings, read_node_settings
 from umbermoor.gateway.distribution.deltas import applied, digest_of
@@ -44,17 +56,22 @@
 class Going:
     """A request under way: what the state machine does not hold."""
 
-    __slots__ = "exchange", "line", "number", "out", "request", "route", "slot", "timer"
+    __slots__ = "lifecycle", "line", "number", "out", "request", "route", "slot", "timer"
 
     def __init__(
-        self, line: ClientLine, slot: list, request: Request, route: Route, exchange: Exchange
+        self,
+        line: ClientLine,
+        slot: list,
+        request: Request,
+        route: Route,
+        lifecycle: RequestLifecycle,
     ) -> None:
-        self.line, self.slot, self.request, self.route, self.exchange = (
+        self.line, self.slot, self.request, self.route, self.lifecycle = (
             line,
             slot,
             request,
             route,
-            exchange,
+            lifecycle,
         )
         self.timer: asyncio.TimerHandle | None = None
         self.number = 0
@@ -69,7 +86,7 @@
         self.text = ""  # of the configuration in force, as the operator sent it
         self.stages: dict[str, tuple] = {}  # of roll-outs, as last logged
         self.clock = time.monotonic
-        self.plants, self.trials, self.routes = Plants(settings.zone), Trials(), None
+        self.instances, self.trials, self.routes = Instances(settings.zone), Trials(), None
         self.buffers = Buffers(settings.memory_mb << 20)
         self.pool = Pool(self.buffers, self.clock, self.may)
         self.pulls = Pulls([seed.rpartition(":")[0] for seed in settings.seeds])
@@ -77,7 +94,7 @@
         self.post = Post(settings.ip, settings.port_range[0], self.receive, self.lost)
         self.lines: set[ClientLine] = set()
         self.going: dict[int, Going] = {}  # by id of its slot
-        self.budgets: dict[str, Budget] = {}
+        self.budgets: dict[str, RetryBudget] = {}
         self.leaving, self.ready, self.started = False, False, self.now()
         self.ticked = self.started
         self.keep_s, self.idle_s, self.head_s, self.body_most = 10, 15.0, 3.0, BODY_MOST
@@ -105,11 +122,11 @@
         told = request.headers.get("x-time-remaining", "")
         left = int(told) * 1000 - WAY if told.isdecimal() and len(told) < 9 else route.timeout_us
         service = route.service_for(self.chance.random())
-        exchange = Exchange(
-            service, route.idempotent, route.max_attempts, now, now + min(left, route.timeout_us)
+        lifecycle = RequestLifecycle(
+            service, route.idempotent, route.max_attempts, now + min(left, route.timeout_us)
         )
-        going = self.going[id(slot)] = Going(line, slot, request, route, exchange)
-        self.budget(service).request(now)
+        going = self.going[id(slot)] = Going(line, slot, request, route, lifecycle)
+        self.retry_budget(service).request_arrived(now)
         self.trials.asked(now, service)
         self.go(going)
 
@@ -120,43 +137,43 @@
         )
         return route is None or route.idempotent
 
-    def may(self, plant: Plant) -> bool:
+    def may(self, instance: Instance) -> bool:
         """The gate right before every send."""
         now = self.now()
-        return self.plants.may(now, plant) and self.trials.allowed(
-            now, plant.entry.service, plant.entry.revision
+        return self.instances.is_listed(instance) and self.trials.allowed(
+            now, instance.entry.service, instance.entry.revision
         )
 
-    def budget(self, service: str) -> Budget:
+    def retry_budget(self, service: str) -> RetryBudget:
         held = self.budgets.get(service)
         if held is None:
             margin = self.settings.margin
-            held = self.budgets[service] = Budget(
+            held = self.budgets[service] = RetryBudget(
                 margin("retryRatio", 0.2), self.settings.margin_us("retryWindowS", 10)
             )
         return held
 
     def go(self, going: Going) -> None:
         """Carries out what the request's state machine wants next."""
-        now, exchange = self.now(), going.exchange
-        while exchange.answer is None and exchange.may_go_on(now):
-            second = exchange.sends > 0
-            budget = self.budget(exchange.service)
-            if second and budget.left(now) < 1:
-                exchange.hedge_at = exchange.due
+        now, lifecycle = self.now(), going.lifecycle
+        while lifecycle.may_attempt(now):
+            second = lifecycle.is_retry()
+            retry_budget = self.retry_budget(lifecycle.service)
+            if second and retry_budget.available(now) < 1:
+                lifecycle.give_up_hedging()
                 break
-            plant = self.choose(now, exchange, second)
-            if plant is None or (plant.id in exchange.tried and exchange.out):
-                exchange.hedge_at = exchange.due
+            instance = self.choose(now, lifecycle, second)
+            if instance is None or (instance.id in lifecycle.tried and lifecycle.in_flight):
+                lifecycle.give_up_hedging()
                 break
             if second:
-                budget.spend(now)
-            self.hand(now, going, plant)
-        if going.out and now >= exchange.due - ANSWER_MARGIN:
+                retry_budget.try_spend(now)
+            self.hand(now, going, instance)
+        if going.out and now >= lifecycle.deadline - RESPONSE_MARGIN_US:
             self.take_back(going)
-            if exchange.closed:
+            if lifecycle.state is RequestState.FINISHED:
                 return
-        step = exchange.rest(now)
+        step = lifecycle.next_step(now)
         if going.timer is not None:
             going.timer.cancel()
             going.timer = None
@@ -165,94 +182,101 @@
                 max(0, step.until - now) / SECOND, self.go, going
             )
         elif isinstance(step, Relay):
-            response: Response = step.answer
+            response: Response = step.response
             self.finish(going, response.status, response.body, response.headers)
-        elif isinstance(step, Told):
+        elif isinstance(step, Respond):
             self.finish(
                 going,
                 step.status,
                 b"",
-                {} if step.retry_after is None else {"retry-after": f"{step.retry_after:g}"},
+                {} if step.retry_after_s is None else {"retry-after": f"{step.retry_after_s:g}"},
             )
 
-    def choose(self, now: int, exchange: Exchange, second: bool) -> Plant | None:
+    def choose(self, now: int, lifecycle: RequestLifecycle, second: bool) -> Instance | None:
         """The version's turn by the roll-out's share, then the machine within it."""
-        trials, service, chance = self.trials, exchange.service, self.chance.random
+        trials, service, chance = self.trials, lifecycle.service, self.chance.random
         side = trials.side(now, service, chance(), second)
         if side is None:
             return None
-        wait = exchange.due - now
+        wait = lifecycle.deadline - now
         only = trials.machines(now, service) if side == trials.target(service) else ()
-        plant = self.plants.choose(now, service, side, only, exchange.tried, chance, wait)
+        instance = self.instances.choose(now, service, side, only, lifecycle.tried, chance, wait)
         return (
-            plant
-            or (only and self.plants.choose(now, service, side, (), exchange.tried, chance, wait))
+            instance
+            or (
+                only
+                and self.instances.choose(now, service, side, (), lifecycle.tried, chance, wait)
+            )
             or None
         )
 
-    def hand(self, now: int, going: Going, plant: Plant) -> None:
-        exchange = going.exchange
+    def hand(self, now: int, going: Going, instance: Instance) -> None:
+        lifecycle = going.lifecycle
         going.number += 1
-        number, anew = going.number, plant.id in exchange.tried
-        usual = self.plants.usual.get(exchange.service, 100_000.0)
-        exchange.attempt(now, number, plant, round(4 * usual * plant.pace))
-        self.plants.sent(now, plant)
-        self.trials.sent(now, exchange.service, plant.entry.revision)
-        data = request_bytes(going.request, plant.id, max(1, (exchange.due - now) // 1000))
+        number, anew = going.number, instance.id in lifecycle.tried
+        usual = self.instances.service_time_us(lifecycle.service, 100_000.0)
+        lifecycle.attempt_started(
+            now, number, instance, round(4 * usual * instance.relative_service_time)
+        )
+        instance.attempt_started(now)
+        self.trials.sent(now, lifecycle.service, instance.entry.revision)
+        data = request_bytes(going.request, instance.id, max(1, (lifecycle.deadline - now) // 1000))
         attempt = Attempt(
             data,
             going.request.headers.get("x-attempt-id", ""),
-            lambda fate, response: self.attempt_ended(going, number, plant, now, fate, response),
+            lambda outcome, response: self.attempt_ended(
+                going, number, instance, now, outcome, response
+            ),
             going.request.method == "HEAD",
             anew,
         )
         going.out[number] = attempt
-        self.pool.start(plant, attempt, not exchange.safe)
+        self.pool.start(instance, attempt, not lifecycle.idempotent)
 
     def attempt_ended(
         self,
         going: Going,
         number: int,
-        plant: Plant,
+        instance: Instance,
         sent: int,
-        fate: Fate,
+        outcome: AttemptOutcome,
         response: Response | None,
     ) -> None:
-        now, plants = self.now(), self.plants
+        now, instances = self.now(), self.instances
         going.out.pop(number, None)
-        plants.back(plant)
+        instance.attempt_ended()
         if response is not None and (load := response.headers.get("x-load-level")):
-            plants.load_told(now, plant, load)
+            instance.load_reported(now, load)
         status = response.status if response is not None else 0
-        if fate is Fate.WHOLE and status < 500:
-            plants.answered(now, plant, now - sent)
-        elif fate is Fate.FULL:
-            plants.full(now, plant)
-        elif fate is Fate.WRONG:
-            plants.wrong(plant)
-            self.pool.drop(plant)
-        elif fate is Fate.WHOLE:
-            plant.heard = now
-        elif fate is not Fate.DROPPED:
-            plants.failed(now, plant, fate is Fate.UNSENT)
-        entry, unrun = plant.entry, fate in UNRUN
+        if outcome is AttemptOutcome.COMPLETE and status < 500:
+            instances.responded(now, instance, now - sent)
+        elif outcome is AttemptOutcome.REJECTED:
+            instance.rejected(now)
+        elif outcome is AttemptOutcome.MISDIRECTED:
+            instances.misdirected(instance)
+            self.pool.drop(instance)
+        elif outcome is AttemptOutcome.COMPLETE:
+            instance.last_response_at = now
+        elif outcome is not AttemptOutcome.CANCELLED:
+            instance.ejection.failure(now, outcome is AttemptOutcome.CONNECT_FAILED)
+        entry, unrun = instance.entry, outcome in NOT_EXECUTED
         self.trials.ended(
             now,
             entry.service,
             entry.revision,
-            plant.id,
-            plant.listed,
+            instance.id,
+            instance.listed_at,
             now - sent <= going.route.latency_target_us,
-            fate is not Fate.WHOLE or status >= 500,
+            outcome is not AttemptOutcome.COMPLETE or status >= 500,
             number > 1 or unrun,
         )
-        self.counts[fate.value] = self.counts.get(fate.value, 0) + 1
-        going.exchange.ended(number, fate, response, status)
-        if not going.exchange.closed:
+        self.counts[outcome.value] = self.counts.get(outcome.value, 0) + 1
+        going.lifecycle.attempt_ended(number, outcome, response)
+        if going.lifecycle.state is not RequestState.FINISHED:
             self.go(going)
 
     def finish(self, going: Going, status: int, body: bytes, headers: dict[str, str]) -> None:
-        going.exchange.closed = True
+        going.lifecycle.finish()
         if going.timer is not None:
             going.timer.cancel()
         self.going.pop(id(going.slot), None)
@@ -267,23 +291,23 @@
         if going.out:
             self.take_back(going)
         if going.out:
-            left = max(0, going.exchange.due - self.now()) / SECOND + OVERTIME
+            left = max(0, going.lifecycle.deadline - self.now()) / SECOND + OVERTIME
             asyncio.get_running_loop().call_later(left, self.give_up, going)
 
     def take_back(self, going: Going) -> None:
         """Attempts of which nothing was written end here: they are proved not to run."""
         for attempt in list(going.out.values()):
-            attempt.meet(Event.UNWANTED)
+            attempt.meet(ConnectionEvent.CANCELLED)
 
     def give_up(self, going: Going) -> None:
         for attempt in list(going.out.values()):
-            attempt.meet(Event.OVER)
+            attempt.meet(ConnectionEvent.DEADLINE_EXCEEDED)
 
     def client_left(self, slot: list) -> None:
         """Its connection is gone: what it asked is not sent anywhere else."""
         going = self.going.pop(id(slot), None)
         if going is not None:
-            going.exchange.closed = True
+            going.lifecycle.finish()
             if going.timer is not None:
                 going.timer.cancel()
             self.leave_out(going)
@@ -297,8 +321,8 @@
             heard = self.pulls.news(now, line.peer, message)
             if heard is None:
                 return
-            for plant in self.plants.take(now, heard.machines):
-                self.pool.drop(plant)
+            for instance in self.instances.update(now, heard.machines):
+                self.pool.drop(instance)
             if heard.firm:
                 self.trials.heard(now)
             for key, record in heard.register.items():
@@ -315,18 +339,18 @@
                             target=stage[1],
                             stage=stage[2],
                         )
-            for service in self.plants.changed:
+            for service in self.instances.changed_services:
                 if heard.firm and ROLLOUT + service not in self.pulls.register:
                     self.trials.order(now, service, None)
                 self.trials.listed(
                     now,
                     service,
                     [
-                        (one.id, one.entry.revision, one.listed)
-                        for one in self.plants.judged(service)
+                        (one.id, one.entry.revision, one.listed_at)
+                        for one in self.instances.judged_by_rollout(service)
                     ],
                 )
-            self.plants.changed.clear()
+            self.instances.changed_services.clear()
             self.sonde.heard_of(
                 now, [one for one in message.get("fronts", ()) if isinstance(one, str)]
             )
@@ -432,23 +456,25 @@
                     self.routes is not None
                     and self.pulls.offered <= self.pulls.revision
                     and self.pulls.firm_since(self.started)
-                    and (bool(self.plants.by_id) or now - self.started > FIRST)
+                    and (bool(self.instances.by_id) or now - self.started > FIRST)
                 )
                 if self.ready:
                     event(
-                        "ready", machines=len(self.plants.by_id), revision=self.routes.revision_text
+                        "ready",
+                        machines=len(self.instances.by_id),
+                        revision=self.routes.revision_text,
                     )
             clock = self.clock()
             if clock - told >= 1:
                 told = clock
                 self.pool.sweep()
                 for id in self.pulls.forget(now):
-                    self.plants.forget(id)
+                    self.instances.forget(id)
                 if _changed(self.path) != self.changed:
                     self.read_again()
                 slack, fronts = self.settings.margin("retrySlack", 0.0), self.sonde.count()
-                for budget in self.budgets.values():
-                    budget.shared(now, slack, fronts)
+                for retry_budget in self.budgets.values():
+                    retry_budget.share_slack(now, slack, fronts)
                 for line in list(self.lines):
                     line.sweep(clock, self.head_s, self.idle_s)
                 if broken := relieve(self.lines, self.settings.memory_mb << 17):
@@ -464,8 +490,8 @@
             event("garbled", what="settings", why=settings)
             return
         self.settings = settings
-        for budget in self.budgets.values():
-            budget.set_ratio(settings.margin("retryRatio", 0.2))
+        for retry_budget in self.budgets.values():
+            retry_budget.set_ratio(settings.margin("retryRatio", 0.2))
         for seed in settings.seeds:
             self.pulls.meet(seed.rpartition(":")[0])
         event("settings", seeds=",".join(settings.seeds))
--- a/umbermoor/gateway/simulation/checks.py
+++ b/umbermoor/gateway/simulation/checks.py
@@ -529,7 +529,7 @@
             if entry.state in (DRAINING, GONE):
                 self.away[name].add(id)
         for server in self.play.servers:
-            if server.id in front.plants.by_id:
+            if server.id in front.instances.by_id:
                 if server.id in self.away[name]:
                     self.broken("revert", f"{name} lists {server.id} again, which it knew to leave")
                 self._may_take(name, server, "is listed")
@@ -607,7 +607,7 @@
             self.broken("end", f"not whole though all is well: {stories}")
         for vane in play.vanes.values():  # no rule is broken: nobody is there to take a request
             self.counts["left and still listed"] += sum(
-                server.known_left and server.id in vane.front.plants.by_id
+                server.known_left and server.id in vane.front.instances.by_id
                 for server in play.servers
             )
         for name, vane in play.vanes.items():
--- a/umbermoor/membership/asking.py
+++ b/umbermoor/membership/asking.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from umbermoor.backoff import Again
+from umbermoor.backoff import Backoff
 from umbermoor.membership import answers
 from umbermoor.membership.answers import Cut, Failed, NotOurs, NotThere, Target, There
 
@@ -73,11 +73,11 @@
     _found: There | None = None  # whose hosts' addresses are still asked for
     _hosts: list[str] = field(default_factory=list)
     _tried: list[Server] = field(default_factory=list)
-    _again: Again = field(init=False)
+    _backoff: Backoff = field(init=False)
     why: str = ""
 
     def __post_init__(self) -> None:
-        self._again = Again(AGAIN_FIRST, AGAIN_MOST, self.chance)
+        self._backoff = Backoff(AGAIN_FIRST, AGAIN_MOST, self.chance)
 
     def due(self, now: int) -> Ask | None:
         """What is to be sent now."""
@@ -157,7 +157,7 @@
         """No server answered."""
         self._tried.clear()
         self._hosts, self._found = [], None
-        self.next_round = now + round(self._again.pause())
+        self.next_round = now + round(self._backoff.next_delay())
 
     def _service(self, now: int, read: There | NotThere) -> There | NotThere | Ask:
         self._tried.clear()
@@ -186,7 +186,7 @@
         return self._settled(now, done)
 
     def _settled(self, now: int, read: There | NotThere) -> There | NotThere:
-        self._again.well()
+        self._backoff.reset()
         part = REFRESH_PART + REFRESH_SPREAD * self.chance()
         self.next_round = now + max(SECOND // 10, round(read.ttl * SECOND * part))
         return read
--- a/umbermoor/node/platform.py
+++ b/umbermoor/node/platform.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.defer import Deferred
 
-from umbermoor.backoff import Again
+from umbermoor.backoff import Backoff
 from umbermoor.charter import micros
 from umbermoor.facade import Complaint, Tally, Vote
 from umbermoor.http1.buffers import Buffers
@@ -129,7 +129,7 @@
         )
         self._profiles, self._told = profiles, told
         self._streams: list[_Stream] = []  # one; two while the older is silent
-        self._again = Again(AGAIN_FIRST, AGAIN_MOST, chance)
+        self._backoff = Backoff(AGAIN_FIRST, AGAIN_MOST, chance)
         self._stopped = False
         self.counts: Counter[str] = Counter()
 
@@ -158,7 +158,7 @@
         """Votes go to another address from now on. The stream there takes over once it speaks;
         until then, or until it is closed, the one that stands may tell more."""
         self._address = address
-        self._again.well()
+        self._backoff.reset()
         self._keep(*self._streams[:1])
         self.start()
 
@@ -178,7 +178,7 @@
             other.stop()
 
     def heard(self, stream: "_Stream", events: list[Event]) -> None:
-        self._again.well()
+        self._backoff.reset()
         if stream.address == self._address:  # else the one that is to take over goes on connecting
             self._keep(stream)
         for event in events:
@@ -201,7 +201,9 @@
             if not self._stopped:
                 note(log, "stream lost", outcome=shown(outcome))
             if not self._streams:
-                self._reactor.callLater(self._again.pause(), lambda: self._streams or self.start())
+                self._reactor.callLater(
+                    self._backoff.next_delay(), lambda: self._streams or self.start()
+                )
 
 
 class _Stream:
--- a/umbermoor/statistics/windowed.py
+++ b/umbermoor/statistics/windowed.py
@@ -1,34 +1,44 @@
-"""Counts over a sliding window, held in a few slots."""
+"""Sums over a sliding window, kept in a few slots."""
 
 SLOTS = 20
 
 
-class Windowed:
-    """The sum of what was added within the last `span` (us), to within one slot of it, on the side
-    of too much."""
+class SlidingWindowSum:
+    """The sum of what was added within the last `span` microseconds.
 
-    __slots__ = "at", "counts", "slot", "total"
+    It is exact to within one slot, on the side of too much.
+    """
+
+    __slots__ = ("counts", "slot_number", "slot_us", "total")
 
     def __init__(self, span: int) -> None:
-        self.slot, self.at = max(1, span // SLOTS), 0
+        self.slot_us = max(1, span // SLOTS)
+        self.slot_number = 0  # of the newest slot, counted from time 0
         self.counts = [0.0] * (SLOTS + 1)
         self.total = 0.0
 
-    def _turn(self, now: int) -> None:
-        at = now // self.slot
-        for passed in range(self.at + 1, min(at, self.at + len(self.counts)) + 1):
-            place = passed % len(self.counts)
-            self.total -= self.counts[place]
-            self.counts[place] = 0.0
-        if at > self.at + len(self.counts):
-            self.counts, self.total = [0.0] * len(self.counts), 0.0
-        self.at = max(self.at, at)
+    def _advance(self, now: int) -> None:
+        """Empties the slots that have left the window by `now`."""
+        newest = now // self.slot_us
+        if newest <= self.slot_number:
+            return
+        size = len(self.counts)
+        for number in range(self.slot_number + 1, min(newest, self.slot_number + size) + 1):
+            index = number % size
+            self.total -= self.counts[index]
+            self.counts[index] = 0.0
+        if newest > self.slot_number + size:
+            self.counts = [0.0] * size
+            self.total = 0.0
+        self.slot_number = newest
 
     def add(self, now: int, count: float) -> None:
-        self._turn(now)
-        self.counts[self.at % len(self.counts)] += count
+        """Adds `count` at `now`."""
+        self._advance(now)
+        self.counts[self.slot_number % len(self.counts)] += count
         self.total += count
 
     def sum(self, now: int) -> float:
-        self._turn(now)
+        """What was added within the window that ends at `now`."""
+        self._advance(now)
         return self.total
--- a/umbermoor/watching.py
+++ b/umbermoor/watching.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from umbermoor.backoff import Again
+from umbermoor.backoff import Backoff
 
 SECOND = 1_000_000
 WAIT = 2 * SECOND  # how long a watch may wait for news; one that breaks off is noticed no sooner
@@ -46,14 +46,14 @@
     chance: Callable[[], float]
     version: int | None = None  # of the list that is held
     _open: bool = field(default=False, init=False)  # the last call was answered: the watch stands
-    _again: Again = field(init=False)
+    _backoff: Backoff = field(init=False)
 
     def __post_init__(self) -> None:
         first, most = AGAIN_FIRST, AGAIN_MOST
         if self.asked:
             first = max(first, self._span())
             most = max(most, min(PAUSE_MOST, LONGER * first))
-        self._again = Again(first, most, self.chance)
+        self._backoff = Backoff(first, most, self.chance)
 
     def first(self, held: int | None) -> int:
         """How long until the first call, by a front that was given a list of that version."""
@@ -66,7 +66,7 @@
         """Another party is asked from now on, whose versions may be others: how long until it is
         called."""
         self.version, self._open = None, False
-        self._again.well()
+        self._backoff.reset()
         return self._soon()
 
     def call(self) -> Call:
@@ -81,7 +81,7 @@
             self.version = None
             return False
         self.version, self._open = version, True
-        self._again.well()
+        self._backoff.reset()
         return True
 
     def unread(self) -> None:
@@ -91,7 +91,7 @@
     def failed(self) -> int:
         """No list came: how long until the next call."""
         stood, self._open = self._open, False
-        return self._soon() if stood and self.asked else round(self._again.pause())
+        return self._soon() if stood and self.asked else round(self._backoff.next_delay())
 
     def _soon(self) -> int:
         """A watch that stood is opened again, before what it misses counts as told."""
