--- /dev/null
+++ b/tests/gateway/compatibility/recording.py
@@ -0,0 +1,216 @@
+"""Records the bytes that a gateway sends and stores while simulations play, on any revision.
+
+What differs between revisions is the names in the code; `Revision` holds what a recording needs of
+one. `generate` fills it with the names of 496b6e6 and writes the fixtures; the tests fill it with
+those of this tree and compare. Plays run in virtual time and follow from a seed, so that the same
+code gives the same bytes.
+"""
+
+import hashlib
+import json
+import random
+import zlib
+from collections.abc import Callable, Iterator, Mapping, Sequence
+from dataclasses import dataclass, field
+from typing import Any
+from unittest.mock import patch
+
+COMPRESSED = 1 << 31  # the bit of a frame's length that marks a zlib body
+FRAME_HEADER = 4  # bytes
+SAMPLES = 8  # messages kept of a kind, each with other fields than those before
+LARGEST_SAMPLE = 20_000  # bytes of a message; longer ones are in the digest alone
+PROXIES = 5  # that probe each other in the recording of datagrams
+PROBE_TICK = 100_000  # us
+KIND_AT, NEWS_AT, NEWS_SIZE, SUM_SIZE = 3, 29, 17, 4  # in a datagram, bytes
+
+MEMBERS_DAY = """day seed=13 members=5 fronts=2 bear=1 long=14000
+100 config n=1856 routes=3
+600 rollout service=maps target=v2 ramp=6 good=1
+900 config n=14656 routes=120
+1200 again
+1500 core_kill on=1 back=400
+2600 read
+3000 rollout service=bills target=v2 ramp=6 good=0
+3500 config n=56256 routes=121
+4000 wipe on=2 back=300
+5000 lossy part=20 span=9000
+6000 core_cut how=both on=0 span=2500
+7000 config n=112256 routes=3
+8600 core_power on=3 back=900
+9500 config n=152256 routes=121
+10500 leave pick=4 stay=2000
+"""
+"""A day of five controllers and two proxies that leaves out no kind of message between them.
+
+No proxy is killed: in which order the ends of its connections are seen is that of a set of objects,
+and differs from run to run.
+"""
+MEMBER_CALLS = (
+    (12_000_000, "/Members.Change", {"remove": "10.0.0.5"}),
+    (25_500_000, "/Members.Change", {"remove": "10.0.0.4"}),
+    (28_000_000, "/Members.Change", {"add": "10.0.0.4"}),
+    (30_500_000, "/Members.Change", {"add": "10.0.0.5"}),
+)
+"""Changes of the replica set during that day: time (us), path, body."""
+
+
+@dataclass(frozen=True)
+class Revision:
+    """What a recording uses of a revision's code."""
+
+    play: Callable[[str, Sequence[tuple[int, str, Any]]], Any]  # a day's text, calls during it
+    transport: type  # a simulated connection's end: `write(data)`
+    disk: type  # a simulated disk: `write(puts)`
+    detector: Callable[[str, int, random.Random], Any]  # of failures: address, incarnation, chance
+    heard_of: Callable[[Any, int, Sequence[str]], None]
+    receive: Callable[[Any, int, str, bytes], Sequence[tuple[str, bytes]]]
+    tick: Callable[[Any, int], Sequence[tuple[str, bytes]]]
+    leave: Callable[[Any, int], Sequence[tuple[str, bytes]]]
+
+
+@dataclass
+class Samples:
+    """A digest of everything in order, and the first items of each kind with other fields."""
+
+    digest: Any = field(default_factory=hashlib.sha256)
+    count: int = 0
+    by_kind: dict[str, list[bytes]] = field(default_factory=dict)
+    _shapes: set[tuple[str, str]] = field(default_factory=set)
+
+    def add(self, kind: str, shape: str, data: bytes, digested: bytes | None = None) -> None:
+        """Counts an item, and keeps it where it is the first of its shape.
+
+        Args:
+            kind: What it is.
+            shape: Which fields it has.
+            data: Its bytes.
+            digested: What goes into the digest in their place.
+        """
+        self.count += 1
+        counted = data if digested is None else digested
+        self.digest.update(len(counted).to_bytes(4, "big") + counted)
+        held = self.by_kind.setdefault(kind, [])
+        if len(held) >= SAMPLES or len(data) > LARGEST_SAMPLE or (kind, shape) in self._shapes:
+            return
+        self._shapes.add((kind, shape))
+        held.append(data)
+
+
+@dataclass
+class DayRecording:
+    """What was sent and stored in a day."""
+
+    frames: Samples = field(default_factory=Samples)
+    records: Samples = field(default_factory=Samples)
+
+
+def frames_in(data: bytes) -> Iterator[tuple[bytes, bytes]]:
+    """Each frame of a write, whole, and its body."""
+    while data:
+        header = int.from_bytes(data[:FRAME_HEADER], "big")
+        end = FRAME_HEADER + (header & ~COMPRESSED)
+        frame, data = data[:end], data[end:]
+        assert len(frame) == end, "a write of whole frames"
+        body = frame[FRAME_HEADER:]
+        yield frame, zlib.decompress(body) if header & COMPRESSED else body
+
+
+def kind_of(message: Mapping[str, Any]) -> str:
+    """The kind of a frame's message; of those between replicas the inner one."""
+    return f"chain-{message['body']['kind']}" if message["kind"] == "chain" else message["kind"]
+
+
+def in_one_order(message: Mapping[str, Any], body: bytes) -> bytes:
+    """The body; of reports, which follow the order of a set of names, with these sorted."""
+    if message["kind"] != "reports":
+        return body
+    reports = sorted(message["reports"], key=lambda report: report["service"])
+    return json.dumps({**message, "reports": reports}, separators=(",", ":")).encode()
+
+
+def shape_of(value: Any, depth: int = 0) -> str:
+    """Which fields there are, and which of them are empty."""
+    if isinstance(value, dict) and depth < 2:
+        inner = ",".join(f"{key}:{shape_of(one, depth + 1)}" for key, one in sorted(value.items()))
+        return f"{{{inner}}}"
+    return f"{type(value).__name__}{'' if value else '0'}"
+
+
+def structure_of(value: Any) -> Any:
+    """The value with the names of types in the place of what is no list and no table."""
+    if isinstance(value, dict):
+        return {key: structure_of(one) for key, one in value.items()}
+    if isinstance(value, list):
+        return [structure_of(one) for one in value]
+    return type(value).__name__
+
+
+def record_day(
+    revision: Revision,
+    day: str = MEMBERS_DAY,
+    calls: Sequence[tuple[int, str, Any]] = MEMBER_CALLS,
+) -> DayRecording:
+    """Plays a day and records each frame of a connection and each record of a write to a disk."""
+    recording = DayRecording()
+    transport_write, disk_write = revision.transport.write, revision.disk.write
+
+    def write(transport: Any, data: bytes) -> None:
+        for frame, body in frames_in(bytes(data)):
+            message = json.loads(body)
+            compressed = frame[:1] >= b"\x80"
+            shape = f"{shape_of(message)} compressed={compressed}"
+            # Another zlib may compress otherwise: the digest is of what was compressed.
+            digested = bytes([compressed]) + in_one_order(message, body)
+            recording.frames.add(kind_of(message), shape, frame, digested)
+        transport_write(transport, data)
+
+    def store(disk: Any, puts: Mapping[str, bytes | None]) -> bool:
+        for key, value in puts.items():
+            shape = "removed" if value is None else str(structure_of(json.loads(value)))
+            item = key.encode() + b"\t" + (b"" if value is None else value)
+            recording.records.add(key.replace("/", "-"), shape, item)
+        return disk_write(disk, puts)
+
+    with (
+        patch.object(revision.transport, "write", write),
+        patch.object(revision.disk, "write", store),
+    ):
+        revision.play(day, calls)
+    return recording
+
+
+def record_datagrams(revision: Revision) -> Samples:
+    """Proxies that find each other, one that is cut off for a while and one that leaves."""
+    samples = Samples()
+    chance = random.Random(5)
+    addresses = [f"10.0.1.{number + 1}" for number in range(PROXIES)]
+    detectors = {
+        address: revision.detector(address, 1_700_000_000_000_000 + number, random.Random(number))
+        for number, address in enumerate(addresses)
+    }
+    for detector in detectors.values():
+        revision.heard_of(detector, 0, addresses)
+    silent, leaving = addresses[1], addresses[2]
+    for now in range(0, 20_000_000, PROBE_TICK):
+        cut = 5_000_000 <= now < 8_000_000
+        waiting = [
+            (address, to, data)
+            for address, detector in detectors.items()
+            for to, data in revision.tick(detector, now)
+        ]
+        if now == 12_000_000:
+            waiting += [(leaving, to, data) for to, data in revision.leave(detectors[leaving], now)]
+        while waiting:
+            sender, to, data = waiting.pop(0)
+            samples.add(f"datagram-{data[KIND_AT]}", _states_told(data), data)
+            if chance.random() < 0.03 or (cut and silent in (sender, to)):
+                continue
+            answers = revision.receive(detectors[to], now, sender, data)
+            waiting += [(to, receiver, answer) for receiver, answer in answers]
+    return samples
+
+
+def _states_told(data: bytes) -> str:
+    """Which states a datagram tells of."""
+    states = {data[at] for at in range(NEWS_AT, len(data) - SUM_SIZE, NEWS_SIZE)}
+    return ",".join(map(str, sorted(states)))
--- /dev/null
+++ b/tests/gateway/compatibility/wire_test.py
@@ -0,0 +1,116 @@
+"""Bytes on the wire, and of records on disk, are those of 496b6e6."""
+
+import json
+from functools import cache
+
+import pytest
+
+from tests.gateway.compatibility.recording import (
+    DayRecording,
+    Samples,
+    frames_in,
+    kind_of,
+    record_datagrams,
+    record_day,
+)
+from tests.gateway.compatibility.this_revision import FIXTURES, REVISION
+from umbermoor.gateway.membership import messages as datagrams
+from umbermoor.gateway.replication.messages import SHAPES, shaped
+from umbermoor.gateway.server.peer_transport import frame, opened
+
+INDEX = json.loads((FIXTURES / "index.json").read_text())
+BESIDE_REPLICATION = ("body", "digest", "heard", "holds", "news", "pull", "reports", "told")
+
+
+def stored(part: str, kind: str) -> list[bytes]:
+    """The items of a kind."""
+    data = (FIXTURES / part / f"{kind}.bin").read_bytes()
+    items = []
+    for size in INDEX[part]["sizes"][kind]:
+        items.append(data[:size])
+        data = data[size:]
+    assert not data
+    return items
+
+
+def kinds(part: str) -> list[str]:
+    """The kinds stored, in order."""
+    return sorted(INDEX[part]["sizes"])
+
+
+@cache
+def day() -> DayRecording:
+    """The day as this tree plays it."""
+    return record_day(REVISION)
+
+
+@cache
+def probes() -> Samples:
+    """The datagrams as this tree sends them."""
+    return record_datagrams(REVISION)
+
+
+def uncompressed(frames: list[bytes]) -> list[tuple[bool, bytes]]:
+    """Whether each frame is compressed, and its body."""
+    return [(whole[0] >= 0x80, body) for one in frames for whole, body in frames_in(one)]
+
+
+def same(samples: Samples, part: str) -> None:
+    """Everything that was sent or stored, in order, is as in 496b6e6."""
+    told = INDEX[part]
+    assert (samples.count, samples.digest.hexdigest()) == (told["count"], told["sha256"])
+
+
+def test_every_kind_has_a_fixture() -> None:
+    named = {f"chain-{kind}" for kind in SHAPES} | set(BESIDE_REPLICATION)
+    assert set(kinds("frames")) == named
+    assert len(kinds("datagrams")) == len(datagrams.Kind)
+
+
+@pytest.mark.parametrize("kind", kinds("frames"))
+def test_frames_are_written_as_stored(kind: str) -> None:
+    assert uncompressed(day().frames.by_kind[kind]) == uncompressed(stored("frames", kind))
+
+
+@pytest.mark.parametrize("kind", kinds("frames"))
+def test_stored_frames_are_read_and_written_again(kind: str) -> None:
+    for whole in stored("frames", kind):
+        message = opened(whole[4:], whole[0] >= 0x80)
+        assert message is not None and kind_of(message) == kind
+        assert uncompressed([frame(message)]) == uncompressed([whole])
+
+
+@pytest.mark.parametrize("kind", sorted(SHAPES))
+def test_stored_messages_between_replicas_have_their_shape(kind: str) -> None:
+    for _, body in uncompressed(stored("frames", f"chain-{kind}")):
+        assert shaped(json.loads(body)["body"])
+
+
+@pytest.mark.parametrize("kind", kinds("records"))
+def test_records_are_written_as_stored(kind: str) -> None:
+    assert day().records.by_kind[kind] == stored("records", kind)
+
+
+@pytest.mark.parametrize("kind", kinds("datagrams"))
+def test_datagrams_are_written_as_stored(kind: str) -> None:
+    assert probes().by_kind[kind] == stored("datagrams", kind)
+
+
+@pytest.mark.parametrize("kind", kinds("datagrams"))
+def test_stored_datagrams_are_read_and_written_again(kind: str) -> None:
+    for data in stored("datagrams", kind):
+        letter = datagrams.read(data)
+        assert letter is not None and f"datagram-{letter.kind:d}" == kind
+        assert datagrams.written(letter) == data
+
+
+def test_a_day_sends_the_same_frames_in_the_same_order() -> None:
+    same(day().frames, "frames")
+
+
+def test_a_day_stores_the_same_records_in_the_same_order() -> None:
+    same(day().records, "records")
+
+
+def test_proxies_send_the_same_datagrams_in_the_same_order() -> None:
+    same(probes(), "datagrams")
