--- a/benchmarks/control_storms.py
+++ b/benchmarks/control_storms.py
@@ -18,7 +18,7 @@
 
 
 def play(seed: int, members: int, steps: int, broken: str) -> tuple[int, str, Counter[str]]:
-    odd = getattr(callers, broken) if broken else callers.Member
+    odd = getattr(callers, broken) if broken else callers.Replica
     how = {"make": odd} if isinstance(odd, type) else {"judge": odd}
     try:
         world = callers.storm(seed, members, steps=steps, **how)
--- a/benchmarks/second_loss.py
+++ b/benchmarks/second_loss.py
@@ -89,7 +89,7 @@
         world.run(10 * MS)
         members = [world.machines[name].member for name in world.members()]
         if any(
-            one is None or one.thin or one.story()["role"] in ("out", "blank", "learner")
+            one is None or one.degraded or one.status().role in ("out", "blank", "learner")
             for one in members
         ):
             last = world.now
--- a/umbermoor/gateway/replication/__init__.py
+++ b/umbermoor/gateway/replication/__init__.py
@@ -15,7 +15,7 @@
 members and their disks:
 
 >>> import json, random
->>> from umbermoor.gateway.replication.replica import Member
+>>> from umbermoor.gateway.replication.replica import Replica
 >>> from umbermoor.gateway.effects import CallResult, Outcome, Send, Decision, Write
 >>> names = ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 >>> disks = {name: {} for name in names}
@@ -23,14 +23,14 @@
 ...     newer = key not in held or new["revision"] > held[key]["revision"]
 ...     return Decision(Outcome.ACCEPTED, new) if newer else Decision(Outcome.STALE)
 >>> def start(name, cold):
-...     return Member(name, names, 1, cold, disks[name], judge, random.Random(name))
+...     return Replica(name, names, 1, cold, disks[name], judge, random.Random(name))
 >>> members = {name: start(name, cold=True) for name in names}
 >>> def carry(now, name, effects):
 ...     for effect in effects:
 ...         if isinstance(effect, Send):
 ...             if effect.to in members:
 ...                 message = json.loads(json.dumps(effect.message))
-...                 carry(now, effect.to, members[effect.to].message(now, name, message))
+...                 carry(now, effect.to, members[effect.to].receive(now, name, message))
 ...         elif isinstance(effect, Write):
 ...             disks[name].update(effect.puts)
 ...             carry(now, name, members[name].written(now, effect.token))
@@ -49,7 +49,7 @@
 OK older
 >>> carry(now, names[1], members[names[1]].read(now, 2))
 OK {'config/a': {'revision': 1}}
->>> members[names[0]].story()["role"], members[names[2]].story()["role"]
+>>> members[names[0]].status().role.value, members[names[2]].status().role.value
 ('head', 'tail')
 
 One is lost; the chain is mended without it, and holds what it held:
--- a/umbermoor/gateway/replication/anti_entropy.py
+++ b/umbermoor/gateway/replication/anti_entropy.py
@@ -18,7 +18,7 @@
     return blake2b(text.encode(errors="surrogatepass"), digest_size=12).hexdigest()
 
 
-class Compare:
+class DigestComparison:
     """What a member tells of its map, and what it makes of what the others tell."""
 
     def __init__(self) -> None:
@@ -28,14 +28,14 @@
         ] = {}  # by member: the version at which it last differed
         self._own: tuple[tuple[int, int], str] = (0, 0), ""
 
-    def tell(self, version: tuple[int, int], committed: Mapping[str, Any]) -> dict[str, Any]:
+    def message(self, version: tuple[int, int], committed: Mapping[str, Any]) -> dict[str, Any]:
         return {
             "kind": "digest",
             "version": list(version),
             "digest": self._digest(version, committed),
         }
 
-    def heard(
+    def differs(
         self,
         sender: str,
         message: Mapping[str, Any],
--- a/umbermoor/gateway/replication/replica.py
+++ b/umbermoor/gateway/replication/replica.py
@@ -18,8 +18,9 @@
 from umbermoor.gateway.replication import messages, replica_set
 from umbermoor.gateway.replication.leases import GAP, Contact, Rounds
 from umbermoor.gateway.replication.peers import STEADY, Peer, Peers
-from umbermoor.gateway.replication.replica_set import NONE, Membership, Outlook, crowded
+from umbermoor.gateway.replication.replica_set import NO_MEMBERS, Outlook, ReplicaSet, crowded
 from umbermoor.gateway.replication.requests import Asks, Taken
+from umbermoor.gateway.replication.status import ReplicaStatus, Role
 from umbermoor.gateway.replication.view import (
     MOST,
     NO_VIEW,
@@ -30,10 +31,10 @@
     choose_chain,
     epoch_after,
 )
-from umbermoor.gateway.replication.write_queue import Disk
+from umbermoor.gateway.replication.write_queue import WriteQueue
 
 MS = 1000
-PING = 200 * MS
+HEARTBEAT_INTERVAL = 200 * MS
 HASTY = 400 * MS  # as peers.STEADY, where the chain is thin: a second loss must not meet it so
 HEARD = 1000 * MS  # heard within this counts for `connected`
 SILENCE = 800 * MS  # one of the chain that is not heard in it, and well, for so long is given up
@@ -65,7 +66,7 @@
 )  # a member that nobody has heard for so long may be succeeded, by one that started after that
 CHANGE = 4000 * MS  # a change of the members that is not active by then is answered UNAVAILABLE
 
-Judge = Callable[
+Decider = Callable[
     [Mapping[str, Any], str, Any, int], Decision
 ]  # of the map at the head, a key, what is put, the epoch
 CODES = {
@@ -90,7 +91,7 @@
     return json.dumps(value, separators=(",", ":")).encode()
 
 
-class Member:
+class Replica:
     """A state machine; every input returns the effects it has.
 
     `me` and `seeds` are IP addresses, the seeds the same in the same order everywhere; the first of
@@ -107,33 +108,33 @@
         bear: int,
         cold: bool,
         stored: Mapping[str, bytes],
-        judge: Judge,
+        judge: Decider,
         chance: random.Random,
         zone: str = "",
         quorum: bool = False,
     ) -> None:
-        self.me, self.bear = me, bear
+        self.name, self.bear = me, bear
         self._zone, self._quorum = zone, quorum
-        self.everyone: tuple[str, ...] = tuple(json.loads(stored.get("members", b"[]")))
+        self.member_names: tuple[str, ...] = tuple(json.loads(stored.get("members", b"[]")))
         self.committed: dict[str, Any] = {}
         self.version: Version = (0, 0)
         self._seeds, self._judge, self._chance = tuple(seeds), judge, chance
         self._life, self._beat, self._now, self._began = chance.getrandbits(48), 0, 0, -1
         self._out: list[Effect] = []
         self._local: deque[dict[str, Any]] = deque()
-        self._disk, self._peers, self._asks = Disk(), Peers(me), Asks()
+        self._disk, self._peers, self._asks = WriteQueue(), Peers(me), Asks()
         self._contact = Contact()
         sets = json.loads(stored.get("sets", b"null")) or [None, 0, None]
         first = (
-            replica_set.founded(self.everyone, json.loads(stored.get("system", b"0")))
-            if self.everyone
-            else NONE
+            replica_set.founded(self.member_names, json.loads(stored.get("system", b"0")))
+            if self.member_names
+            else NO_MEMBERS
         )
         self._held_sets = (
-            replica_set.read(sets[0]) if sets[0] else first
+            ReplicaSet.from_json(sets[0]) if sets[0] else first
         )  # of the view that was accepted last
-        self._proven: tuple[int, Membership] = (
-            (sets[1], replica_set.read(sets[2])) if sets[2] else (0, first)
+        self._proven: tuple[int, ReplicaSet] = (
+            (sets[1], ReplicaSet.from_json(sets[2])) if sets[2] else (0, first)
         )
         self._zones_kept: dict[str, str] = json.loads(
             stored.get("zones", b"{}")
@@ -144,16 +145,16 @@
         )
         self._leaving = False
         self._filled = False  # a learner's disk has taken what it learnt
-        self._fresh = cold and not self.everyone
-        self._blank = not cold and not self.everyone
-        self._pinged = -PING
+        self._fresh = cold and not self.member_names
+        self._blank = not cold and not self.member_names
+        self._pinged = -HEARTBEAT_INTERVAL
 
         # what is, or will next be, on disk
         self._promise: int = json.loads(stored.get("promise", b"0"))
         epoch, chain = json.loads(stored.get("view", b"[0,[]]"))
         self._held = View(epoch, tuple(chain))  # accepted last
-        self.sets = self._find_sets()  # who counts, as far as is known here
-        self.everyone = self.sets.names
+        self.replica_set = self._find_sets()  # who counts, as far as is known here
+        self.member_names = self.replica_set.names
         self._state = {
             key[6:]: json.loads(value) for key, value in stored.items() if key.startswith("state/")
         }
@@ -162,13 +163,13 @@
             raise ValueError(f"a version of epoch {version[0]} was stored in view {epoch}")
         self._last: int = version[1]  # the version of the state is (held.epoch, last)
         self._promised = self._promise  # synced, this and the next three
-        self._settled = bool(self.everyone)
+        self._settled = bool(self.member_names)
         self._joined = 0  # the epoch that was accepted in this life
         self._entered = 0  # that, synced
         self._synced = self._last
 
         if self._fresh and self._state:  # what a learner of another system held
-            self._disk.want({f"state/{key}": None for key in self._state}, "emptied", _nothing)
+            self._disk.enqueue({f"state/{key}": None for key in self._state}, "emptied", _nothing)
             self._state = {}
 
         # founding, and being filled
@@ -197,19 +198,19 @@
 
     # what a host calls
 
-    def message(self, now: int, sender: str, message: dict[str, Any]) -> list[Effect]:
+    def receive(self, now: int, sender: str, message: dict[str, Any]) -> list[Effect]:
         """Another member says this."""
         self._at(now)
-        if sender != self.me and messages.shaped(message):
+        if sender != self.name and messages.shaped(message):
             self._hear(sender, message)
         return self._effects()
 
     def tick(self, now: int) -> list[Effect]:
         """Time passes; every 50 ms or so."""
         self._at(now)
-        if now - self._pinged >= PING:
+        if now - self._pinged >= HEARTBEAT_INTERVAL:
             self._ping_all()
-        if self.everyone:
+        if self.member_names:
             if self._blank:
                 self._ask_promises()
             self._pursue()
@@ -218,7 +219,7 @@
             self._catch_up()
             self._probe_disk()
             self._go_on_changing()
-        elif self._fresh and self._seeds[:1] == (self.me,):
+        elif self._fresh and self._seeds[:1] == (self.name,):
             self._found()
         if self._settled and not self._promise and self._is_founder():
             self._settle_others()
@@ -232,10 +233,10 @@
             then()
         return self._effects()
 
-    def unwritten(self, now: int, token: int) -> list[Effect]:
+    def write_failed(self, now: int, token: int) -> list[Effect]:
         """The disk refused the Write of that token, as a whole."""
         self._at(now)
-        self._disk.unwritten(now, token)
+        self._disk.write_failed(now, token)
         return self._effects()
 
     def put(self, now: int, ask: int, key: str, value: Any) -> list[Effect]:
@@ -281,19 +282,19 @@
             )
         elif self._is_so(add, remove):
             self._out.append(
-                CallResult(ask, Status.OK, self.outlook("", "")._replace(why="").told())
+                CallResult(ask, Status.OK, self.outlook("", "")._replace(why="").to_json())
             )
         elif (look := self.outlook(add, remove)).why or dry:
             if (
                 add
                 and messages.name(add)
-                and add not in (*self.everyone, *self._outside.heard(self._now))
+                and add not in (*self.member_names, *self._outside.heard(self._now))
             ):
                 self._send(
                     add, "ping", **self._ping(), **self._sets_for(add)
                 )  # its seeds may all be gone
             self._out.append(
-                CallResult(ask, Status.CONFLICT if look.why else Status.OK, look.told())
+                CallResult(ask, Status.CONFLICT if look.why else Status.OK, look.to_json())
             )
         elif self._change:
             self._out.append(
@@ -306,7 +307,7 @@
 
     def outlook(self, add: str, remove: str) -> Outlook:
         """What a change would leave, and why it would be refused."""
-        present = self.sets
+        present = self.replica_set
         look = replica_set.outlook(
             present, self._view.chain, self.learners(), add, remove, self.bear
         )
@@ -317,10 +318,10 @@
         return look
 
     def _zones(self) -> dict[str, str]:
-        names = *self.everyone, *self._outside.names()
+        names = *self.member_names, *self._outside.names()
         known = {who: self._peers.get(who) or self._outside.get(who) for who in names}
         told = {who: peer.zone for who, peer in known.items() if peer and peer.zone}
-        return self._zones_kept | told | {self.me: self._zone}
+        return self._zones_kept | told | {self.name: self._zone}
 
     def _keep_zones(self) -> None:
         """One that is gone may be succeeded in its zone, also after a restart of those who heard
@@ -330,26 +331,27 @@
         if kept != self._zones_kept:
             self._zones_kept = kept
             if not self._blank and self._settled:
-                self._disk.want({"zones": write_json(kept)}, "zones", _nothing)
+                self._disk.enqueue({"zones": write_json(kept)}, "zones", _nothing)
 
     def learners(self) -> list[str]:
         """Strangers that could be taken in now: heard by the chain and hearing it, steadily, well,
         and to be filled."""
         found = []
         for who, peer in sorted(self._outside.heard(self._now).items()):
-            others = [other for other in self._view.chain if other != self.me]
+            others = [other for other in self._view.chain if other != self.name]
             heard = all(
                 (known := self._peers.get(other)) and who in known.ping["hears"] for other in others
             )
-            hears = {self.me, *others} <= {self.me, *peer.ping["hears"]} and self.me in peer.ping[
-                "hears"
-            ]
+            hears = {self.name, *others} <= {
+                self.name,
+                *peer.ping["hears"],
+            } and self.name in peer.ping["hears"]
             fit = peer.ping["well"] and (not peer.ping["blank"] or peer.ping["ready"])
             if fit and heard and hears and self._now - peer.since >= STEADY:
                 found.append(who)
         return found
 
-    def leave(self, now: int) -> list[Effect]:
+    def hand_over(self, now: int) -> list[Effect]:
         """This process is about to end, in order: the chain is to go on without it. The set stays
         as it is."""
         self._at(now)
@@ -358,19 +360,19 @@
         return self._effects()
 
     @property
-    def left(self) -> bool:
+    def handed_over(self) -> bool:
         """Whether it may end without holding up anything: another chain serves, so a majority holds
         what it holds."""
         return self._leaving and (
-            not self._able() or (self.me not in self._view.chain and self._hears_serving(HEARD))
+            not self._able() or (self.name not in self._view.chain and self._hears_serving(HEARD))
         )
 
     @property
-    def thin(self) -> bool:
+    def degraded(self) -> bool:
         """Whether fewer losses can be borne now than `bear` says, as far as is known here."""
-        members = self.sets.members
+        members = self.replica_set.members
         up = [who for who in self._view.chain if who in members]
-        joint = self.sets.old != self.sets.new
+        joint = self.replica_set.old != self.replica_set.new
         spare = len(up) - (len(members) // 2 + 1)
         return not self._view.epoch or joint or spare < min(self.bear, (len(members) - 1) // 2)
 
@@ -379,12 +381,12 @@
         """Whether a quorum proved, within a lease, that it is reached both ways and promised no
         epoch above the chain that is known here to serve, and this member holds what that chain
         began with, or later."""
-        if self._blank or not self.counted or self.version[0] != self._view.epoch:
+        if self._blank or not self.is_member or self.version[0] != self._view.epoch:
             return False
         proven = self._contact.proven(self._now, self._view.epoch, self._others())
         if 0 < self._promise <= self._view.epoch:
-            proven |= {self.me}
-        return self.sets.quorum(proven) and (self._serving() or self._hears_serving(HEARD))
+            proven |= {self.name}
+        return self.replica_set.quorum(proven) and (self._serving() or self._hears_serving(HEARD))
 
     def connected_at(self, now: int) -> bool:
         """The same as of now: what the clock shows may be the first word of a freeze."""
@@ -392,54 +394,55 @@
         return self.connected
 
     @property
-    def judged(self) -> bool:
+    def head_decides(self) -> bool:
         """Whether the head judges puts, as far as is known here; one of the revision before takes
         what is newer."""
         peer = self._peers.get(self._view.chain[0]) if self._view.chain else None
         return peer is None or "number" in peer.ping
 
-    def listens(self, sender: str) -> bool:
+    def accepts_from(self, sender: str) -> bool:
         """Whether what that one says of the chain is taken at all."""
         return self._listens(sender, "append")
 
-    def held(self, key: str) -> Any:
+    def stored(self, key: str) -> Any:
         """What stands under it here, committed or not; None if nothing does."""
         return self._state.get(key)
 
-    def _find_sets(self) -> Membership:
+    def _find_sets(self) -> ReplicaSet:
         """Of the view accepted last, or of a later one known to be active."""
         epoch, proven = self._proven
-        return self._held_sets if self._held.epoch > epoch else proven.settled()
+        return self._held_sets if self._held.epoch > epoch else proven.completed()
 
     @property
-    def counted(self) -> bool:
+    def is_member(self) -> bool:
         """Whether this is a member, and no learner, stranger, or one that was taken out."""
-        return self.me in self.everyone
-
-    def story(self) -> dict[str, Any]:
-        """For operators: epoch, chain, role, version, waiting."""
-        if self.everyone and not self.counted:
-            role = "learner"
-        elif self._blank or self._fresh:
-            role = "blank"
-        elif not self._serving():
-            role = "out"
-        else:
-            place = self._place()
-            role = (
-                "head" if place == 0 else "tail" if place == len(self._held.chain) - 1 else "middle"
-            )
-        return {
-            "epoch": self._view.epoch,
-            "chain": list(self._view.chain),
-            "role": role,
-            "version": list(self.version),
-            "waiting": len(self._pending),
-            "members": list(self.sets.members),
-            "set": self.sets.number,
-            "thin": self.thin,
-            "learners": sorted(self._outside.heard(self._now)),
-        }
+        return self.name in self.member_names
+
+    def status(self) -> ReplicaStatus:
+        """Where this replica stands, for operators."""
+        return ReplicaStatus(
+            epoch=self._view.epoch,
+            chain=self._view.chain,
+            role=self._role(),
+            version=self.version,
+            uncommitted=len(self._pending),
+            members=self.replica_set.members,
+            set_number=self.replica_set.number,
+            degraded=self.degraded,
+            learners=tuple(sorted(self._outside.heard(self._now))),
+        )
+
+    def _role(self) -> Role:
+        if self.member_names and not self.is_member:
+            return Role.LEARNER
+        if self._blank or self._fresh:
+            return Role.BLANK
+        if not self._serving():
+            return Role.OUTSIDE
+        place = self._place()
+        if place == 0:
+            return Role.HEAD
+        return Role.TAIL if place == len(self._held.chain) - 1 else Role.MIDDLE
 
     # in and out
 
@@ -453,7 +456,7 @@
 
     def _effects(self) -> list[Effect]:
         while self._local:
-            self._hear(self.me, self._local.popleft())
+            self._hear(self.name, self._local.popleft())
         if write := self._disk.start(self._now):
             self._out.append(write)
         out, self._out = self._out, []
@@ -461,7 +464,7 @@
 
     def _send(self, to: str, kind: str, **fields: Any) -> None:
         message = {"kind": kind, **fields}
-        if to == self.me:
+        if to == self.name:
             self._local.append(message)
         else:
             self._out.append(Send(to, message))
@@ -472,17 +475,17 @@
             getattr(self, f"_on_{kind}")(sender, message)
 
     def _listens(self, sender: str, kind: str) -> bool:
-        if sender in self.everyone or sender == self.me or sender in self._held.chain:
+        if sender in self.member_names or sender == self.name or sender in self._held.chain:
             return True
         if self._attempt and sender in self._attempt.sets.names:
             return True
         return kind in ("learn", "fetch") and self._outside.get(sender) is not None
 
     def _others(self) -> list[str]:
-        return [who for who in self.everyone if who != self.me]
+        return [who for who in self.member_names if who != self.name]
 
     def _able(self) -> bool:
-        return self.counted and not self._blank
+        return self.is_member and not self._blank
 
     # pings
 
@@ -494,8 +497,8 @@
             "beat": self._beat,
             "fresh": self._fresh,
             "blank": self._blank,
-            "ready": self._ready() and (self.counted or self._filled),
-            "well": self._disk.well(self._now),
+            "ready": self._ready() and (self.is_member or self._filled),
+            "well": self._disk.healthy(self._now),
             "members": list(self._proven[1].members),
             "promise": self._floor() if self._blank else self._promise,
             "joined": self._joined,
@@ -507,10 +510,10 @@
             **({"leaving": True} if self._leaving else {}),
             **(
                 {"zone": self._zone}
-                if self._zone and (self._beat % ZONE_TOLD == 1 or not self.counted)
+                if self._zone and (self._beat % ZONE_TOLD == 1 or not self.is_member)
                 else {}
             ),
-            **({} if self.counted else {"quorum": self._quorum, "age": self._now - self._began}),
+            **({} if self.is_member else {"quorum": self._quorum, "age": self._now - self._began}),
         }
 
     def _hearing(self) -> list[str]:
@@ -519,12 +522,12 @@
     def _ping_all(self, also: Sequence[str] = ()) -> None:
         self._pinged = self._now
         ping = self._ping()
-        if self.counted:
-            asked = dict.fromkeys((*self.everyone, *also, *self._outside.heard(self._now)))
+        if self.is_member:
+            asked = dict.fromkeys((*self.member_names, *also, *self._outside.heard(self._now)))
         else:
-            asked = dict.fromkeys((*self.everyone, *self._seeds, *self._peers.heard(self._now)))
+            asked = dict.fromkeys((*self.member_names, *self._seeds, *self._peers.heard(self._now)))
         for who in asked:
-            if who != self.me:
+            if who != self.name:
                 self._send(who, "ping", **ping, **self._echo(who), **self._sets_for(who))
 
     def _echo(self, who: str) -> dict[str, Any]:
@@ -536,24 +539,24 @@
         """The system's number and the set, for one that is not known to have them."""
         peer = self._peers.get(who) or self._outside.get(who)
         epoch, proven = self._proven
-        if self.counted and not self._blank and peer and not peer.ping["blank"]:
+        if self.is_member and not self._blank and peer and not peer.ping["blank"]:
             told: dict[str, Any] = {}
         else:
             told = {"system": proven.system}
         if proven.number and not (peer and peer.ping.get("number", 0) >= proven.number):
-            told["sets"] = [epoch, proven.told()]
+            told["sets"] = [epoch, proven.to_json()]
         return told
 
     def _on_ping(self, sender: str, ping: dict[str, Any]) -> None:
-        known = sender in self.everyone
+        known = sender in self.member_names
         self._learn_sets(sender, ping)
         epoch, proven = self._proven
         if known and ping["view"] and ping.get("number", 0) == proven.number:
             self._know(View(ping["view"][0], tuple(ping["view"][1])), proven)
-        if self.counted and sender not in self.everyone:
+        if self.is_member and sender not in self.member_names:
             self._meet_stranger(sender, ping)
             return
-        if not self.everyone:
+        if not self.member_names:
             self._meet(sender, ping)
         if self._peers.hear(self._now, sender, ping):
             self._grown_at = self._now
@@ -561,9 +564,9 @@
             self._send(
                 sender, "ping", **self._ping(), **self._echo(sender), **self._sets_for(sender)
             )
-        if not self.everyone:
+        if not self.member_names:
             return
-        if "zone" in ping and self.counted:
+        if "zone" in ping and self.is_member:
             self._keep_zones()
         if (peer := self._peers.get(sender)) and peer.ping is ping:
             self._contact.heard(self._now, sender, ping, self._life)
@@ -604,21 +607,21 @@
             or (not ping.get("sets") and ping.get("number"))
         ):
             return
-        if self.me in members or ("number" in ping and self._blank):
+        if self.name in members or ("number" in ping and self._blank):
             self._fresh, self._blank = False, True
             system = ping.get("system", 0)
             self._proven = 0, replica_set.founded(members, system)
             if ping.get("sets"):
-                self._proven = ping["sets"][0], replica_set.read(ping["sets"][1])
+                self._proven = ping["sets"][0], ReplicaSet.from_json(ping["sets"][1])
             self._became()
 
     def _learn_sets(self, sender: str, ping: dict[str, Any]) -> None:
         """A later set that is known to be in force."""
-        if not self.everyone:
+        if not self.member_names:
             return
         system, trusted = (
             ping.get("system", 0),
-            sender in self.everyone and ping["promise"] and not ping["blank"],
+            sender in self.member_names and ping["promise"] and not ping["blank"],
         )
         if (
             self._blank and trusted and system and system != self._proven[1].system
@@ -627,7 +630,7 @@
             self._became()
         if not ping.get("sets"):
             return
-        epoch, sets = ping["sets"][0], replica_set.read(ping["sets"][1])
+        epoch, sets = ping["sets"][0], ReplicaSet.from_json(ping["sets"][1])
         known = self._proven[1]
         if sets.number > known.number and sets.system == known.system and epoch > self._proven[0]:
             self._proven = epoch, sets
@@ -636,11 +639,11 @@
 
     def _became(self) -> None:
         """The sets may have changed."""
-        self.sets = self._find_sets()
-        names = self.sets.names
-        if names == self.everyone:
+        self.replica_set = self._find_sets()
+        names = self.replica_set.names
+        if names == self.member_names:
             return
-        self.everyone = names
+        self.member_names = names
         for who in names:
             if peer := self._outside.get(who):
                 self._peers.adopt(who, peer)
@@ -651,19 +654,19 @@
     def _sets_puts(self) -> dict[str, bytes | None]:
         epoch, proven = self._proven
         return {
-            "sets": write_json([self._held_sets.told(), epoch, proven.told()]),
-            "members": write_json(self.everyone),
+            "sets": write_json([self._held_sets.to_json(), epoch, proven.to_json()]),
+            "members": write_json(self.member_names),
             "zones": write_json(self._zones_kept),
         }
 
     def _keep_sets(self) -> None:
         if not self._blank and self._settled:
-            self._disk.want(self._sets_puts(), "sets", lambda: None)
+            self._disk.enqueue(self._sets_puts(), "sets", lambda: None)
 
     # founding
 
     def _is_founder(self) -> bool:
-        return bool(self._seeds) and self._seeds[0] == self.me
+        return bool(self._seeds) and self._seeds[0] == self.name
 
     def _found(self) -> None:
         known = {
@@ -675,15 +678,18 @@
             all_know = all(
                 "number" in peer.ping for peer in known.values()
             )  # else it is derived from the names
-            self._settle([*known, self.me], drawn if all_know else 0)
+            self._settle([*known, self.name], drawn if all_know else 0)
 
     def _settle(self, members: Sequence[str], system: int) -> None:
         self._fresh = False
         self._held_sets = replica_set.founded(members, system)
         self._proven = 0, self._held_sets
         self._became()
-        puts = {"members": write_json(self.everyone), "system": write_json(self._held_sets.system)}
-        self._disk.want(puts, "members", self._have_settled)
+        puts = {
+            "members": write_json(self.member_names),
+            "system": write_json(self._held_sets.system),
+        }
+        self._disk.enqueue(puts, "members", self._have_settled)
 
     def _have_settled(self) -> None:
         self._settled = True
@@ -691,7 +697,7 @@
             self._settle_others()
         else:
             self._send(
-                self._seeds[0], "settled", members=list(self.everyone), promise=self._promise
+                self._seeds[0], "settled", members=list(self.member_names), promise=self._promise
             )
 
     def _settle_others(self) -> None:
@@ -704,7 +710,7 @@
                     self._send(
                         who,
                         "found",
-                        members=list(self.everyone),
+                        members=list(self.member_names),
                         life=peer.ping["life"],
                         system=system,
                     )
@@ -713,11 +719,11 @@
 
     def _on_found(self, sender: str, message: dict[str, Any]) -> None:
         members = tuple(message["members"])
-        if sender != self._seeds[0] or self.me not in members or sender not in members:
+        if sender != self._seeds[0] or self.name not in members or sender not in members:
             return
-        if self._fresh and not self.everyone and message["life"] == self._life:
+        if self._fresh and not self.member_names and message["life"] == self._life:
             self._settle(members, message.get("system", 0))
-        elif self._settled and members == self.everyone:
+        elif self._settled and members == self.member_names:
             self._have_settled()
 
     def _on_settled(self, sender: str, message: dict[str, Any]) -> None:
@@ -725,12 +731,12 @@
             not self._is_founder()
             or not self._settled
             or self._promise
-            or tuple(message["members"]) != self.everyone
+            or tuple(message["members"]) != self.member_names
         ):
             return
         if message["promise"]:
             self._forget()
-        elif sender in self.everyone:
+        elif sender in self.member_names:
             self._settlers.add(sender)
             self._settle_others()
 
@@ -738,20 +744,20 @@
         """It was founded before, when this member's disk was another: what it founds now must not
         come to be."""
         self._blank, self._settled = True, False
-        self._disk.want({"members": None, "system": None}, "members", lambda: None)
+        self._disk.enqueue({"members": None, "system": None}, "members", lambda: None)
 
     def _counts(self) -> bool:
         """Whether it may be one of a majority: not blank, nor a founder that has not found all
         others new."""
         founder = self._is_founder() and not self._promise
-        return self.counted and not self._blank and self._settled and not founder
+        return self.is_member and not self._blank and self._settled and not founder
 
     # being filled after the disk was lost
 
     def _ready(self) -> bool:
         """Whether enough others told what they promised: every majority that promised before has
         one among them."""
-        return self._blank and bool(self.everyone) and self.sets.blocks(self._learnt)
+        return self._blank and bool(self.member_names) and self.replica_set.blocks(self._learnt)
 
     def _floor(self) -> int:
         return max(self._learnt.values(), default=0)
@@ -789,28 +795,30 @@
         return 0 < self._joined == self._view.epoch == self._promise
 
     def _place(self) -> int:
-        return self._held.chain.index(self.me)
+        return self._held.chain.index(self.name)
 
     def _find_cause(self) -> tuple[str, int, frozenset[str]]:
         """Why a view is to be proposed ("": it is not), how long that must hold first, and who is
         to be left out."""
         nobody: frozenset[str] = frozenset()
-        rank = self.everyone.index(self.me)
-        names = self.sets.names
+        rank = self.member_names.index(self.name)
+        names = self.replica_set.names
         apart = rank * 50 * MS + self._chance.randrange(50 * MS)
         if not self._serving():
             if self._view.epoch > self._joined and self._hears_serving(HEARD):
                 return (
-                    ("restarted", apart, nobody) if self.me in self._view.chain else ("", 0, nobody)
+                    ("restarted", apart, nobody)
+                    if self.name in self._view.chain
+                    else ("", 0, nobody)
                 )
             if self._promise > max(self._joined, self._view.epoch) and self._joined:
                 return "fenced", apart, nobody
             if self._joined:
                 return "unserved", SILENCE + apart, nobody
-            if self.me in self._view.chain or all(
+            if self.name in self._view.chain or all(
                 self._peers.mutual(self._now, one, other)
-                for one in self.everyone
-                for other in self.everyone
+                for one in self.member_names
+                for other in self.member_names
             ):
                 return "started", apart, nobody
             return "started", (LOST if self._view.epoch else SETTLE) + apart, nobody
@@ -818,12 +826,12 @@
             peer = self._peers.get(who)
             if who not in names:  # it was taken out, and is in the chain of the change still
                 return "left", rank * 50 * MS, nobody
-            if who != self.me and peer and peer.ping.get("leaving") and self._can_do_without(who):
+            if who != self.name and peer and peer.ping.get("leaving") and self._can_do_without(who):
                 return "leaving", rank * 20 * MS, frozenset((who,))
             since = max(
                 self._joined_at, peer.joined_at if peer and peer.joined == self._joined else 0
             )
-            if who != self.me and self._now - since > SILENCE and self._dispensable(who):
+            if who != self.name and self._now - since > SILENCE and self._dispensable(who):
                 return (
                     "silent",
                     rank * 80 * MS + self._chance.randrange(100 * MS),
@@ -832,7 +840,7 @@
         if (
             self._acked < self._sent
             and self._now - self._progress > TARDY
-            and self._disk.well(self._now)
+            and self._disk.healthy(self._now)
         ):
             return "tardy", 0, frozenset((self._held.chain[self._place() + 1],))
         if any(self._may_enter(who, peer) for who, peer in self._peers.heard(self._now).items()):
@@ -844,24 +852,28 @@
         well."""
         heard = self._peers.heard(self._now)
         well = [other for other, peer in heard.items() if other != who and peer.ping["well"]]
-        return who not in heard or self.sets.quorum(
-            [*well, self.me] if self._disk.well(self._now) else well
+        return who not in heard or self.replica_set.quorum(
+            [*well, self.name] if self._disk.healthy(self._now) else well
         )
 
     def _may_propose(self) -> bool:
         """Whether its disk is well; or it is slow only, and so are too many for the others to go on
         without it."""
-        if self._disk.well(self._now):
+        if self._disk.healthy(self._now):
             return True
         heard = self._peers.heard(self._now).items()
         well = [who for who, peer in heard if peer.ping["well"] and not peer.ping["blank"]]
-        return self._disk.works(self._now) and not self.sets.quorum(well)
+        return self._disk.works(self._now) and not self.replica_set.quorum(well)
 
     def _can_do_without(self, leaver: str) -> bool:
         """Whether the rest of the chain, as far as it is heard, is a majority."""
         heard = self._peers.heard(self._now)
-        return self.sets.quorum(
-            [who for who in self._held.chain if who != leaver and (who == self.me or who in heard)]
+        return self.replica_set.quorum(
+            [
+                who
+                for who in self._held.chain
+                if who != leaver and (who == self.name or who in heard)
+            ]
         )
 
     def _may_enter(self, who: str, peer: Peer) -> bool:
@@ -870,7 +882,7 @@
             and peer.ping["well"]
             and not peer.ping.get("leaving")
             and (not peer.ping["blank"] or peer.ping["ready"])
-            and self._now - peer.since >= (HASTY if self.thin else STEADY)
+            and self._now - peer.since >= (HASTY if self.degraded else STEADY)
             and self._shunned.get(who, 0) <= self._now
             and all(self._peers.mutual(self._now, who, other) for other in self._held.chain)
         )
@@ -881,7 +893,7 @@
             or not self._settled
             or not self._promise
             or self._attempt
-            or not self.counted
+            or not self.is_member
         ):
             return
         if self._now < self._patience or not self._may_propose():
@@ -891,15 +903,15 @@
         self._due = due if cause != self._cause else min(self._due, due)
         self._cause = cause
         if cause and self._now >= self._due:
-            if self.sets.quorum(
-                [who for who in self.everyone if self._peers.mutual(self._now, self.me, who)]
+            if self.replica_set.quorum(
+                [who for who in self.member_names if self._peers.mutual(self._now, self.name, who)]
             ):
                 self._propose(shunned)
 
     # a change of the members
 
     def _is_so(self, add: str, remove: str) -> bool:
-        members = self.sets.members
+        members = self.replica_set.members
         return (
             bool(add or remove)
             and (not add or add in members)
@@ -909,7 +921,7 @@
     def _of_an_earlier_revision(self, remove: str) -> str:
         """A member as it was last heard, also one that is away: back, it would fence with the
         majority that it knows. One that is removed knows too few who listen to it then."""
-        for who in self.everyone:
+        for who in self.member_names:
             away = who not in self._view.chain
             if (
                 not (away and who == remove)
@@ -926,9 +938,13 @@
         place: a machine that counts, in the same zone, without a disk, started when the chain had
         long heard nothing of the member.
         """
-        if not self._serving() or self._place() or len(self._view.chain) == len(self.sets.new):
+        if (
+            not self._serving()
+            or self._place()
+            or len(self._view.chain) == len(self.replica_set.new)
+        ):
             return "", ""
-        chain, members = self._view.chain, self.sets.members
+        chain, members = self._view.chain, self.replica_set.members
         missing = [who for who in members if who not in chain]
         if len(missing) != 1 or not set(chain) <= set(members):
             return "", ""
@@ -939,7 +955,7 @@
         )  # not heard in this life
         if not zone or self._now - last < GONE:
             return "", ""
-        others = [self._peers.get(who) for who in chain if who != self.me]
+        others = [self._peers.get(who) for who in chain if who != self.name]
         if any(peer is None or missing[0] in peer.ping["hears"] for peer in others):
             return "", ""
         for who in self.learners():
@@ -959,7 +975,7 @@
         ask, until, add, remove = self._change
         if self._is_so(add, remove) and self._proven[0] >= self._held.epoch:
             self._out.append(
-                CallResult(ask, Status.OK, self.outlook("", "")._replace(why="").told())
+                CallResult(ask, Status.OK, self.outlook("", "")._replace(why="").to_json())
             )
         elif self._now >= until:
             self._out.append(
@@ -971,13 +987,13 @@
             self._attempt
             or not self._serving()
             or self._now < self._patience
-            or not self._disk.well(self._now)
+            or not self._disk.healthy(self._now)
         ):
             return
         elif (look := self.outlook(add, remove)).why:
-            self._out.append(CallResult(ask, Status.CONFLICT, look.told()))
+            self._out.append(CallResult(ask, Status.CONFLICT, look.to_json()))
         else:
-            self._propose(frozenset(), self.sets.changed(add, remove), add)
+            self._propose(frozenset(), self.replica_set.changed(add, remove), add)
             return
         self._change = None
         if ask is None:  # nobody asked
@@ -986,11 +1002,11 @@
     # agreeing on one
 
     def _propose(
-        self, shunned: frozenset[str], sets: Membership | None = None, add: str = ""
+        self, shunned: frozenset[str], sets: ReplicaSet | None = None, add: str = ""
     ) -> None:
         self._cause = ""
         highest = max(self._promise, self._peers.highest(), self._outside.highest())
-        epoch = epoch_after(highest, self.sets.rank(self.me), self._chance)
+        epoch = epoch_after(highest, self.replica_set.rank(self.name), self._chance)
         self._shunned = {who: until for who, until in self._shunned.items() if until > self._now}
         self._shunned.update(dict.fromkeys(shunned, self._now + SHUN))
         leaving = [
@@ -1002,17 +1018,17 @@
             epoch,
             self._now,
             frozenset(self._shunned),
-            sets or self.sets,
-            self.sets,
+            sets or self.replica_set,
+            self.replica_set,
             known,
             bool(sets),
             add,
         )
-        self._give_promise(epoch, self.me, (self._held.epoch, self._last))
+        self._give_promise(epoch, self.name, (self._held.epoch, self._last))
 
     def _give_promise(self, epoch: int, to: str, theirs: Version) -> None:
         self._promise = epoch
-        self._disk.want(
+        self._disk.enqueue(
             {"promise": write_json(epoch)},
             "promise",
             partial(self._have_promised, epoch, to, theirs),
@@ -1032,8 +1048,8 @@
                 version=list(mine),
                 state=state,
                 hears=self._hearing(),
-                held=self._held_sets.told(),
-                proven=[known, proven.told()],
+                held=self._held_sets.to_json(),
+                proven=[known, proven.to_json()],
             )
 
     def _on_prepare(self, sender: str, message: dict[str, Any]) -> None:
@@ -1050,7 +1066,7 @@
                     state=None,
                     hears=hears,
                 )
-        elif epoch > self._promise and (self._counts() or (self._settled and not self.counted)):
+        elif epoch > self._promise and (self._counts() or (self._settled and not self.is_member)):
             self._attempt = None
             self._patience = self._now + 700 * MS + self._chance.randrange(400 * MS)
             self._give_promise(epoch, sender, theirs)
@@ -1087,10 +1103,10 @@
         """
         if not message.get("held") or not message.get("proven"):
             return  # of an earlier revision, in which the set never changes
-        epoch, proven = message["proven"][0], replica_set.read(message["proven"][1])
-        held, held_sets = promise.version[0], replica_set.read(message["held"])
+        epoch, proven = message["proven"][0], ReplicaSet.from_json(message["proven"][1])
+        held, held_sets = promise.version[0], ReplicaSet.from_json(message["held"])
         found, sets = (
-            (held, held_sets) if held > epoch and not promise.blank else (epoch, proven.settled())
+            (held, held_sets) if held > epoch and not promise.blank else (epoch, proven.completed())
         )
         if found < attempt.known or (found == attempt.known and sets.old != sets.new):
             return
@@ -1110,10 +1126,10 @@
         """Take an attempt as far as it goes now."""
         attempt = self._attempt
         if (
-            attempt and self.me not in attempt.sets.names
+            attempt and self.name not in attempt.sets.names
         ):  # it learnt that it was taken out: what it holds may be old
             self._give_up()
-        elif not attempt or self.me not in attempt.promises:  # one's own promise is not synced
+        elif not attempt or self.name not in attempt.promises:  # one's own promise is not synced
             if attempt and self._now - attempt.began >= COLLECT:
                 self._give_up()
         elif not attempt.chain:
@@ -1124,7 +1140,7 @@
             elif self._now - attempt.sent >= ASK_AGAIN:
                 attempt.sent = self._now
                 for who in attempt.sets.names:
-                    if who != self.me and who not in attempt.promises:
+                    if who != self.name and who not in attempt.promises:
                         self._send(
                             who,
                             "prepare",
@@ -1137,7 +1153,7 @@
             self._ping_all(attempt.sets.names)
         elif self._now - attempt.began >= COLLECT + ACCEPT:
             for who in attempt.chain:
-                if who not in attempt.accepted and who != self.me:
+                if who not in attempt.accepted and who != self.name:
                     self._shunned[who] = self._now + SHUN
             self._give_up()
         elif self._now - attempt.sent >= FILL_AGAIN:
@@ -1163,7 +1179,7 @@
 
     def _set_out(self, attempt: Attempt) -> None:
         """Enough have promised: decide on the chain and its state."""
-        first = [self.me, *self._view.chain, *attempt.sets.names]
+        first = [self.name, *self._view.chain, *attempt.sets.names]
         order = [who for who in dict.fromkeys(first) if who in attempt.promises]
         ill = {who for who, peer in self._peers.heard(self._now).items() if not peer.ping["well"]}
         shunned = attempt.shunned | ill
@@ -1196,7 +1212,7 @@
                     epoch=attempt.epoch,
                     chain=list(attempt.chain),
                     members=list(attempt.sets.names),
-                    sets=attempt.sets.told(),
+                    sets=attempt.sets.to_json(),
                     base=list(attempt.base),
                     state=None if same else attempt.state,
                 )
@@ -1213,11 +1229,11 @@
             return
         if (self._blank and not self._ready()) or (not self._blank and not self._settled):
             return
-        sets = replica_set.read(message["sets"]) if message.get("sets") else self.sets
+        sets = ReplicaSet.from_json(message["sets"]) if message.get("sets") else self.replica_set
         if (
             epoch <= self._held.epoch
             or tuple(message["members"]) != sets.names
-            or self.me not in chain
+            or self.name not in chain
         ):
             return
         if (
@@ -1242,7 +1258,7 @@
                 puts[f"state/{key}"] = write_json(value)
         return puts
 
-    def _join(self, sender: str, view: View, sets: Membership, state: Mapping[str, Any]) -> None:
+    def _join(self, sender: str, view: View, sets: ReplicaSet, state: Mapping[str, Any]) -> None:
         puts = self._state_puts(state)
         puts["promise"] = write_json(view.epoch)
         puts["view"] = write_json(view)
@@ -1262,7 +1278,7 @@
         self._sent = self._acked = self._synced = 0
         self._taken, self._waiting = Taken(), []
         self._rounds = Rounds(self._rounds.nonce)
-        self._disk.want(puts, "join", partial(self._have_joined, sender, view.epoch))
+        self._disk.enqueue(puts, "join", partial(self._have_joined, sender, view.epoch))
 
     def _have_joined(self, sender: str, epoch: int) -> None:
         self._promised, self._entered = max(self._promised, epoch), epoch
@@ -1277,7 +1293,7 @@
             attempt.accepted.add(sender)
             self._pursue()
 
-    def _know(self, view: View, sets: Membership) -> None:
+    def _know(self, view: View, sets: ReplicaSet) -> None:
         """That view is active: all of its chain have accepted it."""
         if view.epoch == self._held.epoch:
             sets = self._held_sets
@@ -1362,7 +1378,7 @@
                 self._state[entry.key] = entry.value
             puts[f"state/{entry.key}"] = None if entry.value is None else write_json(entry.value)
         puts["version"] = write_json((self._joined, self._last))
-        self._disk.want(puts, "entries", partial(self._have_taken, self._joined, self._last))
+        self._disk.enqueue(puts, "entries", partial(self._have_taken, self._joined, self._last))
 
     def _have_taken(self, epoch: int, seq: int) -> None:
         if epoch != self._joined:
@@ -1462,7 +1478,7 @@
     def _send_asks(self) -> None:
         epoch = self._view.epoch
         until = (
-            self._now if self.counted else 1 << 62
+            self._now if self.is_member else 1 << 62
         )  # one that was taken out can tell nothing any more: at once
         for ask, code in self._asks.over(until, epoch):
             self._out.append(CallResult(ask, code))
@@ -1526,7 +1542,9 @@
         """CallResult what came before a quorum told that no later epoch was promised."""
         if not self._serving():
             return
-        for key, item in self._rounds.end(lambda heard: self.sets.quorum({self.me, *heard})):
+        for key, item in self._rounds.end(
+            lambda heard: self.replica_set.quorum({self.name, *heard})
+        ):
             if isinstance(item, Decision):
                 self._done(key, item)
                 continue
@@ -1554,7 +1572,7 @@
             self._commit(version[1])
         if version > self.version and version[0] != self._joined:
             self.committed, self.version = dict(state), version
-            if self._blank and not self.counted:
+            if self._blank and not self.is_member:
                 self._fill(version, state)
 
     def _fill(self, version: Version, state: Mapping[str, Any]) -> None:
@@ -1562,7 +1580,7 @@
         writes little then."""
         puts = self._state_puts(state)
         self._state = dict(state)
-        self._disk.want({**puts, "learner": write_json(version)}, "fill", self._have_filled)
+        self._disk.enqueue({**puts, "learner": write_json(version)}, "fill", self._have_filled)
 
     def _have_filled(self) -> None:
         self._filled = True
@@ -1577,9 +1595,9 @@
             and self._disk.to_be_probed(self._now)
         ):
             puts = {f"state/{key}": write_json(value) for key, value in self._state.items()}
-            self._disk.want(puts, "probe", _nothing)
+            self._disk.enqueue(puts, "probe", _nothing)
 
-    def mend(self, now: int, records: Sequence[str]) -> list[Effect] | None:
+    def repair(self, now: int, records: Sequence[str]) -> list[Effect] | None:
         """Write these records again, as they are held here; None if there is one that is no value
         of the map."""
         self._at(now)
@@ -1587,11 +1605,11 @@
         if any(key == record or key not in self._state for key, record in zip(keys, records)):
             return None
         puts = {f"state/{key}": write_json(self._state[key]) for key in keys}
-        self._disk.want(puts, "mend", _nothing)
+        self._disk.enqueue(puts, "mend", _nothing)
         return self._effects()
 
     def _catch_up(self) -> None:
-        if self._serving() or (self._blank and self.counted) or self._now - self._fetched < FETCH:
+        if self._serving() or (self._blank and self.is_member) or self._now - self._fetched < FETCH:
             return
         ahead = [
             who
--- a/umbermoor/gateway/replication/replica_set.py
+++ b/umbermoor/gateway/replication/replica_set.py
@@ -18,7 +18,7 @@
 Seat = tuple[str, int]  # a member's name, and its rank: part of the epochs that it proposes
 
 
-class Membership(NamedTuple):
+class ReplicaSet(NamedTuple):
     """The set of a view, or the two sets of a change; `number` rises with each change."""
 
     system: int  # drawn when the system was founded: a stranger of another one is turned away
@@ -43,7 +43,7 @@
         """Whether they hold a majority of both sets.
 
         >>> change = founded(["a", "b", "c"], 7).changed(add="d", remove="a")
-        >>> change.quorum({"b", "c"}), change.quorum({"a", "b"}), change.settled().quorum({"b", "d"})
+        >>> change.quorum({"b", "c"}), change.quorum({"a", "b"}), change.completed().quorum({"b", "d"})
         (True, False, True)
         """
         return all(
@@ -61,11 +61,11 @@
             for seats in (self.old, self.new)
         )
 
-    def settled(self) -> "Membership":
+    def completed(self) -> "ReplicaSet":
         """The new set alone: its view is known to be active."""
         return self._replace(old=self.new)
 
-    def changed(self, add: str = "", remove: str = "") -> "Membership":
+    def changed(self, add: str = "", remove: str = "") -> "ReplicaSet":
         """The change of a settled set; a newcomer's rank was nobody's in the last changes.
 
         >>> founded(["a", "b", "c"], 7).changed(add="d", remove="a").new
@@ -79,9 +79,9 @@
                 rank % MOST for rank in range(number, number + MOST + 1) if rank % MOST not in used
             )
             seats.append((add, free))
-        return Membership(self.system, number, self.new, tuple(sorted(seats)))
+        return ReplicaSet(self.system, number, self.new, tuple(sorted(seats)))
 
-    def told(self) -> list[Any]:
+    def to_json(self) -> list[Any]:
         """As it is stored and sent."""
         return [
             self.system,
@@ -90,11 +90,17 @@
             [list(seat) for seat in self.new],
         ]
 
+    @classmethod
+    def from_json(cls, told: Any) -> "ReplicaSet":
+        """What `to_json` gave, from JSON."""
+        system, number, old, new = told
+        return cls(system, number, tuple(map(tuple, old)), tuple(map(tuple, new)))
 
-NONE = Membership(0, 0, (), ())
 
+NO_MEMBERS = ReplicaSet(0, 0, (), ())
 
-def founded(names: Iterable[str], system: int = 0) -> Membership:
+
+def founded(names: Iterable[str], system: int = 0) -> ReplicaSet:
     """The first set; without a system's number it is derived from the names (founded by an earlier
     revision)."""
     names = sorted(names)
@@ -102,13 +108,7 @@
         digest = hashlib.blake2b(",".join(names).encode(), digest_size=6).digest()
         system = int.from_bytes(digest, "big") | 1
     seats = tuple((name, rank) for rank, name in enumerate(names))
-    return Membership(system, 0, seats, seats)
-
-
-def read(told: Any) -> Membership:
-    """What `told` gave, from JSON."""
-    system, number, old, new = told
-    return Membership(system, number, tuple(map(tuple, old)), tuple(map(tuple, new)))
+    return ReplicaSet(system, 0, seats, seats)
 
 
 class Outlook(NamedTuple):
@@ -122,7 +122,7 @@
     bears: int  # of those that are up, how many may be lost at once
     why: str  # why it is refused; "": it is not
 
-    def told(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         return {
             "number": self.number,
             "members": list(self.members),
@@ -149,7 +149,7 @@
 
 
 def outlook(
-    present: Membership,
+    present: ReplicaSet,
     chain: Sequence[str],
     ready: Collection[str],
     add: str,
--- a/umbermoor/gateway/replication/view.py
+++ b/umbermoor/gateway/replication/view.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from umbermoor.gateway.replication.replica_set import MOST, Membership
+from umbermoor.gateway.replication.replica_set import MOST, ReplicaSet
 
 STEP = 256 * MOST
 
@@ -76,8 +76,8 @@
     epoch: int
     began: int
     shunned: frozenset[str]
-    sets: Membership  # majorities of whom are needed, and what the view will carry
-    before: Membership  # the set of the newest view known, of the epoch `known`
+    sets: ReplicaSet  # majorities of whom are needed, and what the view will carry
+    before: ReplicaSet  # the set of the newest view known, of the epoch `known`
     known: int
     change: bool = False  # it is to change that set
     add: str = ""  # that is to be in the chain
--- a/umbermoor/gateway/replication/write_queue.py
+++ b/umbermoor/gateway/replication/write_queue.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Disk:
+class WriteQueue:
     _wanted: dict[str, bytes | None] = field(default_factory=dict)
     _thens: dict[str, Then] = field(default_factory=dict)
     _flying: tuple[dict[str, bytes | None], dict[str, Then]] | None = None
@@ -40,7 +40,7 @@
     _rest: int = REST
     _probed: int = 0
 
-    def want(self, puts: dict[str, bytes | None], purpose: str, then: Then) -> None:
+    def enqueue(self, puts: dict[str, bytes | None], purpose: str, then: Then) -> None:
         """Sync `puts`, then call `then`; a later one of the same purpose stands for the earlier
         too."""
         self._wanted.update(puts)
@@ -66,7 +66,7 @@
         self._flying, self._since, self._refused = None, None, False
         return thens
 
-    def unwritten(self, now: int, token: int) -> None:
+    def write_failed(self, now: int, token: int) -> None:
         if self._flying and token == self._token:
             puts, thens = self._flying
             self._wanted, self._thens = {**puts, **self._wanted}, {**thens, **self._thens}
@@ -92,5 +92,5 @@
         """Whether it takes writes, be it slowly."""
         return not self._refused and (self._since is None or now - self._since < HANGS)
 
-    def well(self, now: int) -> bool:
+    def healthy(self, now: int) -> bool:
         return now >= self._slow_until and self.works(now)
--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -30,8 +30,8 @@
 from umbermoor.gateway.distribution.reader import Reader as Pulls
 from umbermoor.gateway.distribution.reader import Teller
 from umbermoor.gateway.effects import CallResult, Decision, Effect, Outcome, Send, Status, Write
-from umbermoor.gateway.replication.anti_entropy import Compare
-from umbermoor.gateway.replication.replica import Member
+from umbermoor.gateway.replication.anti_entropy import DigestComparison
+from umbermoor.gateway.replication.replica import Replica
 from umbermoor.gateway.replication.store import Store
 from umbermoor.gateway.rollout.core import Steps
 from umbermoor.gateway.rollout.plan import ROLLOUT
@@ -80,7 +80,7 @@
         ):  # a disk that can't be believed is one that was lost, and no new system's
             event("disk_lost", why=self.store.lost)
         cold = papers.cold and not self.store.lost
-        self.member = Member(
+        self.member = Replica(
             papers.ip,
             seeds,
             papers.bear_machines,
@@ -94,7 +94,7 @@
         self.registry = Registry(chance.getrandbits(40) | 1, papers.period_us)
         for entry in filter(None, map(entry_of, machines)):
             self.registry.take(self.now(), entry)
-        self.compare = Compare()
+        self.compare = DigestComparison()
         self.sweeps, self.mended, self.swept_at, self.sweeping = 0, 0, self.now(), False
         self.saved, self.saved_at, self.saving = self.registry.shape, 0, False
         self.pulls = Pulls(seeds, papers.ip)
@@ -118,7 +118,7 @@
         self.bodies_of = 0  # its revision
         self.carrier = Carrier()
         self.texts = self.carrier.packer.texts
-        if held := self.member.held(CONFIG):
+        if held := self.member.stored(CONFIG):
             self.texts.add(held["text"])
         self.over = asyncio.Event()
 
@@ -257,7 +257,7 @@
         # the order changes nothing.
         last = self.member.committed.get(ROLLOUT + service)
         own = judge_begin(last, order, lambda: True)
-        if own.outcome is Outcome.CONFLICT and not self.member.judged:
+        if own.outcome is Outcome.CONFLICT and not self.member.head_decides:
             return wrong(STATUS[Status.CONFLICT], own.reason) if self.connected() else LATER
         value = (own.value or last) | {"begin": order}
         answer = await self.ask(
@@ -288,12 +288,12 @@
         return reply(
             200,
             {
-                **self.member.story(),
+                **self.member.status().to_json(),
                 "machines": len(self.registry.entries),
                 "connected": self.member.connected,
                 "pulls": len(self.teller.waiting),
                 "name": self.papers.name,
-                "everyone": list(self.member.everyone),
+                "everyone": list(self.member.member_names),
                 "lacks": self.carrier.lacks,
                 "disk": {
                     "bytes": self.store.used(),
@@ -333,15 +333,15 @@
     @call("GET", "/Members")
     async def members(self, ask: Call) -> Reply:
         """Who counts, who is in the chain, who could be taken in."""
-        member, story = self.member, self.member.story()
+        member, story = self.member, self.member.status()
         return reply(
             200,
             {
-                "set": story["set"],
-                "members": story["members"],
-                "chain": story["chain"],
-                "learners": {name: name in member.learners() for name in story["learners"]},
-                "thin": story["thin"],
+                "set": story.set_number,
+                "members": list(story.members),
+                "chain": list(story.chain),
+                "learners": {name: name in member.learners() for name in story.learners},
+                "thin": story.degraded,
                 "bear": self.papers.bear_machines,
                 "connected": member.connected,
             },
@@ -403,7 +403,7 @@
         self.number += 1
         number, done = self.number, asyncio.Event()
         self.heards[number] = {self.papers.ip}, done
-        for name in self.member.everyone:
+        for name in self.member.member_names:
             if name != self.papers.ip:
                 self.post.send(name, {"kind": "told", "number": number, "entry": entry.told()})
         try:
@@ -417,7 +417,7 @@
             del self.heards[number]
 
     def enough(self, number: int) -> bool:
-        return self.member.sets.quorum(self.heards[number][0])
+        return self.member.replica_set.quorum(self.heards[number][0])
 
     # Messages
 
@@ -430,7 +430,7 @@
             heard = self.pulls.news(now, line.peer, message)
             if heard is not None:
                 self.learn(now, heard.machines)
-        elif kind == "told" and line.peer in self.member.everyone:
+        elif kind == "told" and line.peer in self.member.member_names:
             entry = entry_of(message.get("entry"))
             if entry is not None:
                 self.learn(now, [entry])
@@ -441,7 +441,7 @@
                 if isinstance(message.get("number"), int)
                 else None
             )
-            if held is not None and line.peer in self.member.everyone:
+            if held is not None and line.peer in self.member.member_names:
                 held[0].add(line.peer)
                 if self.enough(message["number"]):
                     held[1].set()
@@ -451,15 +451,17 @@
                     self.steps.report(now, line.peer, report)
                 except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
                     event("garbled", what="report", source=line.peer, why=error)
-        elif kind == "digest" and line.peer in self.member.everyone:
-            if self.compare.heard(line.peer, message, self.member.version, self.member.committed):
+        elif kind == "digest" and line.peer in self.member.member_names:
+            if self.compare.differs(line.peer, message, self.member.version, self.member.committed):
                 event("differs", source=line.peer, version=message["version"])
         elif kind in ("chain", "holds"):
-            body, frames = self.carrier.receive(line.peer, self.member.listens(line.peer), message)
+            body, frames = self.carrier.receive(
+                line.peer, self.member.accepts_from(line.peer), message
+            )
             for one in frames:
                 self.post.send(line.peer, one)
             if body is not None:
-                self.carry(self.member.message(now, line.peer, body))
+                self.carry(self.member.receive(now, line.peer, body))
 
     def learn(self, now: int, entries: list[Entry]) -> None:
         changed = [self.registry.take(now, entry) for entry in entries]  # each one is to be taken
@@ -512,11 +514,11 @@
                 event("disk_lost", why=self.store.lost)
                 self.over.set()  # it is started again, and finds that its disk counts as lost
                 return
-            self.carry(self.member.unwritten(self.now(), token))
+            self.carry(self.member.write_failed(self.now(), token))
 
     def head(self) -> str:
         """The member where puts enter, as far as it is known here."""
-        return next(iter(self.member.story()["chain"]), "")
+        return next(iter(self.member.status().chain), "")
 
     def save(self, now: int) -> None:
         """Keeps the list of machines, so that a restart of all members begins with them. Lost, it
@@ -546,14 +548,14 @@
     def swept(self, rotten: list[str] | None) -> None:
         self.sweeping, self.swept_at, self.sweeps = False, self.now(), self.sweeps + 1
         if self.member.version > (0, 0):
-            told = self.compare.tell(self.member.version, self.member.committed)
-            for name in self.member.everyone:
+            told = self.compare.message(self.member.version, self.member.committed)
+            for name in self.member.member_names:
                 if name != self.papers.ip:
                     self.post.send(name, told)
         if not rotten and rotten is not None:
             return
         values = [record for record in rotten or () if record != MACHINES]
-        effects = None if rotten is None else self.member.mend(self.now(), values)
+        effects = None if rotten is None else self.member.repair(self.now(), values)
         if effects is None:
             event(
                 "disk_lost",
@@ -578,7 +580,9 @@
         member, registry = self.member, self.registry
         config = member.committed.get(CONFIG)
         revision = config["revision"] if config else 0
-        callers = [line.peer for line in self.teller.waiting if line.peer not in member.everyone]
+        callers = [
+            line.peer for line in self.teller.waiting if line.peer not in member.member_names
+        ]
         fronts = callers if len(callers) <= FRONTS else self.chance.sample(callers, FRONTS)
         for line, pull in self.teller.due(
             self.now(), registry.life, registry.urgent, member.version, revision, self.pressing
@@ -593,8 +597,8 @@
                         "machines": registry.after(known),
                         "register": list(member.version),
                         "keys": self.since(tuple(pull["register"])),
-                        "everyone": list(member.sets.members),
-                        "set": member.sets.number,
+                        "everyone": list(member.replica_set.members),
+                        "set": member.replica_set.number,
                         "head": self.head(),
                         "firm": self.connected(),
                         "revision": revision,
@@ -664,11 +668,15 @@
             self.leaving = self.now() + round(
                 min(HANDS_OVER, self.papers.margin_us("graceS", 6.0) / 3e6) * SECOND
             )
-            self.carry(self.member.leave(self.now()))
+            self.carry(self.member.hand_over(self.now()))
 
     def hand_over(self, now: int) -> None:
-        if self.leaving and not self.over.is_set() and (self.member.left or now >= self.leaving):
-            event("left", handed_over=self.member.left, epoch=self.member.story()["epoch"])
+        if (
+            self.leaving
+            and not self.over.is_set()
+            and (self.member.handed_over or now >= self.leaving)
+        ):
+            event("left", handed_over=self.member.handed_over, epoch=self.member.status().epoch)
             self.over.set()
 
     async def ticks(self) -> None:
@@ -677,37 +685,37 @@
         while True:
             now = self.now()
             self.carry(self.member.tick(now))
-            self.pulls.everyone = self.member.sets.members
+            self.pulls.everyone = self.member.replica_set.members
             if self.member.connected and self.head() == self.papers.ip:
                 for service, record in self.steps.tick(now):
                     self.number += 1
                     value = step(
-                        record, self.steps.orders[service].record, self.member.story()["epoch"]
+                        record, self.steps.orders[service].record, self.member.status().epoch
                     )
                     self.carry(self.member.put(now, self.number, ROLLOUT + service, value))
             self.registry.tick(now, self.member.connected)
             self.save(now)
             self.sweep(now)
             self.pulls.forget(now)
-            if self.member.counted and {*self.pulls.sources, self.papers.ip} != {
-                *self.member.everyone
+            if self.member.is_member and {*self.pulls.sources, self.papers.ip} != {
+                *self.member.member_names
             }:
-                self.pulls.members(self.member.everyone)
+                self.pulls.members(self.member.member_names)
             for name in self.pulls.due(now):
                 self.post.send(name, self.pulls.pull(now, name))
             if any(now >= until for until, _ in self.teller.waiting.values()):
                 self.tell_soon()
             self.hand_over(now)
-            story = self.member.story()
-            if (story["set"], story["thin"]) != thin:
-                thin = story["set"], story["thin"]
+            story = self.member.status()
+            if (story.set_number, story.degraded) != thin:
+                thin = story.set_number, story.degraded
                 event(
                     "set",
-                    number=story["set"],
-                    members=",".join(story["members"]) or "none",
-                    thin=story["thin"],
+                    number=story.set_number,
+                    members=",".join(story.members) or "none",
+                    thin=story.degraded,
                 )
-            view = story.get("epoch"), story.get("chain"), story.get("role"), self.member.connected
+            view = story.epoch, story.chain, story.role.value, self.member.connected
             if view != shown:
                 shown = view
                 event(
