--- a/tests/documentation_test.py
+++ b/tests/documentation_test.py
@@ -13,6 +13,7 @@
 
 # Write-ups of the past keep their text; the glossary says what the pages they name are called now.
 PAST = frozenset(("CHANGELOG.md", "glossary.md", "measurements.md", "distance.md", "votes.md"))
+QUESTIONS = frozenset(("questions-gateway.md",))  # they speak of the users' files
 PLACES = (
     ("", "*.*"),
     ("umbermoor", "**/*.py"),
@@ -83,6 +84,27 @@
     assert missing == []
 
 
+def test_every_file_that_a_page_names_is_there():
+    """A name with a folder is relative to the root, umbermoor/, umbermoor/gateway/ or the page's folder; one without
+    is that of some file in the tree."""
+    names = {path.name for path in ROOT.rglob("*") if ".venv" not in path.parts}
+    missing = []
+    for page in (page for page in texts() if page.suffix == ".md" and page.name not in QUESTIONS):
+        for name in re.findall(
+            r"`([\w.-]+(?:/[\w.-]+)*\.(?:py|feature|kdl|toml|json))`", page.read_text()
+        ):
+            places = (*ROOTS, ROOT / "umbermoor", page.parent)
+            if name not in names and not any((place / name).exists() for place in places):
+                missing.append(f"{page.name}: {name}")
+    assert missing == []
+
+
+def test_every_page_is_in_the_index():
+    index = (ROOT / "docs" / "README.md").read_text()
+    pages = {page.name for page in (ROOT / "docs").glob("*.md")} - {"README.md"}
+    assert [page for page in sorted(pages) if f"]({page})" not in index] == []
+
+
 def test_links_between_pages_lead_somewhere():
     missing = [
         f"{page.relative_to(ROOT)}: {target}"
