--- a/benchmarks/answers_cost.py
+++ b/benchmarks/answers_cost.py
@@ -111,7 +111,7 @@
     return next(
         statement.value.value
         for statement in module.body
-        if isinstance(statement, ast.Assign) and statement.targets[0].id in ("FRONT", "PROXY")
+        if isinstance(statement, ast.Assign) and ast.unparse(statement.targets[0]) == "FRONT"
     )
 
 
