--- a/benchmarks/members_replaced.py
+++ b/benchmarks/members_replaced.py
@@ -43,6 +43,7 @@
 class Stream:
     def __init__(self, plot: Plot) -> None:
         self.plot, self.revision, self.acks, self.failed = plot, 1, [time.monotonic()], 0
+        self.acknowledged = 1  # the newest one that was
 
     async def go_on(self) -> None:
         while True:
@@ -83,6 +84,7 @@
             )
             if isinstance(told, Told) and told.done:
                 self.acks.append(time.monotonic())
+                self.acknowledged = self.revision
             else:
                 self.failed += 1
             await asyncio.sleep(EVERY)
--- a/umbermoor/gateway/local/gateway.py
+++ b/umbermoor/gateway/local/gateway.py
@@ -96,19 +96,24 @@
         path.write_text(self.settings(node, cold))
         with open(self.folder / f"{node.name}.log", "ab") as log:
             node.process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "umbermoor.gateway",
-                node.program,
+                *self.command(node),
                 stdin=DEVNULL,
                 stdout=log,
                 stderr=log,
-                env={**os.environ, "UMBERMOOR_SETTINGS": str(path)},
+                env={**os.environ, **self.environment(node), "UMBERMOOR_SETTINGS": str(path)},
                 start_new_session=True,
                 preexec_fn=_with_parent,
             )
         self.say(f"started {node.program} {node.name} on {node.ip}, pid {node.process.pid}")
 
+    def command(self, node: Node) -> list[str]:
+        """The command line of a node's process."""
+        return [sys.executable, "-m", "umbermoor.gateway", node.program]
+
+    def environment(self, node: Node) -> dict[str, str]:
+        """What a node's process has in its environment beside this one's."""
+        return {}
+
     def settings(self, node: Node, cold: bool) -> str:
         """A settings file as the platform writes them."""
         core, ports = node.program == "controller", self.ports
