--- a/benchmarks/capacity/measures.py
+++ b/benchmarks/capacity/measures.py
@@ -32,7 +32,7 @@
 from umbermoor.gateway.rollout.front import Trials
 from umbermoor.gateway.rollout.plan import ROLLOUT
 from umbermoor.gateway.routing.route_table import RouteTable
-from umbermoor.gateway.server.client_connection import answer_bytes, request_bytes
+from umbermoor.gateway.server.http_messages import request_bytes, response_bytes
 from umbermoor.gateway.server.peer_transport import frame
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Reader as Http
@@ -357,7 +357,7 @@
         body = beat_body(at, next(sample))
         asked = reader.feed(beat_head(at, len(body)) + body)[0]
         one.take(0, beat_of(asked.target.rpartition("/")[2], json.loads(asked.body)))
-        answer_bytes(200, b"", {}, 15)
+        response_bytes(200, b"", {}, 15)
 
     yield from timed(act)
 
--- a/benchmarks/capacity/taker.py
+++ b/benchmarks/capacity/taker.py
@@ -10,7 +10,7 @@
 
 from benchmarks.capacity.measures import PERIOD
 from umbermoor.gateway.discovery.registry import Registry, beat_of
-from umbermoor.gateway.server.client_connection import answer_bytes
+from umbermoor.gateway.server.http_messages import response_bytes
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Reader, Request
 
@@ -28,9 +28,9 @@
             elif asked.target.startswith("/Plants.Heartbeat/"):
                 entry = beat_of(asked.target.rpartition("/")[2], json.loads(asked.body))
                 REGISTRY.take(round(time.monotonic() * 1e6), entry)
-                self.transport.write(answer_bytes(200, b"", {}, 15))
+                self.transport.write(response_bytes(200, b"", {}, 15))
             else:
-                self.transport.write(answer_bytes(200, b"", {}, 15))
+                self.transport.write(response_bytes(200, b"", {}, 15))
 
 
 async def main(ip: str, port: int) -> None:
--- a/tests/reader_test.py
+++ b/tests/reader_test.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from umbermoor.gateway.balancing.attempt_outcomes import SINGLE_VALUE_HEADERS
-from umbermoor.gateway.server.client_connection import request_bytes
+from umbermoor.gateway.server.http_messages import request_bytes
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Request, Response
 
--- a/umbermoor/gateway/balancing/request.py
+++ b/umbermoor/gateway/balancing/request.py
@@ -82,9 +82,17 @@
 class Response(Protocol):
     """A complete response of an instance, as the proxy's HTTP reader gives it."""
 
-    status: int
-    headers: dict[str, str]
-    body: bytes
+    @property
+    def status(self) -> int:
+        """Its status."""
+
+    @property
+    def headers(self) -> dict[str, str]:
+        """Its headers, names in lower case."""
+
+    @property
+    def body(self) -> bytes:
+        """Its body."""
 
 
 class Respond(NamedTuple):
--- a/umbermoor/gateway/server/client_connection.py
+++ b/umbermoor/gateway/server/client_connection.py
@@ -1,231 +1,287 @@
-"""Connections of clients: requests are read as they come, also behind one another; answers go back
-in their order."""
+"""Connections of clients: requests are read as they come, pipelined ones too; responses keep order.
+
+`ClientConnections` holds all of them and what applies to each; a `ClientConnection` reads requests,
+hands each to the request handler when it is its turn, and writes its response when those before it
+have left.
+"""
 
 import asyncio
-from collections.abc import Iterable
-from typing import Any
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING, cast
 
 from umbermoor.gateway.balancing.attempt_outcomes import SINGLE_VALUE_HEADERS
+from umbermoor.gateway.routing.route_table import ClientLimits
+from umbermoor.gateway.server.http_messages import response_bytes
 from umbermoor.gateway.server.peer_transport import quicken
+from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Request
-from umbermoor.http1.writer import REASONS
-
-ROW = 16  # requests of one connection that may wait for their answers
-SLOWEST = 30.0  # s: a request that is not whole by then is given up, however steadily it comes
-CONNECTIONS = 2500  # what strangers can open
-# s: read on behind our end, as closing with unread bytes would reset what is still on its way
-BEHIND_END = 0.5
-DRAINED = 4096  # bytes that a client must take in SLOWEST, while it does not read what it was sent
-HOP = frozenset(
-    (
-        "connection",
-        "keep-alive",
-        "proxy-connection",
-        "proxy-authenticate",
-        "proxy-authorization",
-        "te",
-        "trailer",
-        "transfer-encoding",
-        "upgrade",
-        "content-length",
-    )
-)
-KEEPS = frozenset(
-    ("x-attempt-id", "host", "close", "keep-alive")
-)  # `Connection` cannot name these away
-
-
-def answer_bytes(
-    status: int, body: bytes, headers: dict[str, str], keep: int, bodiless: bool = False
-) -> bytes:
-    """An answer; keep: for how many whole seconds the connection may stay idle, 0 closes it.
-    bodiless: to a HEAD."""
-    lines = [f"HTTP/1.1 {status} {REASONS.get(status, '')}"]
-    lines.extend(f"{name}: {value}" for name, value in headers.items() if name not in HOP)
-    length = headers.get("content-length", "0") if bodiless else len(body)
-    if status >= 200 and status not in (204, 304):
-        lines.append(f"content-length: {length}")
-    lines.append(f"keep-alive: timeout={keep}" if keep else "connection: close")
-    lines.append("\r\n")
-    return "\r\n".join(lines).encode("latin-1") + body
-
-
-def request_bytes(request: Request, target_id: str, left_ms: int) -> bytes:
-    """The request as a machine gets it."""
-    drop = HOP
-    if named := request.headers.get("connection"):
-        drop = drop.union({one.strip().lower() for one in named.split(",")} - KEEPS)
-    lines = [f"{request.method} {request.target} HTTP/1.1"]
-    lines.extend(
-        f"{name}: {value}"
-        for name, value in request.headers.items()
-        if name not in drop and name != "x-time-remaining" and name != "x-target-instance"
-    )
-    lines.append(f"x-time-remaining: {left_ms}")
-    lines.append(f"x-target-instance: {target_id}")
-    if request.body or request.method not in ("GET", "HEAD", "DELETE", "OPTIONS"):
-        lines.append(f"content-length: {len(request.body)}")
-    lines.append("\r\n")
-    return "\r\n".join(lines).encode("latin-1") + request.body
 
+if TYPE_CHECKING:
+    from umbermoor.gateway.server.request_handler import ActiveRequest, RequestHandler
+
+REQUEST_TIMEOUT = 408
+
+MICROSECONDS_PER_SECOND = 1_000_000
+MAX_BODY_BYTES = 8 << 20  # of a request: it is held whole until it is sent to an instance
+MAX_PIPELINED_REQUESTS = 16  # of one connection that may wait for their responses
+MAX_CONNECTIONS = 2500  # what strangers can open
+MAX_REQUEST_S = 30.0  # a request that is not whole by then is given up, however steadily it comes
+HEADER_GRACE_S = 2  # beyond the limit that the configuration sets, for a head that stopped coming
+STALLED_S = 1
+# Read on behind our end, as closing with unread bytes would reset what is still on its way.
+LINGER_S = 0.5
+# A client that does not read must take so much in MAX_REQUEST_S.
+MIN_READ_BYTES = 4096
+IDLE_GRACE_S = 1.0  # closed so long after the idle time that a client was told
+
+ResponseParts = tuple[int, bytes, dict[str, str]]  # status, body, headers
+
+
+class PendingRequest:
+    """A request of a connection whose response has not left.
+
+    Attributes:
+        request: The request; None where it was malformed.
+        response: Its response, once there is one.
+        started: Whether it was handed to the request handler.
+        active: Its state there, as long as it is worked at.
+    """
+
+    __slots__ = ("active", "request", "response", "started")
+
+    def __init__(self, request: Request | None, response: ResponseParts | None = None) -> None:
+        self.request = request
+        self.response = response
+        self.started = response is not None
+        self.active: ActiveRequest | None = None
+
+
+class ClientConnections:
+    """All connections of clients.
+
+    Attributes:
+        buffers: The memory that partly read requests share.
+        clock: Seconds of a steady clock.
+        handler: Takes the requests.
+        connections: Those that are open.
+        draining: Whether the proxy ends: no connection is kept behind its last response.
+        keep_alive_s: How long clients are told that a connection may stay idle.
+        idle_timeout_s: How long it may.
+        header_timeout_s: How long a head may take to come.
+        max_body_bytes: Most bytes of a request's body.
+    """
+
+    def __init__(
+        self, buffers: Buffers, clock: Callable[[], float], handler: "RequestHandler"
+    ) -> None:
+        self.buffers = buffers
+        self.clock = clock
+        self.handler = handler
+        self.connections: set[ClientConnection] = set()
+        self.draining = False
+        self.keep_alive_s = 10
+        self.idle_timeout_s = 15.0
+        self.header_timeout_s = 3.0
+        self.max_body_bytes = MAX_BODY_BYTES
+
+    def accept(self) -> "ClientConnection":
+        """The protocol of a new connection."""
+        return ClientConnection(self)
+
+    def apply_limits(self, limits: ClientLimits) -> None:
+        """Takes over what a configuration says."""
+        idle_s = limits.idle_timeout_us / MICROSECONDS_PER_SECOND
+        self.idle_timeout_s = idle_s + IDLE_GRACE_S
+        self.keep_alive_s = max(1, round(idle_s) - 1)
+        self.header_timeout_s = limits.header_timeout_us / MICROSECONDS_PER_SECOND
+        self.max_body_bytes = min(MAX_BODY_BYTES, limits.body_bytes)
 
-class ClientLine(asyncio.Protocol):
-    """One client's connection. `front.came(line, slot, request)` starts a request; `told` ends
-    it."""
+    def sweep(self) -> None:
+        """Closes what has been idle or slow for too long."""
+        now = self.clock()
+        for connection in list(self.connections):
+            connection.sweep(now, self.header_timeout_s, self.idle_timeout_s)
+
+    def close_idle(self) -> None:
+        """Closes connections on which no request is under way."""
+        for connection in list(self.connections):
+            if connection.is_idle():
+                connection.transport.close()
+
+
+class ClientConnection(asyncio.Protocol):
+    """One client's connection. The handler answers each request by `respond`."""
 
     __slots__ = (
-        "at",
-        "begun",
+        "clients",
         "closing",
-        "ended",
-        "front",
-        "halted",
-        "heard_end",
-        "left",
-        "linger",
+        "end_received",
+        "end_sent",
+        "last_activity",
+        "lingers",
+        "pending",
         "reader",
-        "row",
-        "slow",
+        "reading_paused",
+        "request_began_at",
         "transport",
+        "unread_bytes",
+        "writing_paused",
     )
 
-    def __init__(self, front: Any) -> None:
-        self.front, self.transport = front, None
-        self.reader = Reader(front.buffers, body_most=front.body_most, single=SINGLE_VALUE_HEADERS)
-        self.row: list[
-            list
-        ] = []  # [request, (status, body, headers) or None, started], oldest first
-        self.closing = self.halted = False
-        self.slow, self.left = False, 0  # it does not read what it was sent; bytes of it
-        self.heard_end = self.linger = self.ended = (
-            False  # its end came; it may still send; ours is sent
+    def __init__(self, clients: ClientConnections) -> None:
+        self.clients = clients
+        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until it is made
+        self.reader = Reader(
+            clients.buffers, body_most=clients.max_body_bytes, single=SINGLE_VALUE_HEADERS
         )
-        self.at, self.begun = (
-            0.0,
-            None,
-        )  # when something passed; since when a request is partly read
+        self.pending: list[PendingRequest] = []  # oldest first
+        self.closing = False  # nothing more is read of it
+        self.reading_paused = False
+        self.writing_paused = False  # the client does not read what it was sent
+        self.unread_bytes = 0  # of that
+        self.end_received = False
+        self.lingers = False  # the client may still send
+        self.end_sent = False
+        self.last_activity = 0.0
+        self.request_began_at: float | None = None  # of a request that is partly read
 
-    def connection_made(self, transport) -> None:
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begins, where there are not too many."""
+        self.transport = cast(asyncio.Transport, transport)
         quicken(transport)
-        if len(self.front.lines) >= CONNECTIONS:
-            transport.abort()
+        clients = self.clients
+        if len(clients.connections) >= MAX_CONNECTIONS:
+            self.transport.abort()
             return
-        self.front.lines.add(self)
-        self.at = self.front.clock()
+        clients.connections.add(self)
+        self.last_activity = clients.clock()
 
     def data_received(self, data: bytes) -> None:
+        """Reads requests, and starts those whose turn it is."""
         if self.closing:
-            self.linger = True  # and no more time: what it sends now is not read
+            self.lingers = True  # and no more time: what it sends now is not read
             return
-        self.at = self.front.clock()
-        all_found = self.reader.feed(data)
-        self.begun = (
-            None
-            if not self.reader.midway
-            else self.at
-            if all_found or self.begun is None
-            else self.begun
-        )
-        for found in all_found:
-            if isinstance(found, Fault):
-                self.row.append([None, (found.status, b"", {}), True])
-                self.closing = self.linger = True
-            else:
-                self.row.append([found, None, False])
-                if not found.keep:
-                    self.closing = True
-            if self.closing:
+        self.last_activity = self.clients.clock()
+        found: list[Request | Fault] = self.reader.feed(data)  # type: ignore[assignment]
+        if not self.reader.midway:
+            self.request_began_at = None
+        elif found or self.request_began_at is None:
+            self.request_began_at = self.last_activity
+        for message in found:
+            if isinstance(message, Fault):
+                self.pending.append(PendingRequest(None, (message.status, b"", {})))
+                self.closing = self.lingers = True
                 break
-        self._go_on()
-        self._flush()
-        if len(self.row) >= ROW:
-            self._halt()
-
-    def _halt(self) -> None:
-        if not self.halted and not self.transport.is_closing():
-            self.halted = True
+            self.pending.append(PendingRequest(message))
+            if not message.keep:
+                self.closing = True
+                break
+        self._start_requests()
+        self._write_responses()
+        if len(self.pending) >= MAX_PIPELINED_REQUESTS:
+            self._pause_reading()
+
+    def _pause_reading(self) -> None:
+        if not self.reading_paused and not self.transport.is_closing():
+            self.reading_paused = True
             self.transport.pause_reading()
 
     def pause_writing(self) -> None:
-        """It does not read what it was sent: nothing more is begun for it until it does."""
-        self.slow, self.left, self.at = (
-            True,
-            self.transport.get_write_buffer_size(),
-            self.front.clock(),
-        )
+        """The client does not read: nothing more is started for it until it does."""
+        self.writing_paused = True
+        self.unread_bytes = self.transport.get_write_buffer_size()
+        self.last_activity = self.clients.clock()
         if not self.closing:
-            self._halt()
+            self._pause_reading()
 
     def resume_writing(self) -> None:
-        self.slow, self.at = False, self.front.clock()
-        self._flush()
-        self._go_on()
-
-    def _go_on(self) -> None:
-        """Starts what may be worked at now: what may repeat at once, anything else when it is its
-        turn."""
-        if len(self.row) == 1:  # by far the most
-            slot = self.row[0]
-            if not slot[2] and not self.slow:
-                slot[2] = True
-                self.front.came(self, slot, slot[0])
+        """The client reads again."""
+        self.writing_paused = False
+        self.last_activity = self.clients.clock()
+        self._write_responses()
+        self._start_requests()
+
+    def _start_requests(self) -> None:
+        """Starts idempotent requests at once, and any other one when it is its turn."""
+        if len(self.pending) == 1:  # by far the most
+            pending = self.pending[0]
+            request = pending.request
+            if request is not None and not pending.started and not self.writing_paused:
+                pending.started = True
+                self.clients.handler.handle(self, pending, request)
             return
-        for place, slot in enumerate(self.row[:ROW]):
-            request, _, started = slot
-            if request is None or self.slow:
+        for position, pending in enumerate(self.pending[:MAX_PIPELINED_REQUESTS]):
+            request = pending.request
+            if request is None or self.writing_paused:
                 return
-            ahead = self.front.may_repeat(request)  # and what is behind it need not wait for it
-            if not started:
-                if place and not ahead:
+            # What is behind an idempotent request need not wait for it.
+            idempotent = self.clients.handler.is_idempotent(request)
+            if not pending.started:
+                if position and not idempotent:
                     return
-                slot[2] = True
-                self.front.came(self, slot, request)
-            if not ahead:
+                pending.started = True
+                self.clients.handler.handle(self, pending, request)
+            if not idempotent:
                 return
 
-    def told(self, slot: list, status: int, body: bytes, headers: dict[str, str]) -> None:
-        """The answer to a request; it leaves when those before it have."""
-        if slot[1] is not None or self.transport is None or self.transport.is_closing():
+    def respond(
+        self, pending: PendingRequest, status: int, body: bytes, headers: dict[str, str]
+    ) -> None:
+        """Takes the response to a request; it leaves when those before it have."""
+        if pending.response is not None or self.transport is None or self.transport.is_closing():
             return
-        slot[1] = status, body, headers
-        self._flush()
-
-    def _flush(self) -> None:
-        ready = []
-        while self.row and self.row[0][1] is not None:
-            request, (status, body, headers), _ = self.row.pop(0)
-            last = not self.row and (self.closing or self.front.leaving)
-            self.linger = self.linger or (last and not self.closing)
-            self.closing = self.closing or last
-            bodiless = request is not None and request.method == "HEAD"
-            ready.append(
-                answer_bytes(status, body, headers, 0 if last else self.front.keep_s, bodiless)
-            )
-        if ready:
-            self.transport.write(b"".join(ready))
-            self.at = self.front.clock()
-        if self.closing and not self.row:
+        pending.response = status, body, headers
+        self._write_responses()
+
+    def _write_responses(self) -> None:
+        responses = []
+        while self.pending and self.pending[0].response is not None:
+            responses.append(self._next_response())
+        if responses:
+            self.transport.write(b"".join(responses))
+            self.last_activity = self.clients.clock()
+        if self.closing and not self.pending:
             self._end()
             return
-        if self.halted and not self.slow and len(self.row) < ROW // 2:
-            self.halted = False
+        if (
+            self.reading_paused
+            and not self.writing_paused
+            and len(self.pending) < MAX_PIPELINED_REQUESTS // 2
+        ):
+            self.reading_paused = False
             self.transport.resume_reading()
-        if ready:
-            self._go_on()
-        if not self.row and self.reader.expects:
+        if responses:
+            self._start_requests()
+        if not self.pending and self.reader.expects:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
+    def _next_response(self) -> bytes:
+        """Takes the first pending request off; its response, and whether it is the last."""
+        pending = self.pending.pop(0)
+        status, body, headers = cast(ResponseParts, pending.response)
+        clients = self.clients
+        keep_alive_s = clients.keep_alive_s
+        if not self.pending and (self.closing or clients.draining):
+            keep_alive_s = 0
+            if not self.closing:
+                self.lingers = self.closing = True
+        request = pending.request
+        bodiless = request is not None and request.method == "HEAD"
+        return response_bytes(status, body, headers, keep_alive_s, bodiless)
+
     def _end(self) -> None:
-        """Behind the last answer: our end; where the client may still send, reading on until its
-        own, or a while."""
-        if self.ended or self.transport.is_closing():
+        """Sends our end behind the last response.
+
+        Where the client may still send, reading goes on until its own end, or a while.
+        """
+        if self.end_sent or self.transport.is_closing():
             return
-        if self.heard_end or not self.linger:
+        if self.end_received or not self.lingers:
             self.transport.close()
             return
-        self.ended, self.at = True, self.front.clock()
-        self.halted = False
+        self.end_sent = True
+        self.last_activity = self.clients.clock()
+        self.reading_paused = False
         self.transport.resume_reading()
         try:
             self.transport.write_eof()
@@ -233,56 +289,76 @@
             self.transport.abort()
 
     def eof_received(self) -> bool:
-        self.closing = self.heard_end = True
-        return bool(self.row)  # it may still read its answers
+        """The client sends nothing more; it may still read its responses."""
+        self.closing = self.end_received = True
+        return bool(self.pending)
 
-    def connection_lost(self, error) -> None:
-        self.front.lines.discard(self)
+    def connection_lost(self, error: Exception | None) -> None:
+        """Gives up the requests that are worked at."""
+        self.clients.connections.discard(self)
         self.reader.drop()
-        for slot in self.row:
-            if slot[2] and slot[1] is None and slot[0] is not None:
-                self.front.client_left(slot)
-        self.row = []
+        for pending in self.pending:
+            if pending.active is not None:
+                self.clients.handler.client_left(pending)
+        self.pending = []
+
+    def is_idle(self) -> bool:
+        """Whether no request is under way, and its end is not sent yet."""
+        return not self.pending and not self.reader.midway and not self.end_sent
 
-    def sweep(self, now: float, head_s: float, idle_s: float) -> None:
-        """Closes what has been idle, and what is slow to send its request or to read its answer."""
+    def sweep(self, now: float, header_timeout_s: float, idle_timeout_s: float) -> None:
+        """Closes it where it is idle, or slow to send its request or to read its response."""
         if self.transport is None:
             return
-        if self.slow:
-            size = self.transport.get_write_buffer_size()
-            if self.left - size >= DRAINED:
-                self.left, self.at = size, now
-            elif now - self.at > SLOWEST:
-                self.transport.abort()
-        elif self.ended:
-            if now - self.at > BEHIND_END:
+        idle_s = now - self.last_activity
+        if self.writing_paused:
+            self._sweep_slow_reader(now, idle_s)
+        elif self.end_sent:
+            if idle_s > LINGER_S:
                 self.transport.close()
-        elif self.row:
+        elif self.pending:
             return
-        elif self.begun is not None:
-            if (now - self.begun > head_s + 2 and now - self.at > 1) or now - self.begun > SLOWEST:
-                self.closing = self.linger = True
-                self.transport.write(answer_bytes(408, b"", {}, 0))
+        elif self.request_began_at is not None:
+            taken_s = now - self.request_began_at
+            stalled = taken_s > header_timeout_s + HEADER_GRACE_S and idle_s > STALLED_S
+            if stalled or taken_s > MAX_REQUEST_S:
+                self.closing = self.lingers = True
+                self.transport.write(response_bytes(REQUEST_TIMEOUT, b"", {}, 0))
                 self._end()
-        elif now - self.at > idle_s:
+        elif idle_s > idle_timeout_s:
             self.transport.close()
 
+    def _sweep_slow_reader(self, now: float, idle_s: float) -> None:
+        unread_bytes = self.transport.get_write_buffer_size()
+        if self.unread_bytes - unread_bytes >= MIN_READ_BYTES:
+            self.unread_bytes = unread_bytes
+            self.last_activity = now
+        elif idle_s > MAX_REQUEST_S:
+            self.transport.abort()
+
+
+def abort_slow_readers(connections: Iterable[ClientConnection], max_bytes: int) -> int:
+    """Aborts connections whose clients do not read, until they hold `max_bytes` at most together.
+
+    Threat: many clients that do not read. Those that hold most go first.
 
-def relieve(lines: Iterable[ClientLine], most: int) -> int:
-    """Threat: many clients that do not read. Breaks the connections that hold most until what all
-    hold of answers is no more than `most` bytes. How many it broke."""
-    held = sorted(
+    Returns:
+        How many were aborted.
+    """
+    unread = sorted(
         (
-            (line.transport.get_write_buffer_size(), place, line)
-            for place, line in enumerate(lines)
-            if line.slow
+            (connection.transport.get_write_buffer_size(), position, connection)
+            for position, connection in enumerate(connections)
+            if connection.writing_paused
         ),
         reverse=True,
     )
-    over, broken = sum(size for size, _, _ in held) - most, 0
-    for size, _, line in held:
-        if over <= 0:
+    surplus = sum(size for size, _, _ in unread) - max_bytes
+    aborted = 0
+    for size, _, connection in unread:
+        if surplus <= 0:
             break
-        line.transport.abort()
-        over, broken = over - size, broken + 1
-    return broken
+        connection.transport.abort()
+        surplus -= size
+        aborted += 1
+    return aborted
--- /dev/null
+++ b/umbermoor/gateway/server/controller_link.py
@@ -0,0 +1,202 @@
+"""A proxy's link to the controllers: pulls their updates and puts them in force, sends reports.
+
+Updates bring instances, rollouts, other proxies, and that there is a newer configuration, whose body
+is then asked for. What comes in is best effort and may be from a stranger: it is checked here or
+where it is taken over.
+"""
+
+import json
+from typing import Any
+
+from umbermoor.gateway.balancing.instances import Instances
+from umbermoor.gateway.config.node_settings import NodeSettings
+from umbermoor.gateway.distribution.deltas import applied, digest_of
+from umbermoor.gateway.distribution.reader import Heard
+from umbermoor.gateway.distribution.reader import Reader as UpdateReader
+from umbermoor.gateway.membership.failure_detector import Sonde
+from umbermoor.gateway.rollout.front import Trials
+from umbermoor.gateway.rollout.plan import ROLLOUT
+from umbermoor.gateway.routing.route_table import RouteTable
+from umbermoor.gateway.server.client_connection import ClientConnections
+from umbermoor.gateway.server.connections import ConnectionPool
+from umbermoor.gateway.server.events import event
+from umbermoor.gateway.server.peer_transport import Line, Post
+from umbermoor.gateway.server.request_handler import RequestHandler
+
+SECOND_US = 1_000_000
+# Between two ticks longer than this, the process was frozen or starved.
+MAX_TICK_GAP_US = SECOND_US // 2
+
+
+def controller_addresses(settings: NodeSettings) -> list[str]:
+    """The IP addresses of the seeds."""
+    return [seed.rpartition(":")[0] for seed in settings.seeds]
+
+
+class ControllerLink:
+    """Takes over what the controllers tell.
+
+    Attributes:
+        reader: What was heard, and whom to ask next.
+        peers: The transport of messages to and from controllers.
+        configuration_text: The configuration in force, as the operator sent it; "" before any.
+    """
+
+    def __init__(
+        self,
+        settings: NodeSettings,
+        started_at: int,
+        salt: int,
+        instances: Instances,
+        rollouts: Trials,
+        detector: Sonde,
+        requests: RequestHandler,
+        pool: ConnectionPool,
+        clients: ClientConnections,
+    ) -> None:
+        self.reader = UpdateReader(controller_addresses(settings))
+        self.reader.salt = salt
+        self.peers = Post(settings.ip, settings.port_range[0], self.receive, self.disconnected)
+        self.configuration_text = ""
+        self._instances = instances
+        self._rollouts = rollouts
+        self._detector = detector
+        self._requests = requests
+        self._pool = pool
+        self._clients = clients
+        self._logged_stages: dict[str, tuple[Any, ...]] = {}  # of rollouts, by register key
+        self._started_at = self._ticked_at = started_at
+
+    def tick(self, now: int) -> None:
+        """Sends the pulls that are due, and reports of rollouts."""
+        self._notice_pause(now)
+        for address in self.reader.due(now):
+            self.peers.send(address, self.reader.pull(now, address))
+        if self.reader.head and (reports := self._rollouts.tick(now)):
+            self.peers.send(self.reader.head, {"kind": "reports", "reports": reports})
+
+    def forget_instances(self, now: int) -> None:
+        """Drops instances that no controller has known for long."""
+        for instance_id in self.reader.forget(now):
+            self._instances.forget(instance_id)
+
+    def is_current(self) -> bool:
+        """Whether what is in force is as new as a quorum of controllers knew after the start."""
+        return (
+            self._requests.routes is not None
+            and self.reader.offered <= self.reader.revision
+            and self.reader.firm_since(self._started_at)
+        )
+
+    def apply_settings(self, settings: NodeSettings) -> None:
+        """Takes over what the settings file says now."""
+        for address in controller_addresses(settings):
+            self.reader.meet(address)
+
+    def _notice_pause(self, now: int) -> None:
+        """Finds out that this process stood still: messages may come before the next tick."""
+        if now - self._ticked_at > MAX_TICK_GAP_US:
+            self.reader.stood_still()
+        self._ticked_at = now
+
+    def disconnected(self, line: Line) -> None:
+        """A connection to a peer is gone."""
+        if line.peer in self.reader.sources:
+            self.reader.failed(self._requests.now(), line.peer)
+
+    def receive(self, line: Line, message: dict[str, Any]) -> None:
+        """A message came."""
+        kind = message.get("kind")
+        if kind == "news":
+            self._take_update(self._requests.now(), line.peer or "", message)
+        elif kind == "body" and line.peer in self.reader.sources:
+            self.take_configuration(message)
+
+    def _take_update(self, now: int, controller: str, message: dict[str, Any]) -> None:
+        self._notice_pause(now)
+        heard = self.reader.news(now, controller, message)
+        if heard is None:
+            return
+        for instance in self._instances.update(now, heard.machines):
+            self._pool.close_idle(instance)
+        self._take_rollouts(now, heard)
+        self._list_instances(now, heard)
+        proxies = [ip for ip in message.get("fronts", ()) if isinstance(ip, str)]
+        self._detector.heard_of(now, proxies)
+        if heard.want:
+            self.peers.send(controller, self.reader.pull(now, controller))
+
+    def _take_rollouts(self, now: int, heard: Heard) -> None:
+        if heard.firm:
+            self._rollouts.heard(now)
+        for key, record in heard.register.items():
+            if not key.startswith(ROLLOUT):
+                continue
+            service = key[len(ROLLOUT) :]
+            self._rollouts.order(now, service, record, heard.firm)
+            stage = record["state"], record["target"], record["stage"]
+            if self._logged_stages.get(key) != stage:
+                self._logged_stages[key] = stage
+                state, target, number = stage
+                event("rollout", service=service, state=state, target=target, stage=number)
+
+    def _list_instances(self, now: int, heard: Heard) -> None:
+        """Tells the rollouts of services whose instances changed."""
+        for service in self._instances.changed_services:
+            if heard.firm and ROLLOUT + service not in self.reader.register:
+                self._rollouts.order(now, service, None)
+            judged = [
+                (instance.id, instance.entry.revision, instance.listed_at)
+                for instance in self._instances.judged_by_rollout(service)
+            ]
+            self._rollouts.listed(now, service, judged)
+        self._instances.changed_services.clear()
+
+    def take_configuration(self, message: dict[str, Any]) -> None:
+        """The body of a configuration: in force from now on, if it is newer than what is."""
+        text = message.get("text")
+        if (delta := message.get("delta")) is not None:
+            if self._has_delta(delta):  # it came from another controller before
+                return
+            text = self._apply_delta(delta)
+            if text is None:
+                event("configuration_delta_invalid", reason="it does not come out")
+                self.reader.unusable()
+                return
+        try:
+            body = json.loads(text)  # type: ignore[arg-type]  # no text is a TypeError
+            routes = self._requests.routes
+            if routes is not None and int(body["revision"], 16) <= routes.revision:
+                return
+            routes = RouteTable(body)
+        except (KeyError, TypeError, ValueError) as error:
+            # A controller checked it: whoever sent this is none.
+            event("configuration_invalid", reason=error)
+            return
+        self._put_in_force(routes, text)
+
+    def _has_delta(self, delta: Any) -> bool:
+        """Whether a delta leads to the configuration in force."""
+        try:
+            digest, _, _ = delta
+        except (TypeError, ValueError):
+            return False
+        return digest == self.reader.base != ""
+
+    def _apply_delta(self, delta: Any) -> str | None:
+        """The text that a delta makes of the one in force; None where it fits none."""
+        try:
+            digest, base, changes = delta
+            if base != self.reader.base or not base:
+                return None
+            return applied(self.configuration_text, changes, digest)
+        except (TypeError, ValueError):
+            return None
+
+    def _put_in_force(self, routes: RouteTable, text: Any) -> None:
+        self._requests.routes = routes
+        self.configuration_text = text
+        self.reader.base = digest_of(text)
+        self.reader.revision = max(self.reader.revision, routes.revision)
+        self._clients.apply_limits(routes.client_limits)
+        event("configuration_applied", revision=routes.revision_text, source="update")
--- a/umbermoor/gateway/server/readiness.py
+++ b/umbermoor/gateway/server/readiness.py
@@ -1,42 +1,56 @@
-"""The address where the platform asks whether a front is ready."""
+"""The address at which the platform asks whether a proxy is ready: `GET /ready`."""
 
 import asyncio
 from collections.abc import Callable
+from typing import cast
 
 from umbermoor.http1.buffers import Buffers
-from umbermoor.http1.reader import Fault, Reader
+from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import write_response
 
-MEMORY = 8 << 20  # bytes: an eighth of it for what is partly read
-CONNECTIONS = 64
+PATH = "/ready"
+BUFFER_BYTES = 8 << 20  # an eighth of it for what is partly read
+MAX_CONNECTIONS = 64
 
-_buffers = Buffers(MEMORY)
-_open: set["ReadyLine"] = set()
+_buffers = Buffers(BUFFER_BYTES)
+_connections: set["ReadinessConnection"] = set()
 
 
-class ReadyLine(asyncio.Protocol):
-    __slots__ = "reader", "ready", "transport"
+class ReadinessConnection(asyncio.Protocol):
+    """One connection of the platform."""
 
-    def __init__(self, ready: Callable[[], bool]) -> None:
-        self.ready, self.transport, self.reader = ready, None, Reader(_buffers)
+    __slots__ = ("is_ready", "reader", "transport")
 
-    def connection_made(self, transport) -> None:
-        self.transport = transport
-        if len(_open) >= CONNECTIONS:
-            transport.abort()
-        _open.add(self)
+    def __init__(self, is_ready: Callable[[], bool]) -> None:
+        self.is_ready = is_ready
+        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until it is made
+        self.reader = Reader(_buffers)
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begins, where there are not too many."""
+        self.transport = cast(asyncio.Transport, transport)
+        if len(_connections) >= MAX_CONNECTIONS:
+            self.transport.abort()
+        _connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        for found in self.reader.feed(data):
-            if isinstance(found, Fault):
-                self.transport.write(write_response(found.status, keep=False))
+        """Answers 200 or 503 to `GET /ready`, 404 to anything else."""
+        found: list[Request | Fault] = self.reader.feed(data)  # type: ignore[assignment]
+        for message in found:
+            if isinstance(message, Fault):
+                self.transport.write(write_response(message.status, keep=False))
                 self.transport.close()
                 return
-            status = 404 if found.target != "/ready" else 200 if self.ready() else 503
-            self.transport.write(write_response(status, keep=found.keep))
-            if not found.keep:
+            self.transport.write(write_response(self._status(message.target), keep=message.keep))
+            if not message.keep:
                 self.transport.close()
 
-    def connection_lost(self, error) -> None:
-        _open.discard(self)
+    def _status(self, target: str) -> int:
+        if target != PATH:
+            return 404
+        return 200 if self.is_ready() else 503
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Ends."""
+        _connections.discard(self)
         self.reader.drop()
--- /dev/null
+++ b/umbermoor/gateway/server/request_handler.py
@@ -0,0 +1,412 @@
+"""The life of a request at a proxy, in its order.
+
+    accepted   `handle`            read whole by a client connection, and its turn
+    routed     `handle`            by host and path; 404 without a route, 503 without any routes
+    admitted   `_admit`            earns a part of a retry, and gets its deadline
+    attempts   `_advance`          1..n: the first, retries, a hedge; `_try_attempt` chooses a
+                                   version, then an instance, and sends
+               `_attempt_ended`    what the instance's response, or its lack, teaches the balancing
+    response   `_carry_out`        the instance's, or this proxy's own
+    finished   `_finish`           also `client_left`
+
+Which of these comes next is decided in `balancing.request.RequestLifecycle`, whose states and
+transitions are one table; this carries it out on sockets and timers.
+"""
+
+import asyncio
+from collections.abc import Callable
+from random import Random
+
+from umbermoor.gateway.balancing.attempt_outcomes import (
+    NOT_EXECUTED,
+    AttemptOutcome,
+    ConnectionEvent,
+)
+from umbermoor.gateway.balancing.instance import Instance
+from umbermoor.gateway.balancing.instances import Instances
+from umbermoor.gateway.balancing.request import (
+    RESPONSE_MARGIN_US,
+    UNAVAILABLE,
+    Relay,
+    RequestLifecycle,
+    RequestState,
+    Respond,
+    Step,
+    Wait,
+)
+from umbermoor.gateway.balancing.retry_budget import RetryBudget
+from umbermoor.gateway.config.node_settings import NodeSettings
+from umbermoor.gateway.rollout.front import Trials
+from umbermoor.gateway.routing.route_table import Route, RouteTable
+from umbermoor.gateway.server.client_connection import ClientConnection, PendingRequest
+from umbermoor.gateway.server.connections import Attempt, ConnectionPool
+from umbermoor.gateway.server.http_messages import request_bytes
+from umbermoor.http1.reader import Request, Response
+
+BAD_REQUEST = 400
+NOT_FOUND = 404
+
+SECOND_US = 1_000_000
+MILLISECOND_US = 1_000
+NO_ROUTES_RETRY_AFTER = {"retry-after": "0.3"}
+# Taken off the time that a client says it waits, for the way there and back.
+ROUND_TRIP_US = 10 * MILLISECOND_US
+MAX_TIME_REMAINING_DIGITS = 8
+# After the deadline, a response at the last moment may still be on its way.
+ATTEMPT_GRACE_S = 0.1
+HEDGE_AFTER_SERVICE_TIMES = 4
+DEFAULT_SERVICE_TIME_US = 100_000.0  # for hedging, before the first response of a service
+DEFAULT_RETRY_RATIO = 0.2
+DEFAULT_RETRY_WINDOW_S = 10
+DEFAULT_RETRY_SLACK = 0.0
+
+
+class ActiveRequest:
+    """A request that is worked at: what its lifecycle does not hold.
+
+    Attributes:
+        connection: Its client's connection.
+        pending: Its place there.
+        request: What was asked.
+        route: The route that it took.
+        lifecycle: Its state, and what comes next.
+        attempts: Attempts in flight.
+        attempts_made: How many were made.
+        timer: Wakes it when something is due.
+    """
+
+    __slots__ = (
+        "attempts",
+        "attempts_made",
+        "connection",
+        "lifecycle",
+        "pending",
+        "request",
+        "route",
+        "timer",
+    )
+
+    def __init__(
+        self,
+        connection: ClientConnection,
+        pending: PendingRequest,
+        request: Request,
+        route: Route,
+        lifecycle: RequestLifecycle,
+    ) -> None:
+        self.connection = connection
+        self.pending = pending
+        self.request = request
+        self.route = route
+        self.lifecycle = lifecycle
+        self.attempts: list[Attempt] = []
+        self.attempts_made = 0
+        self.timer: asyncio.TimerHandle | None = None
+
+
+class RequestHandler:
+    """Carries each request from its client to an instance and back.
+
+    Attributes:
+        routes: The routes in force; None before the first configuration.
+        pool: Connections to instances, set by the proxy that builds both.
+        active: Requests that are worked at.
+        retry_budgets: By service.
+        outcome_counts: Attempts by how they ended.
+        status_counts: Responses by status.
+    """
+
+    def __init__(
+        self,
+        settings: NodeSettings,
+        instances: Instances,
+        rollouts: Trials,
+        clock: Callable[[], float],
+        random: Random,
+    ) -> None:
+        self.settings = settings
+        self.instances = instances
+        self.rollouts = rollouts
+        self.clock = clock
+        self.random = random.random
+        self.pool: ConnectionPool
+        self.routes: RouteTable | None = None
+        self.active: set[ActiveRequest] = set()
+        self.retry_budgets: dict[str, RetryBudget] = {}
+        self.outcome_counts = dict.fromkeys(AttemptOutcome, 0)
+        self.status_counts: dict[int, int] = {}
+
+    def now(self) -> int:
+        """Microseconds of the steady clock."""
+        return round(self.clock() * SECOND_US)
+
+    # Accepted and routed
+
+    def handle(
+        self, connection: ClientConnection, pending: PendingRequest, request: Request
+    ) -> None:
+        """Takes a request that was read whole, when it is its turn."""
+        if self.routes is None:
+            connection.respond(pending, UNAVAILABLE, b"", NO_ROUTES_RETRY_AFTER)
+            return
+        headers = request.headers
+        route = self.routes.find(headers.get("host", ""), request.target)
+        if route is None:
+            connection.respond(pending, NOT_FOUND, b"", {})
+            return
+        if not headers.get("x-attempt-id"):  # no response could be known as its own
+            connection.respond(pending, BAD_REQUEST, b"", {})
+            return
+        self._admit(connection, pending, request, route)
+
+    def is_idempotent(self, request: Request) -> bool:
+        """Whether requests behind it on its connection need not wait for its response."""
+        if self.routes is None:
+            return True
+        route = self.routes.find(request.headers.get("host", ""), request.target)
+        return route is None or route.idempotent
+
+    # Admitted
+
+    def _admit(
+        self,
+        connection: ClientConnection,
+        pending: PendingRequest,
+        request: Request,
+        route: Route,
+    ) -> None:
+        now = self.now()
+        time_left_us = route.timeout_us
+        client_waits = request.headers.get("x-time-remaining", "")  # in milliseconds
+        if client_waits.isdecimal() and len(client_waits) <= MAX_TIME_REMAINING_DIGITS:
+            client_waits_us = int(client_waits) * MILLISECOND_US - ROUND_TRIP_US
+            time_left_us = min(time_left_us, client_waits_us)
+        service = route.service_for(self.random())
+        lifecycle = RequestLifecycle(
+            service, route.idempotent, route.max_attempts, now + time_left_us
+        )
+        active = ActiveRequest(connection, pending, request, route, lifecycle)
+        pending.active = active
+        self.active.add(active)
+        self.retry_budget(service).request_arrived(now)
+        self.rollouts.asked(now, service)
+        self._advance(active, now)
+
+    def retry_budget(self, service: str) -> RetryBudget:
+        """The retry budget of a service."""
+        budget = self.retry_budgets.get(service)
+        if budget is None:
+            settings = self.settings
+            ratio = settings.margin("retryRatio", DEFAULT_RETRY_RATIO)
+            window_us = settings.margin_us("retryWindowS", DEFAULT_RETRY_WINDOW_S)
+            budget = self.retry_budgets[service] = RetryBudget(ratio, window_us)
+        return budget
+
+    # Attempts
+
+    def _advance(self, active: ActiveRequest, now: int) -> None:
+        """Makes the attempts that may be made now, then what the lifecycle wants next."""
+        lifecycle = active.lifecycle
+        while lifecycle.may_attempt(now) and self._try_attempt(active, now):
+            pass
+        if active.attempts and now >= lifecycle.deadline - RESPONSE_MARGIN_US:
+            self._cancel_unsent(active)
+            if lifecycle.state is RequestState.FINISHED:
+                return
+        self._carry_out(active, lifecycle.next_step(now), now)
+
+    def _try_attempt(self, active: ActiveRequest, now: int) -> bool:
+        """Sends the request to an instance, where budget and instances allow it."""
+        lifecycle = active.lifecycle
+        is_retry = lifecycle.is_retry()
+        budget = self.retry_budgets[lifecycle.service] if is_retry else None
+        if budget is not None and budget.available(now) < 1:
+            lifecycle.give_up_hedging()
+            return False
+        instance = self._choose_instance(lifecycle, is_retry, now)
+        if instance is None or (instance.id in lifecycle.tried and lifecycle.in_flight):
+            lifecycle.give_up_hedging()
+            return False
+        if budget is not None:
+            budget.try_spend(now)
+        self._send(active, instance, now)
+        return True
+
+    def _choose_instance(
+        self, lifecycle: RequestLifecycle, is_retry: bool, now: int
+    ) -> Instance | None:
+        """Chooses the version by the rollout's share, then the instance within it."""
+        rollouts, service, random = self.rollouts, lifecycle.service, self.random
+        revision = rollouts.side(now, service, random(), is_retry)
+        if revision is None:
+            return None
+        choose, tried = self.instances.choose, lifecycle.tried
+        max_wait_us = lifecycle.deadline - now
+        if revision == rollouts.target(service):
+            only = rollouts.machines(now, service)
+            instance = choose(now, service, revision, only, tried, random, max_wait_us)
+            if instance is not None or not only:
+                return instance
+        return choose(now, service, revision, (), tried, random, max_wait_us)
+
+    def _send(self, active: ActiveRequest, instance: Instance, now: int) -> None:
+        lifecycle, request = active.lifecycle, active.request
+        needs_new_connection = instance.id in lifecycle.tried
+        mean_us = self.instances.service_time_us(lifecycle.service, DEFAULT_SERVICE_TIME_US)
+        hedge_after_us = HEDGE_AFTER_SERVICE_TIMES * mean_us * instance.relative_service_time
+        active.attempts_made += 1
+        number = active.attempts_made
+        lifecycle.attempt_started(now, number, instance, round(hedge_after_us))
+        instance.attempt_started(now)
+        self.rollouts.sent(now, lifecycle.service, instance.entry.revision)
+        time_left_ms = max(1, (lifecycle.deadline - now) // MILLISECOND_US)
+        attempt = Attempt(
+            active,
+            number,
+            instance,
+            now,
+            request.headers["x-attempt-id"],
+            request_bytes(request, instance.id, time_left_ms),
+            request.method == "HEAD",
+            needs_new_connection,
+            self._attempt_ended,
+        )
+        active.attempts.append(attempt)
+        self.pool.send(instance, attempt, lifecycle.idempotent)
+
+    def may_send(self, instance: Instance) -> bool:
+        """The gate right before a request is written on a new connection."""
+        entry = instance.entry
+        return self.instances.is_listed(instance) and self.rollouts.allowed(
+            self.now(), entry.service, entry.revision
+        )
+
+    def _attempt_ended(
+        self, attempt: Attempt, outcome: AttemptOutcome, response: Response | None
+    ) -> None:
+        now, active = self.now(), attempt.request
+        active.attempts.remove(attempt)
+        self._learn(attempt, outcome, response, now)
+        self.outcome_counts[outcome] += 1
+        active.lifecycle.attempt_ended(attempt.number, outcome, response)
+        if active.lifecycle.state is not RequestState.FINISHED:
+            self._advance(active, now)
+
+    def _learn(
+        self, attempt: Attempt, outcome: AttemptOutcome, response: Response | None, now: int
+    ) -> None:
+        """Takes an attempt's end into the estimates of its instance, and into the rollout."""
+        instance = attempt.instance
+        duration_us = now - attempt.sent_at
+        instance.attempt_ended()
+        status = 0
+        if response is not None:
+            status = response.status
+            if load := response.headers.get("x-load-level"):
+                instance.load_reported(now, load)
+        failed = outcome is not AttemptOutcome.COMPLETE or status >= 500
+        if not failed:
+            self.instances.responded(now, instance, duration_us)
+        elif outcome is AttemptOutcome.COMPLETE:
+            instance.last_response_at = now
+        elif outcome is AttemptOutcome.REJECTED:
+            instance.rejected(now)
+        elif outcome is AttemptOutcome.MISDIRECTED:
+            self.instances.misdirected(instance)
+            self.pool.close_idle(instance)
+        elif outcome is not AttemptOutcome.CANCELLED:
+            instance.ejection.failure(now, outcome is AttemptOutcome.CONNECT_FAILED)
+        self.rollouts.ended(
+            now,
+            instance.entry.service,
+            instance.entry.revision,
+            instance.id,
+            instance.listed_at,
+            duration_us <= attempt.request.route.latency_target_us,
+            failed,
+            attempt.number > 1 or outcome in NOT_EXECUTED,
+        )
+
+    def _cancel_unsent(self, active: ActiveRequest) -> None:
+        """Ends the attempts of which nothing was written: they are proved not to be executed."""
+        for attempt in list(active.attempts):
+            attempt.handle(ConnectionEvent.CANCELLED)
+
+    def _give_up(self, active: ActiveRequest) -> None:
+        """The time of a finished request is over: its attempts end."""
+        for attempt in list(active.attempts):
+            attempt.handle(ConnectionEvent.DEADLINE_EXCEEDED)
+
+    # Response
+
+    def _carry_out(self, active: ActiveRequest, step: Step, now: int) -> None:
+        if active.timer is not None:
+            active.timer.cancel()
+            active.timer = None
+        if isinstance(step, Wait):
+            delay_s = max(0, step.until - now) / SECOND_US
+            active.timer = asyncio.get_running_loop().call_later(delay_s, self._wake, active)
+        elif isinstance(step, Relay):
+            response = step.response
+            self._finish(active, response.status, response.body, response.headers)
+        elif isinstance(step, Respond):
+            headers = {}
+            if step.retry_after_s is not None:
+                headers["retry-after"] = f"{step.retry_after_s:g}"
+            self._finish(active, step.status, b"", headers)
+
+    def _wake(self, active: ActiveRequest) -> None:
+        self._advance(active, self.now())
+
+    # Finished
+
+    def _finish(
+        self, active: ActiveRequest, status: int, body: bytes, headers: dict[str, str]
+    ) -> None:
+        self._end(active)
+        self.status_counts[status] = self.status_counts.get(status, 0) + 1
+        active.connection.respond(active.pending, status, body, headers)
+
+    def client_left(self, pending: PendingRequest) -> None:
+        """Its client's connection is gone: the request is not sent anywhere else."""
+        if pending.active is not None:
+            self._end(pending.active)
+
+    def _end(self, active: ActiveRequest) -> None:
+        """Ends a request.
+
+        Attempts in flight may go on until its time is over, and no longer: from an instance that
+        vanished nothing comes, not even an end.
+        """
+        active.lifecycle.finish()
+        if active.timer is not None:
+            active.timer.cancel()
+        active.pending.active = None
+        self.active.discard(active)
+        if active.attempts:
+            self._cancel_unsent(active)
+        if active.attempts:
+            left_s = max(0, active.lifecycle.deadline - self.now()) / SECOND_US
+            loop = asyncio.get_running_loop()
+            loop.call_later(left_s + ATTEMPT_GRACE_S, self._give_up, active)
+
+    # Retry budgets
+
+    def apply_settings(self, settings: NodeSettings) -> None:
+        """Takes over what the settings file says now."""
+        self.settings = settings
+        ratio = settings.margin("retryRatio", DEFAULT_RETRY_RATIO)
+        for budget in self.retry_budgets.values():
+            budget.set_ratio(ratio)
+
+    def share_retry_slack(self, now: int, proxies: int) -> None:
+        """Divides the slack of retries among the proxies that are believed to run."""
+        slack = self.settings.margin("retrySlack", DEFAULT_RETRY_SLACK)
+        for budget in self.retry_budgets.values():
+            budget.share_slack(now, slack, proxies)
+
+    def counts(self) -> dict[str, int]:
+        """Attempts by outcome and responses by status, those that there were."""
+        outcomes = {outcome.value: count for outcome, count in self.outcome_counts.items() if count}
+        statuses = {f"status_{status}": count for status, count in self.status_counts.items()}
+        return outcomes | statuses
