--- a/benchmarks/drains.py
+++ b/benchmarks/drains.py
@@ -15,9 +15,9 @@
 import orjson
 
 from benchmarks.common import show, spread
+from umbermoor.front.lifecycle.command import Unanswered, ask
 from umbermoor.lab.day import Clients, Day, Fronts, Group, Load, ProfileRow, Trouble
 from umbermoor.lab.sockets.runner import play_on_sockets
-from umbermoor.lifecycle.command import Unanswered, ask
 
 LENGTH = 10.0
 
--- a/benchmarks/http2_faults.py
+++ b/benchmarks/http2_faults.py
@@ -107,10 +107,10 @@
 
 class Play:
     def __init__(self, reactor, fault: str, seed: int, rate: float, total: Counter, over) -> None:
+        from umbermoor.front.server.descriptor_budget import Budget
+        from umbermoor.front.server.streams import Streams
         from umbermoor.http1.buffers import Buffers
         from umbermoor.lab.sockets.common import now
-        from umbermoor.node.budget import Budget
-        from umbermoor.node.streams import Streams
 
         self.reactor, self.fault, self.rate, self.total, self.over = (
             reactor,
@@ -154,8 +154,8 @@
         deferred.addCallback(self.ended, query, booking, tries)
 
     def ended(self, outcome, query: str, booking: bool, tries: int) -> None:
-        from umbermoor.interface import NEVER_RAN, Ending
-        from umbermoor.node.outcomes import Cause, Failed, Progress, ending
+        from umbermoor.front.interface import NEVER_RAN, Ending
+        from umbermoor.front.server.outcomes import Cause, Failed, Progress, ending
 
         how = ending(outcome)
         if how is not Ending.OK and tries < TRIES and (not booking or how in NEVER_RAN):
--- a/benchmarks/http2_fuzz.py
+++ b/benchmarks/http2_fuzz.py
@@ -9,9 +9,9 @@
 import sys
 import time
 
+from umbermoor.front.http2.frames import FRAME_MOST, HEAD
+from umbermoor.front.http2.session import Call, Session
 from umbermoor.http1.buffers import Buffers
-from umbermoor.http2.frames import FRAME_MOST, HEAD
-from umbermoor.http2.session import Call, Session
 
 HEADS = [(":method", "GET"), (":scheme", "http"), (":authority", "api"), (":path", "/api")]
 BLOCKS = (
--- a/benchmarks/planner_fleets.py
+++ b/benchmarks/planner_fleets.py
@@ -12,7 +12,8 @@
 import tempfile
 
 from benchmarks.common import show
-from umbermoor.capture.files import read_capture
+from umbermoor.front.capture.files import read_capture
+from umbermoor.front.kdl_sheet import parse_sheet
 from umbermoor.lab.day import Day, micros
 from umbermoor.lab.fleet import capture_day
 from umbermoor.lab.sockets.runner import play_on_sockets
@@ -23,7 +24,6 @@
 from umbermoor.planner.questions import Question, arrivals_of, day_for, drains, read_answer
 from umbermoor.planner.search import gather
 from umbermoor.planner.sheets import Fleet
-from umbermoor.sheet import parse_sheet
 
 DAY = """day "%s" length-s=60 seed=5 {
   load %s
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -8,7 +8,7 @@
 from collections import Counter
 
 from benchmarks.common import show
-from umbermoor.membership.subsets import Ring, rendezvous, rounds
+from umbermoor.front.membership.subsets import Ring, rendezvous, rounds
 
 SIZES = ((2, 10), (10, 100), (100, 100), (100, 1_000), (300, 1_000), (1_000, 1_000), (100, 10_000))
 SUBSET = 20
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -11,7 +11,7 @@
 from twisted.internet.task import Clock
 
 from benchmarks.common import show, spread
-from umbermoor.lifecycle.wheel import Wheel
+from umbermoor.front.lifecycle.timing_wheel import Wheel
 
 SPAN = 10_000_000
 
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -22,7 +22,7 @@
 
 from tests.town import READS, Town
 from umbermoor.benchlink import wire
-from umbermoor.interface import (
+from umbermoor.front.interface import (
     Charter,
     Control,
     Decision,
@@ -38,7 +38,7 @@
     Repeat,
     Verdict,
 )
-from umbermoor.rules import Front
+from umbermoor.front.rules import Front
 
 MS = 1000
 PLAIN = Charter(
--- a/tests/capture_test.py
+++ b/tests/capture_test.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from umbermoor.capture import command
-from umbermoor.capture.files import Segments, Unreadable, read_capture, told
-from umbermoor.capture.frames import (
+from umbermoor.front.capture import command
+from umbermoor.front.capture.files import Segments, Unreadable, read_capture, told
+from umbermoor.front.capture.frames import (
     ENDINGS,
     Damage,
     Header,
@@ -19,8 +19,8 @@
     read,
     rows_frame,
 )
-from umbermoor.capture.recorder import HELD_MOST, Recorder
-from umbermoor.interface import Ending, Entry, Readiness
+from umbermoor.front.capture.recorder import HELD_MOST, Recorder
+from umbermoor.front.interface import Ending, Entry, Readiness
 
 HEAD = Header(
     "n0", 5, ({"name": "look", "aim_ms": 1000, "patience_ms": 4000, "repeat": "repeatable"},)
--- a/tests/descriptors_test.py
+++ b/tests/descriptors_test.py
@@ -18,9 +18,9 @@
 
 from tests.leaving_test import Pipe
 from tests.town import GIVEN
+from umbermoor.front.server.clients import READ_LEAST, READ_WITHIN, Clients
+from umbermoor.front.server.descriptor_budget import Budget
 from umbermoor.http1.buffers import Buffers
-from umbermoor.node.budget import Budget
-from umbermoor.node.clients import READ_LEAST, READ_WITHIN, Clients
 
 ASK = b"GET /up HTTP/1.1\r\nHost: n1\r\n\r\n"
 FEW = 48
--- a/tests/hints_test.py
+++ b/tests/hints_test.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from tests.__main__ import PLAIN, PROFILE
-from umbermoor.interface import Do, Ending, Entry, Listing, News, Phase, Readiness
-from umbermoor.records import Slope
-from umbermoor.rules import SECOND, Front
+from umbermoor.front.interface import Do, Ending, Entry, Listing, News, Phase, Readiness
+from umbermoor.front.records import Slope
+from umbermoor.front.rules import SECOND, Front
 
 MEAN = SECOND / 8
 
--- a/tests/http2_test.py
+++ b/tests/http2_test.py
@@ -10,11 +10,8 @@
 from hypothesis import strategies as some
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, consumes, invariant, rule
 
-from umbermoor.http1.buffers import Buffers
-from umbermoor.http1.reader import Response
-from umbermoor.http2.fates import PROOFS, End, Failed, Proof, Stand
-from umbermoor.http2.frames import CONTINUATIONS_MOST, IDLE_MOST, Goaway, Splitter, Wrong
-from umbermoor.http2.pool import (
+from umbermoor.front.http2.frames import CONTINUATIONS_MOST, IDLE_MOST, Goaway, Splitter, Wrong
+from umbermoor.front.http2.pool import (
     AHEAD,
     FALLBACK,
     LINKS_MOST,
@@ -24,10 +21,13 @@
     judged,
     ping_wait,
 )
-from umbermoor.http2.session import Call, Session
-from umbermoor.interface import NEVER_RAN, Ending
-from umbermoor.node.outcomes import ending
-from umbermoor.node.streams import outcome_of
+from umbermoor.front.http2.session import Call, Session
+from umbermoor.front.http2.stream_outcomes import PROOFS, End, Failed, Proof, Stand
+from umbermoor.front.interface import NEVER_RAN, Ending
+from umbermoor.front.server.outcomes import ending
+from umbermoor.front.server.streams import outcome_of
+from umbermoor.http1.buffers import Buffers
+from umbermoor.http1.reader import Response
 
 HEADS = [(":method", "GET"), (":scheme", "http"), (":authority", "api"), (":path", "/api")]
 
--- a/tests/lab_test.py
+++ b/tests/lab_test.py
@@ -7,7 +7,8 @@
 import orjson
 import pytest
 
-from umbermoor.interface import Ending, Phase, Readiness, Verdict
+from umbermoor.front.interface import Ending, Phase, Readiness, Verdict
+from umbermoor.front.kdl_sheet import Misread, parse_sheet
 from umbermoor.lab.audit import Ledger, by_rule
 from umbermoor.lab.chance import Chance
 from umbermoor.lab.day import SECOND, Build, Cold, Day, Group, read_day, shipped_days
@@ -15,7 +16,6 @@
 from umbermoor.lab.machine import Job, Machine, Reply
 from umbermoor.lab.release import Listed, Release, Retire, Roster, Start, spread_order
 from umbermoor.lab.statistics import growth, mean_interval, paired, share_interval, student
-from umbermoor.sheet import Misread, parse_sheet
 
 BASE = b"""day "d" length-s=12 seed=3 {
   load 40
--- a/tests/leaving_test.py
+++ b/tests/leaving_test.py
@@ -3,10 +3,10 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
+from umbermoor.front.interface import Repeat
+from umbermoor.front.server.clients import LINGER, Answer, Clients
+from umbermoor.front.server.descriptor_budget import Budget
 from umbermoor.http1.buffers import Buffers
-from umbermoor.interface import Repeat
-from umbermoor.node.budget import Budget
-from umbermoor.node.clients import LINGER, Answer, Clients
 
 ASKS = b"GET /api HTTP/1.1\r\nX-Txn: %b\r\nX-Lane: look\r\nX-Remaining: 4\r\n\r\n"
 
--- a/tests/lifecycle_test.py
+++ b/tests/lifecycle_test.py
@@ -8,10 +8,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from umbermoor.http1.reader import Request
-from umbermoor.lifecycle.keeper import DEADLINE, EMPTY_FOR, RAMP, RAMP_LEAST, SECOND, Due, Keeper
-from umbermoor.lifecycle.scheduler import PRESSED_WAIT, SLICE_MOST, Scheduler
-from umbermoor.lifecycle.snapshot import (
+from umbermoor.front.lifecycle.admin_calls import Ways, metrics_text
+from umbermoor.front.lifecycle.drain_keeper import (
+    DEADLINE,
+    EMPTY_FOR,
+    RAMP,
+    RAMP_LEAST,
+    SECOND,
+    Due,
+    Keeper,
+)
+from umbermoor.front.lifecycle.scheduler import PRESSED_WAIT, SLICE_MOST, Scheduler
+from umbermoor.front.lifecycle.snapshot import (
     OLD,
     SPEEDS_FOR,
     MachineMemory,
@@ -24,9 +32,9 @@
     usable,
     write,
 )
-from umbermoor.lifecycle.states import CLOSES, TABLE, UP, Event, State
-from umbermoor.lifecycle.ways import Ways, metrics_text
-from umbermoor.lifecycle.wheel import Wheel
+from umbermoor.front.lifecycle.states import CLOSES, TABLE, UP, Event, State
+from umbermoor.front.lifecycle.timing_wheel import Wheel
+from umbermoor.http1.reader import Request
 
 
 def test_every_event_is_defined_in_every_state_and_there_is_no_way_back_from_leaving():
--- a/tests/membership_test.py
+++ b/tests/membership_test.py
@@ -11,10 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from umbermoor.interface import Readiness
-from umbermoor.keeping import Unfit
-from umbermoor.lab.sockets.nameserver import NameServer
-from umbermoor.membership.answers import (
+from umbermoor.front.interface import Readiness
+from umbermoor.front.membership.conclusion import Concluder, difference, explained
+from umbermoor.front.membership.dns_messages import (
     TTL_LEAST,
     TTL_MOST,
     Cut,
@@ -25,8 +24,9 @@
     question,
     read,
 )
-from umbermoor.membership.asking import Ask, Asker, Server, places
-from umbermoor.membership.book import (
+from umbermoor.front.membership.dns_queries import Ask, Asker, Server, places
+from umbermoor.front.membership.saved_list import Lasting, load, pack, save, unpack
+from umbermoor.front.membership.sources import (
     CONFIRMED_AFTER,
     ENTRIES_MOST,
     HELD_MOST,
@@ -35,9 +35,9 @@
     Book,
     Seen,
 )
-from umbermoor.membership.conclude import Concluder, difference, explained
-from umbermoor.membership.lasting import Lasting, load, pack, save, unpack
-from umbermoor.membership.subsets import Ring, rendezvous, rounds, spread_rendezvous
+from umbermoor.front.membership.subsets import Ring, rendezvous, rounds, spread_rendezvous
+from umbermoor.front.sealed_files import Unfit
+from umbermoor.lab.sockets.nameserver import NameServer
 
 NAME = "_zone._tcp.soner.example.org."
 
--- a/tests/planner_test.py
+++ b/tests/planner_test.py
@@ -6,8 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from umbermoor.capture.files import read_capture
-from umbermoor.capture.frames import Row, Seen
+from umbermoor.front.capture.files import read_capture
+from umbermoor.front.capture.frames import Row, Seen
+from umbermoor.front.kdl_sheet import Misread, parse_sheet
 from umbermoor.lab.day import Day, micros, read_day
 from umbermoor.lab.demand import Kind
 from umbermoor.lab.fleet import capture_day
@@ -37,7 +38,6 @@
 )
 from umbermoor.planner.search import falling, fewest_machines, gather, highest_load
 from umbermoor.planner.sheets import Fleet
-from umbermoor.sheet import Misread, parse_sheet
 
 FLEET = b"""fleet "f" goal=0.97 {
   growth 1 2
--- a/tests/resolving.py
+++ b/tests/resolving.py
@@ -5,12 +5,12 @@
 
 from twisted.internet import reactor
 
-from umbermoor.house import MembersFrom, SrvFrom
-from umbermoor.interface import Readiness
+from umbermoor.front.interface import Readiness
+from umbermoor.front.membership.dns_queries import AGAIN_MOST, SECOND, WAIT_MOST
+from umbermoor.front.own_settings import MembersFrom, SrvFrom
+from umbermoor.front.server.members import Membership
 from umbermoor.lab.sockets.common import now
 from umbermoor.lab.sockets.nameserver import NameServer
-from umbermoor.membership.asking import AGAIN_MOST, SECOND, WAIT_MOST
-from umbermoor.node.members import Membership
 
 NAME = "_zone._tcp.soner.example.org."
 LONGEST = (
--- a/tests/sockets_test.py
+++ b/tests/sockets_test.py
@@ -3,12 +3,12 @@
 
 import orjson
 
-from umbermoor.capture.files import read_capture
+from umbermoor.front.capture.files import read_capture
+from umbermoor.front.kdl_sheet import parse_sheet
+from umbermoor.front.lifecycle.command import ask
+from umbermoor.front.lifecycle.snapshot import load
 from umbermoor.lab.day import Day
 from umbermoor.lab.sockets.runner import play_on_sockets
-from umbermoor.lifecycle.command import ask
-from umbermoor.lifecycle.snapshot import load
-from umbermoor.sheet import parse_sheet
 
 DAY = b"""day "loopback" length-s=7 seed=4 settle-s=1 {
   load 30
--- a/tests/town.py
+++ b/tests/town.py
@@ -18,16 +18,16 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from umbermoor.facade import Complaint, Probe, Probed, Tally
+from umbermoor.front.configuration import Misplaced, check_station
+from umbermoor.front.facade import Complaint, Probe, Probed, Tally
+from umbermoor.front.server.connections import Line
+from umbermoor.front.server.formats import Element, EventStream, read_form, read_xml, write_form
+from umbermoor.front.server.outcomes import shown
+from umbermoor.front.server.service import Service
 from umbermoor.http1.buffers import SHARE, SIZE, Buffers
 from umbermoor.http1.reader import Piece, Reader
 from umbermoor.http1.writer import write_request, write_response
 from umbermoor.logs import KeyValues, Sparing
-from umbermoor.node.formats import Element, EventStream, read_form, read_xml, write_form
-from umbermoor.node.lines import Line
-from umbermoor.node.outcomes import shown
-from umbermoor.node.service import Service
-from umbermoor.station import Misplaced, check_station
 
 GIVEN = {
     "name": "n1",
--- a/tests/watching_test.py
+++ b/tests/watching_test.py
@@ -7,9 +7,7 @@
 from hypothesis import strategies as st
 from twisted.internet.testing import MemoryReactorClock
 
-from umbermoor.http1.buffers import Buffers
-from umbermoor.node.discovery import Discovery
-from umbermoor.watching import (
+from umbermoor.front.list_polling import (
     AGAIN_FIRST,
     ANSWER_WITHIN,
     PAUSE_MOST,
@@ -20,6 +18,8 @@
     WAIT,
     Watching,
 )
+from umbermoor.front.server.discovery import Discovery
+from umbermoor.http1.buffers import Buffers
 
 
 def service(
--- a/umbermoor/__main__.py
+++ b/umbermoor/__main__.py
@@ -33,14 +33,14 @@
 from docopt import docopt
 
 from umbermoor import VERSION
+from umbermoor.front.configuration import Misplaced, read_station
 from umbermoor.logs import start_log
-from umbermoor.station import Misplaced, read_station
 
 EXTRAS = {
     "lab": "umbermoor.lab.command",
-    "capture": "umbermoor.capture.command",
+    "capture": "umbermoor.front.capture.command",
     "plan": "umbermoor.planner.command",
-    "ctl": "umbermoor.lifecycle.command",
+    "ctl": "umbermoor.front.lifecycle.command",
 }
 
 
@@ -82,7 +82,7 @@
             f"{len(station.profiles)} profiles, {station.charter.fronts} fronts, {station.sockets} sockets"
         )
         return 0
-    from umbermoor.node.service import serve  # only here: the others need no reactor
+    from umbermoor.front.server.service import serve  # only here: the others need no reactor
 
     start_log(given["--log"], house.logs.form if house else "pairs")
     return serve(station, read, house)
@@ -94,7 +94,7 @@
     if path is None:
         return None
     try:
-        from umbermoor.house import Misread, read_house
+        from umbermoor.front.own_settings import Misread, read_house
     except ModuleNotFoundError as error:
         raise Misplaced(
             f"--sheet: {error.name} is not installed: pip install -e '.[sheets]'"
--- a/umbermoor/benchlink/wire.py
+++ b/umbermoor/benchlink/wire.py
@@ -5,9 +5,9 @@
 
 import orjson
 
-from umbermoor.charter import micros, read_charter
-from umbermoor.interface import Do, Ending, Entry, Listing, News, Phase, Readiness
-from umbermoor.rules import Front
+from umbermoor.front.interface import Do, Ending, Entry, Listing, News, Phase, Readiness
+from umbermoor.front.rules import Front
+from umbermoor.front.start_settings import micros, read_charter
 
 Row = list[Any]
 
--- a/umbermoor/capture/command.py
+++ b/umbermoor/front/capture/command.py
@@ -18,7 +18,7 @@
 import orjson
 from docopt import docopt
 
-from umbermoor.capture.files import Capture, Unreadable, read_capture, told
+from umbermoor.front.capture.files import Capture, Unreadable, read_capture, told
 
 
 def main(words: list[str]) -> int:
--- a/umbermoor/capture/files.py
+++ b/umbermoor/front/capture/files.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from umbermoor.capture.frames import Damage, Header, Row, file_head, read
+from umbermoor.front.capture.frames import Damage, Header, Row, file_head, read
 from umbermoor.logs import note
 
 log = logging.getLogger(__name__)
--- a/umbermoor/capture/recorder.py
+++ b/umbermoor/front/capture/recorder.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from umbermoor.capture.frames import Header, Row, Seen, header_frame, rows_frame
-from umbermoor.interface import Ending, Entry
+from umbermoor.front.capture.frames import Header, Row, Seen, header_frame, rows_frame
+from umbermoor.front.interface import Ending, Entry
 
 ROWS_MOST = 512  # of a frame
 FRAME_EVERY = 2_000_000  # microseconds; a front that is killed loses no more than that
--- a/umbermoor/station.py
+++ b/umbermoor/front/configuration.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from umbermoor.charter import REPEATS, micros, read_charter
-from umbermoor.interface import Charter, Control, Group
+from umbermoor.front.interface import Charter, Control, Group
+from umbermoor.front.start_settings import REPEATS, micros, read_charter
 
 Address = tuple[str, int]
 
--- a/umbermoor/facade.py
+++ b/umbermoor/front/facade.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from umbermoor.interface import Charter, Do, Ending, Entry, Listing, News, Verdict
-from umbermoor.records import Contrast, Pace
-from umbermoor.rules import Front
+from umbermoor.front.interface import Charter, Do, Ending, Entry, Listing, News, Verdict
+from umbermoor.front.records import Contrast, Pace
+from umbermoor.front.rules import Front
 
 # What a front is asked to do next.
 
--- a/umbermoor/http2/session.py
+++ b/umbermoor/front/http2/session.py
@@ -18,10 +18,10 @@
 import h2.exceptions
 import h2.settings
 
+from umbermoor.front.http2.frames import END_HEADERS, Goaway, Kind, Splitter, Wrong
+from umbermoor.front.http2.stream_outcomes import End, Failed, Stand
 from umbermoor.http1.buffers import BODY_MOST, Buffers, Run
 from umbermoor.http1.reader import Response
-from umbermoor.http2.fates import End, Failed, Stand
-from umbermoor.http2.frames import END_HEADERS, Goaway, Kind, Splitter, Wrong
 
 NO_LAST = 0x7FFFFFFF  # a GOAWAY with this only says that the end is near
 STREAM_WINDOW = BODY_MOST  # an answer fits: no stream waits for us
--- a/umbermoor/lifecycle/keeper.py
+++ b/umbermoor/front/lifecycle/drain_keeper.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from umbermoor.lifecycle.states import CLOSES, TABLE, UP, VOTES, Event, State
+from umbermoor.front.lifecycle.states import CLOSES, TABLE, UP, VOTES, Event, State
 
 SECOND = 1_000_000
 DEADLINE = 30 * SECOND  # of a drain that names none
--- a/umbermoor/lifecycle/scheduler.py
+++ b/umbermoor/front/lifecycle/scheduler.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Generator
 from dataclasses import dataclass, field
 
-from umbermoor.lifecycle.wheel import Timer, Wheel
+from umbermoor.front.lifecycle.timing_wheel import Timer, Wheel
 
 SECOND = 1_000_000
 SLICE_MOST = 5_000  # microseconds that a slice should hold the core at the most
--- a/umbermoor/lifecycle/snapshot.py
+++ b/umbermoor/front/lifecycle/snapshot.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from umbermoor.keeping import Unfit, read_file, replace_file, sealed, unsealed
+from umbermoor.front.sealed_files import Unfit, read_file, replace_file, sealed, unsealed
 
 MAGIC, VERSION = b"UMSNAP", 1
 MOST = 4 << 20
--- a/umbermoor/membership/conclude.py
+++ b/umbermoor/front/membership/conclusion.py
@@ -13,8 +13,8 @@
 
 from typing import Literal, NamedTuple
 
-from umbermoor.interface import Entry, Listing, Readiness
-from umbermoor.membership.book import Book, Seen
+from umbermoor.front.interface import Entry, Listing, Readiness
+from umbermoor.front.membership.sources import Book, Seen
 
 Rule = Literal["first", "any", "all", "quorum", "split"]
 
--- a/umbermoor/membership/asking.py
+++ b/umbermoor/front/membership/dns_queries.py
@@ -12,8 +12,8 @@
 from typing import NamedTuple
 
 from umbermoor.backoff import Again
-from umbermoor.membership import answers
-from umbermoor.membership.answers import Cut, Failed, NotOurs, NotThere, Target, There
+from umbermoor.front.membership import dns_messages
+from umbermoor.front.membership.dns_messages import Cut, Failed, NotOurs, NotThere, Target, There
 
 SECOND = 1_000_000
 WAIT_LEAST, WAIT_MOST = SECOND // 5, 2 * SECOND  # for one answer
@@ -97,7 +97,7 @@
         out = self.out
         if out is None or out.ask is not ask:
             return None
-        read = answers.read(data, out.name, ask.id, out.kind)
+        read = dns_messages.read(data, out.name, ask.id, out.kind)
         if isinstance(read, NotOurs):
             return None
         took = now - out.sent
@@ -136,7 +136,7 @@
 
     def _send(self, now: int, server: Server, name: str, kind: str, tcp: bool) -> Ask:
         id = int(self.chance() * 65536)
-        ask = Ask(server.address, id, answers.question(name, id, kind), tcp)
+        ask = Ask(server.address, id, dns_messages.question(name, id, kind), tcp)
         self.out = _Out(ask, server, now, name, kind)
         return ask
 
@@ -172,7 +172,7 @@
         self._hosts.pop(0)
         self.addresses[out.name] = read.targets[0].addresses if isinstance(read, There) else ()
         found = self._found
-        self._found = found._replace(ttl=max(answers.TTL_LEAST, min(found.ttl, read.ttl)))
+        self._found = found._replace(ttl=max(dns_messages.TTL_LEAST, min(found.ttl, read.ttl)))
         if self._hosts:
             return self._ask(now, False)
         targets = tuple(
--- a/umbermoor/membership/lasting.py
+++ b/umbermoor/front/membership/saved_list.py
@@ -4,9 +4,9 @@
 
 import orjson
 
-from umbermoor.interface import Readiness
-from umbermoor.keeping import Unfit, read_file, replace_file, sealed, unsealed
-from umbermoor.membership.book import Seen
+from umbermoor.front.interface import Readiness
+from umbermoor.front.membership.sources import Seen
+from umbermoor.front.sealed_files import Unfit, read_file, replace_file, sealed, unsealed
 
 MAGIC, VERSION = b"UMLIST", 1
 
--- a/umbermoor/membership/book.py
+++ b/umbermoor/front/membership/sources.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from umbermoor.interface import Readiness
+from umbermoor.front.interface import Readiness
 
 SECOND = 1_000_000
 SUDDEN_PART, SUDDEN_LEAST = 0.5, 4  # losing more than that part of so many at once is held
--- a/umbermoor/house.py
+++ b/umbermoor/front/own_settings.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta
 
-from umbermoor.sheet import Misread, Record, read_sheet
+from umbermoor.front.kdl_sheet import Misread, Record, read_sheet
 
 Path = Annotated[str, Meta(min_length=1, max_length=4096)]
 
--- a/umbermoor/policy/exposure.py
+++ b/umbermoor/front/policy/exposure.py
@@ -1,8 +1,8 @@
 """Which builds are on trial, and how much of the traffic these get: share, turns owed, credit."""
 
-from umbermoor.interface import Phase
-from umbermoor.policy.state import CIRCLE, State
-from umbermoor.records import Machine, Query
+from umbermoor.front.interface import Phase
+from umbermoor.front.policy.state import CIRCLE, State
+from umbermoor.front.records import Machine, Query
 
 MOVING = (Phase.TRIAL, Phase.GOING_BACK)
 MOST_OWED = 2.0  # hand-offs that the trial may catch up on
--- a/umbermoor/policy/limits.py
+++ b/umbermoor/front/policy/limits.py
@@ -1,8 +1,8 @@
 """What may be handed to whom at all: the one gate of the rules, the room of cold machines."""
 
-from umbermoor.interface import Group, Repeat
-from umbermoor.policy.exposure import MOVING, Exposure
-from umbermoor.records import Machine, Query
+from umbermoor.front.interface import Group, Repeat
+from umbermoor.front.policy.exposure import MOVING, Exposure
+from umbermoor.front.records import Machine, Query
 
 COLD_PART = 0.7  # part of the pressure allowed on a cold machine that this front uses of its own share
 
--- a/umbermoor/policy/routing.py
+++ b/umbermoor/front/policy/routing.py
@@ -2,10 +2,10 @@
 
 from math import log, sqrt
 
-from umbermoor.interface import Do, Ending, Phase
-from umbermoor.policy.limits import Limits
-from umbermoor.policy.state import CIRCLE, FLEET, HORIZON, LEARN, MOST, SECOND
-from umbermoor.records import HandOff, Machine, Query, rank
+from umbermoor.front.interface import Do, Ending, Phase
+from umbermoor.front.policy.limits import Limits
+from umbermoor.front.policy.state import CIRCLE, FLEET, HORIZON, LEARN, MOST, SECOND
+from umbermoor.front.records import HandOff, Machine, Query, rank
 
 TALE, GRAIN = b"\x01", 10_000.0  # of messages: their version, and the work that one step in them stands for
 REACH = 4 * SECOND  # a front uses as many machines as it takes queries in this time, to learn of any
--- a/umbermoor/policy/state.py
+++ b/umbermoor/front/policy/state.py
@@ -4,8 +4,8 @@
 from collections import defaultdict, deque
 from math import exp
 
-from umbermoor.interface import Charter, Decision
-from umbermoor.records import Contrast, Fading, Machine, Pace, Pool, Query, Slope
+from umbermoor.front.interface import Charter, Decision
+from umbermoor.front.records import Contrast, Fading, Machine, Pace, Pool, Query, Slope
 
 SECOND = 1_000_000
 HORIZON = 20 * SECOND  # the queries expected in this time are the paper's N
--- a/umbermoor/policy/verdict.py
+++ b/umbermoor/front/policy/verdict.py
@@ -3,10 +3,10 @@
 from math import sqrt
 
 from umbermoor.statistics.test_roll import needed, posterior, spread
-from umbermoor.interface import Control, Decision, Do, Ending, News, Phase, Repeat, Verdict
-from umbermoor.policy.exposure import Exposure
-from umbermoor.policy.state import BEAT, EARLY, ENOUGH, FIRST_MEAN, LEAST, MOST, SECOND
-from umbermoor.records import Contrast, HandOff, Pace, Query, Score
+from umbermoor.front.interface import Control, Decision, Do, Ending, News, Phase, Repeat, Verdict
+from umbermoor.front.policy.exposure import Exposure
+from umbermoor.front.policy.state import BEAT, EARLY, ENOUGH, FIRST_MEAN, LEAST, MOST, SECOND
+from umbermoor.front.records import Contrast, HandOff, Pace, Query, Score
 
 ORDER = {Phase.TRIAL: 0, Phase.RELEASED: 1, Phase.GOING_BACK: 2, Phase.WITHDRAWN: 3}
 SIGMA = 0.05  # how far apart the true means of two builds are expected to lie
--- a/umbermoor/records.py
+++ b/umbermoor/front/records.py
@@ -7,7 +7,7 @@
 from struct import Struct
 from zlib import crc32
 
-from umbermoor.interface import NEVER_RAN, Ending
+from umbermoor.front.interface import NEVER_RAN, Ending
 
 
 def rank(machine: str, front: int) -> float:
--- a/umbermoor/rules.py
+++ b/umbermoor/front/rules.py
@@ -1,15 +1,15 @@
-"""The Front, of every concern in umbermoor/policy/. A host makes one from its Charter, reports what it sees (which only
+"""The Front, of every concern in umbermoor/front/policy/. A host makes one from its Charter, reports what it sees (which only
 takes note), and calls decide(now) until it answers None. Calls: interface.py; reasons: docs/design.md. Times: µs."""
 
 import heapq
 from collections.abc import Sequence
 
-from umbermoor.interface import Decision, Do, Ending, Entry, Group, Listing, Repeat
-from umbermoor.policy.exposure import MOVING
-from umbermoor.policy.routing import Routing
-from umbermoor.policy.state import BEAT, DONE_IN, EARLY, ENOUGH, FEW, FLEET, HORIZON, LEARN, SECOND
-from umbermoor.policy.verdict import Votes
-from umbermoor.records import HandOff, Machine, Query, rank
+from umbermoor.front.interface import Decision, Do, Ending, Entry, Group, Listing, Repeat
+from umbermoor.front.policy.exposure import MOVING
+from umbermoor.front.policy.routing import Routing
+from umbermoor.front.policy.state import BEAT, DONE_IN, EARLY, ENOUGH, FEW, FLEET, HORIZON, LEARN, SECOND
+from umbermoor.front.policy.verdict import Votes
+from umbermoor.front.records import HandOff, Machine, Query, rank
 
 PASS_EVERY = SECOND // 4  # how often a front passes half of what it holds of the stage on to a peer
 COPIES, COPY_AT = 0.05, 3.0  # second copies, as a share of queries; they go after so many times the time expected
--- a/umbermoor/node/door.py
+++ b/umbermoor/front/server/admin_endpoint.py
@@ -7,10 +7,10 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
+from umbermoor.front.lifecycle.admin_calls import TOKEN_LEAST, Said, Ways
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import write_response
-from umbermoor.lifecycle.ways import TOKEN_LEAST, Said, Ways
 
 log = logging.getLogger(__name__)
 
--- a/umbermoor/node/capturing.py
+++ b/umbermoor/front/server/capture_writer.py
@@ -1,13 +1,13 @@
 """The front's capture: notes for the recorder, and its file, flushed in time though nothing
 comes."""
 
-from umbermoor.capture.files import Segments
-from umbermoor.capture.frames import Header
-from umbermoor.capture.recorder import FRAME_EVERY, Recorder
-from umbermoor.facade import Asked
-from umbermoor.house import CaptureTo
-from umbermoor.interface import Ending, Entry
-from umbermoor.station import Station
+from umbermoor.front.capture.files import Segments
+from umbermoor.front.capture.frames import Header
+from umbermoor.front.capture.recorder import FRAME_EVERY, Recorder
+from umbermoor.front.configuration import Station
+from umbermoor.front.facade import Asked
+from umbermoor.front.interface import Ending, Entry
+from umbermoor.front.own_settings import CaptureTo
 
 SECOND = 1_000_000
 _CLOSED = {0: "left", 200: "done", 429: "denied", 503: "denied", 502: "abandoned"}
--- a/umbermoor/node/clients.py
+++ b/umbermoor/front/server/clients.py
@@ -13,14 +13,14 @@
 from twisted.internet.tcp import Port
 from twisted.python.failure import Failure
 
-from umbermoor.facade import Asked
+from umbermoor.front.facade import Asked
+from umbermoor.front.interface import Repeat
+from umbermoor.front.server.connections import SECOND
+from umbermoor.front.server.descriptor_budget import OVER_MOST, Budget
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import write_response
-from umbermoor.interface import Repeat
 from umbermoor.logs import note, note_failure
-from umbermoor.node.budget import OVER_MOST, Budget
-from umbermoor.node.lines import SECOND
 
 log = logging.getLogger(__name__)
 
--- a/umbermoor/node/lines.py
+++ b/umbermoor/front/server/connections.py
@@ -11,10 +11,10 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
+from umbermoor.front.server.outcomes import Cause, Failed, Outcome, Progress
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Piece, Reader
 from umbermoor.logs import note_failure
-from umbermoor.node.outcomes import Cause, Failed, Outcome, Progress
 
 log = logging.getLogger(__name__)
 
--- a/umbermoor/node/discovery.py
+++ b/umbermoor/front/server/discovery.py
@@ -9,15 +9,15 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.interfaces import IDelayedCall
 
+from umbermoor.front.configuration import Address, read_address
+from umbermoor.front.interface import Entry, Listing, Readiness
+from umbermoor.front.list_polling import Watching
+from umbermoor.front.server.connections import SECOND, Attempt, Line
+from umbermoor.front.server.outcomes import Outcome, shown
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Response
 from umbermoor.http1.writer import write_request
-from umbermoor.interface import Entry, Listing, Readiness
 from umbermoor.logs import note, note_failure
-from umbermoor.node.lines import SECOND, Attempt, Line
-from umbermoor.node.outcomes import Outcome, shown
-from umbermoor.station import Address, read_address
-from umbermoor.watching import Watching
 
 log = logging.getLogger(__name__)
 
--- a/umbermoor/node/exchange.py
+++ b/umbermoor/front/server/exchange.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.defer import Deferred
 
-from umbermoor.facade import (
+from umbermoor.front.facade import (
     Abandoned,
     Asked,
     Complaint,
@@ -30,15 +30,15 @@
     Vote,
     Watch,
 )
+from umbermoor.front.interface import NEVER_RAN, Ending, Entry, Listing, News, Readiness
+from umbermoor.front.server import discovery as lists
+from umbermoor.front.server.clients import Answer, Query
+from umbermoor.front.server.connections import SECOND
+from umbermoor.front.server.machines import Machines
+from umbermoor.front.server.outcomes import Outcome, ending
+from umbermoor.front.server.platform import Platform
 from umbermoor.http1.reader import Response
-from umbermoor.interface import NEVER_RAN, Ending, Entry, Listing, News, Readiness
 from umbermoor.logs import note, note_failure
-from umbermoor.node import discovery as lists
-from umbermoor.node.clients import Answer, Query
-from umbermoor.node.lines import SECOND
-from umbermoor.node.machines import Machines
-from umbermoor.node.outcomes import Outcome, ending
-from umbermoor.node.platform import Platform
 
 log = logging.getLogger(__name__)
 
--- a/umbermoor/node/machines.py
+++ b/umbermoor/front/server/machines.py
@@ -7,12 +7,12 @@
 
 from twisted.internet.defer import Deferred
 
+from umbermoor.front.server.connections import SECOND, Attempt, Line
+from umbermoor.front.server.descriptor_budget import Budget
+from umbermoor.front.server.outcomes import Cause, Failed, Outcome, Progress
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Response
 from umbermoor.http1.writer import write_request
-from umbermoor.node.budget import Budget
-from umbermoor.node.lines import SECOND, Attempt, Line
-from umbermoor.node.outcomes import Cause, Failed, Outcome, Progress
 
 IDLE_SAFE = (
     2 * SECOND
--- a/umbermoor/node/members.py
+++ b/umbermoor/front/server/members.py
@@ -11,18 +11,18 @@
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import DatagramProtocol, Factory, Protocol
 
-from umbermoor.house import MembersFrom, SrvFrom
-from umbermoor.interface import Entry, Listing, Readiness
-from umbermoor.keeping import Unfit
+from umbermoor.front.configuration import read_address
+from umbermoor.front.interface import Entry, Listing, Readiness
+from umbermoor.front.kdl_sheet import Misread, Record, read_sheet
+from umbermoor.front.membership.conclusion import Concluder, difference, entry_of, explained
+from umbermoor.front.membership.dns_messages import Failed, NotThere, There
+from umbermoor.front.membership.dns_queries import Ask, Asker, Server, places
+from umbermoor.front.membership.saved_list import Lasting, load, save
+from umbermoor.front.membership.sources import SECOND, Book, Seen
+from umbermoor.front.own_settings import MembersFrom, SrvFrom
+from umbermoor.front.sealed_files import Unfit
+from umbermoor.front.server.discovery import News
 from umbermoor.logs import note
-from umbermoor.membership.answers import Failed, NotThere, There
-from umbermoor.membership.asking import Ask, Asker, Server, places
-from umbermoor.membership.book import SECOND, Book, Seen
-from umbermoor.membership.conclude import Concluder, difference, entry_of, explained
-from umbermoor.membership.lasting import Lasting, load, save
-from umbermoor.node.discovery import News
-from umbermoor.sheet import Misread, Record, read_sheet
-from umbermoor.station import read_address
 
 log = logging.getLogger(__name__)
 
--- a/umbermoor/node/operations.py
+++ b/umbermoor/front/server/operations.py
@@ -7,16 +7,24 @@
 from hashlib import blake2b
 from typing import Any
 
-from umbermoor.facade import Asked
-from umbermoor.house import House
-from umbermoor.interface import Ending, Entry
-from umbermoor.lifecycle.keeper import SECOND, Due, Keeper
-from umbermoor.lifecycle.scheduler import Scheduler
-from umbermoor.lifecycle.snapshot import MachineMemory, Memory, Unfit, fit, load, usable, write
-from umbermoor.lifecycle.ways import Ways, metrics_text
+from umbermoor.front.configuration import Station
+from umbermoor.front.facade import Asked
+from umbermoor.front.interface import Ending, Entry
+from umbermoor.front.lifecycle.admin_calls import Ways, metrics_text
+from umbermoor.front.lifecycle.drain_keeper import SECOND, Due, Keeper
+from umbermoor.front.lifecycle.scheduler import Scheduler
+from umbermoor.front.lifecycle.snapshot import (
+    MachineMemory,
+    Memory,
+    Unfit,
+    fit,
+    load,
+    usable,
+    write,
+)
+from umbermoor.front.own_settings import House
+from umbermoor.front.server.admin_endpoint import Closed, Door, read_token
 from umbermoor.logs import note
-from umbermoor.node.door import Closed, Door, read_token
-from umbermoor.station import Station
 
 log = logging.getLogger(__name__)
 
--- a/umbermoor/node/outcomes.py
+++ b/umbermoor/front/server/outcomes.py
@@ -3,8 +3,8 @@
 from enum import Enum, IntEnum, auto
 from typing import NamedTuple
 
+from umbermoor.front.interface import Ending
 from umbermoor.http1.reader import Response
-from umbermoor.interface import Ending
 
 
 class Progress(IntEnum):
--- a/umbermoor/node/platform.py
+++ b/umbermoor/front/server/platform.py
@@ -9,16 +9,16 @@
 from twisted.internet.defer import Deferred
 
 from umbermoor.backoff import Again
-from umbermoor.charter import micros
-from umbermoor.facade import Complaint, Tally, Vote
+from umbermoor.front.configuration import Address
+from umbermoor.front.facade import Complaint, Tally, Vote
+from umbermoor.front.interface import Ending, News, Phase, Verdict
+from umbermoor.front.server.connections import SECOND, Attempt, Line
+from umbermoor.front.server.formats import Event, EventStream, read_form, read_xml, write_form
+from umbermoor.front.server.outcomes import Failed, Outcome, Progress, shown
+from umbermoor.front.start_settings import micros
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.writer import write_request
-from umbermoor.interface import Ending, News, Phase, Verdict
 from umbermoor.logs import note
-from umbermoor.node.formats import Event, EventStream, read_form, read_xml, write_form
-from umbermoor.node.lines import SECOND, Attempt, Line
-from umbermoor.node.outcomes import Failed, Outcome, Progress, shown
-from umbermoor.station import Address
 
 log = logging.getLogger(__name__)
 
--- a/umbermoor/node/service.py
+++ b/umbermoor/front/server/service.py
@@ -12,18 +12,18 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import STDLibLogObserver, globalLogBeginner
 
-from umbermoor.facade import Desk
+from umbermoor.front.configuration import Misplaced, Station
+from umbermoor.front.facade import Desk
+from umbermoor.front.interface import Listing, News
+from umbermoor.front.list_polling import Watching
+from umbermoor.front.server.clients import Clients
+from umbermoor.front.server.descriptor_budget import Budget
+from umbermoor.front.server.discovery import Discovery, read_list
+from umbermoor.front.server.exchange import Exchange
+from umbermoor.front.server.machines import Machines
+from umbermoor.front.server.platform import Platform, read_stage
 from umbermoor.http1.buffers import Buffers
-from umbermoor.interface import Listing, News
 from umbermoor.logs import note
-from umbermoor.node.budget import Budget
-from umbermoor.node.clients import Clients
-from umbermoor.node.discovery import Discovery, read_list
-from umbermoor.node.exchange import Exchange
-from umbermoor.node.machines import Machines
-from umbermoor.node.platform import Platform, read_stage
-from umbermoor.station import Misplaced, Station
-from umbermoor.watching import Watching
 
 log = logging.getLogger(__name__)
 
@@ -117,7 +117,7 @@
         exchange.watch = self._discovery.start
         self._machines.counts = self._discovery.counts = self._platform.counts = exchange.counts
         if house is not None and house.http2 is not None:
-            from umbermoor.node.streams import Streams  # only here, as captures
+            from umbermoor.front.server.streams import Streams  # only here, as captures
 
             streams = self._machines.carrier = Streams(
                 reactor,
@@ -131,19 +131,19 @@
             budget.spare.insert(1, streams.close_one)
         self._capture = None
         if house is not None and house.capture is not None:
-            from umbermoor.node.capturing import (
+            from umbermoor.front.server.capture_writer import (
                 Capturing,
             )  # only here: it is no part of a front that has none
 
             self._capture = exchange.witness = Capturing(reactor, clock, station, house.capture)
         self._membership = None
         if house is not None and house.members is not None:
-            from umbermoor.node.members import Membership  # only here, as captures
+            from umbermoor.front.server.members import Membership  # only here, as captures
 
             self._membership = Membership(reactor, clock, house.members, self._concluded)
         self._operations = None
         if house is not None and (house.door is not None or house.remember is not None):
-            from umbermoor.node.operations import Operations  # only here, as captures
+            from umbermoor.front.server.operations import Operations  # only here, as captures
 
             self._operations = Operations(
                 reactor, clock, station, house, buffers, exchange, self._clients, self._machines
--- a/umbermoor/node/streams.py
+++ b/umbermoor/front/server/streams.py
@@ -1,6 +1,6 @@
 """Hand-offs over HTTP/2: connections to machines, kept by the pool's word, on Twisted; the codec
 and every decision are in
-umbermoor/http2. A machine that turns out not to speak it is asked in HTTP/1.1 for a while; nothing
+umbermoor/front/http2. A machine that turns out not to speak it is asked in HTTP/1.1 for a while; nothing
 was sent to it then."""
 
 import logging
@@ -13,15 +13,15 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
+from umbermoor.front.http2.pool import Link, Lot, judged
+from umbermoor.front.http2.session import Call, Session
+from umbermoor.front.http2.session import Outcome as Answer
+from umbermoor.front.http2.stream_outcomes import End, Proof, Stand
+from umbermoor.front.http2.stream_outcomes import Failed as Unanswered
+from umbermoor.front.server.descriptor_budget import Budget
+from umbermoor.front.server.outcomes import Cause, Failed, Outcome, Progress
 from umbermoor.http1.buffers import Buffers
-from umbermoor.http2.fates import End, Proof, Stand
-from umbermoor.http2.fates import Failed as Unanswered
-from umbermoor.http2.pool import Link, Lot, judged
-from umbermoor.http2.session import Call, Session
-from umbermoor.http2.session import Outcome as Answer
 from umbermoor.logs import note, note_failure
-from umbermoor.node.budget import Budget
-from umbermoor.node.outcomes import Cause, Failed, Outcome, Progress
 
 log = logging.getLogger(__name__)
 
--- a/umbermoor/charter.py
+++ b/umbermoor/front/start_settings.py
@@ -3,7 +3,7 @@
 
 from typing import Any
 
-from umbermoor.interface import Charter, Control, Group, Profile, Repeat
+from umbermoor.front.interface import Charter, Control, Group, Profile, Repeat
 
 REPEATS = {"repeatable": Repeat.RETRIABLE, "by_key": Repeat.FINGERPRINTED, "once": Repeat.BINDING}
 
--- a/umbermoor/lab/audit.py
+++ b/umbermoor/lab/audit.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from umbermoor.interface import NEVER_RAN, Ending, Phase, Readiness
+from umbermoor.front.interface import NEVER_RAN, Ending, Phase, Readiness
 from umbermoor.lab.day import Day, micros
 
 
--- a/umbermoor/lab/command.py
+++ b/umbermoor/lab/command.py
@@ -46,8 +46,8 @@
 from rich.console import Console
 from rich.table import Table
 
+from umbermoor.front.kdl_sheet import Misread
 from umbermoor.lab.day import Day, read_day, shipped_days
-from umbermoor.sheet import Misread
 
 DRAW = 2 << 20  # a number of seeds above which a wish is a mistake
 
--- a/umbermoor/lab/day.py
+++ b/umbermoor/lab/day.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta, structs
 
-from umbermoor.sheet import Misread, Record, read_sheet
+from umbermoor.front.kdl_sheet import Misread, Record, read_sheet
 
 Least0 = Annotated[float, Meta(ge=0)]
 Above0 = Annotated[float, Meta(gt=0)]
--- a/umbermoor/lab/fleet.py
+++ b/umbermoor/lab/fleet.py
@@ -10,10 +10,9 @@
 from collections.abc import Callable, Iterator
 from typing import Any, NamedTuple
 
-from umbermoor.capture.frames import Header, file_head
-from umbermoor.capture.recorder import Recorder
-from umbermoor.charter import read_charter
-from umbermoor.facade import (
+from umbermoor.front.capture.frames import Header, file_head
+from umbermoor.front.capture.recorder import Recorder
+from umbermoor.front.facade import (
     Abandoned,
     Asked,
     Complaint,
@@ -29,7 +28,8 @@
     Tally,
     Vote,
 )
-from umbermoor.interface import Ending, Entry, Listing, News, Readiness
+from umbermoor.front.interface import Ending, Entry, Listing, News, Readiness
+from umbermoor.front.start_settings import read_charter
 from umbermoor.lab.audit import Ledger, by_rule
 from umbermoor.lab.chance import Chance
 from umbermoor.lab.day import SECOND, Day, Trouble, micros
--- a/umbermoor/lab/release.py
+++ b/umbermoor/lab/release.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from umbermoor.interface import Ending, Phase, Readiness, Verdict
+from umbermoor.front.interface import Ending, Phase, Readiness, Verdict
 from umbermoor.lab.day import SECOND, Build, Platform, micros
 
 
--- a/umbermoor/lab/site.py
+++ b/umbermoor/lab/site.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from umbermoor.interface import Ending, Readiness, Verdict
+from umbermoor.front.interface import Ending, Readiness, Verdict
 from umbermoor.lab.chance import Chance
 from umbermoor.lab.day import SECOND, Day, Trouble, micros
 from umbermoor.lab.machine import Done, Machine, dragging
--- a/umbermoor/lab/sockets/runner.py
+++ b/umbermoor/lab/sockets/runner.py
@@ -16,7 +16,7 @@
 import msgspec
 import orjson
 
-from umbermoor.interface import Ending, Phase, Readiness
+from umbermoor.front.interface import Ending, Phase, Readiness
 from umbermoor.lab.audit import Ledger, by_rule
 from umbermoor.lab.chance import Chance
 from umbermoor.lab.day import SECOND, Day
--- a/umbermoor/lab/sockets/town.py
+++ b/umbermoor/lab/sockets/town.py
@@ -15,16 +15,16 @@
 from twisted.internet import reactor, stdio
 from twisted.internet.protocol import Protocol
 
+from umbermoor.front.interface import Ending, Phase, Readiness, Verdict
+from umbermoor.front.server.formats import read_form, write_form
 from umbermoor.http1.reader import Request
 from umbermoor.http1.writer import write_response
-from umbermoor.interface import Ending, Phase, Readiness, Verdict
 from umbermoor.lab.day import Day, Trouble, micros
 from umbermoor.lab.machine import Done, Job, Machine, Reply
 from umbermoor.lab.release import Listed, Roster
 from umbermoor.lab.site import Site
 from umbermoor.lab.sockets.common import LOOPBACK, Events, Served, listen, now
 from umbermoor.lab.sockets.h2stand import Either, Stream
-from umbermoor.node.formats import read_form, write_form
 
 UNIX = time.time_ns() // 1000 - now()  # what makes this clock that of the list
 STATES = {Readiness.READY: "SERVING", Readiness.DRAINING: "DRAINING", Readiness.GONE: "DELETED"}
--- a/umbermoor/planner/command.py
+++ b/umbermoor/planner/command.py
@@ -36,7 +36,7 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from umbermoor.capture.files import Unreadable, read_capture, told
+from umbermoor.front.capture.files import Unreadable, read_capture, told
 from umbermoor.lab.day import micros
 from umbermoor.planner.fit import Demand, fit
 from umbermoor.planner.plan import Planner, situations
--- a/umbermoor/planner/fit.py
+++ b/umbermoor/planner/fit.py
@@ -12,7 +12,7 @@
 from statistics import median
 from typing import Any, NamedTuple
 
-from umbermoor.capture.frames import Row
+from umbermoor.front.capture.frames import Row
 from umbermoor.lab.chance import Chance
 from umbermoor.lab.day import SECOND
 from umbermoor.lab.statistics import Interval, bootstrap, share_interval
--- a/umbermoor/planner/questions.py
+++ b/umbermoor/planner/questions.py
@@ -7,7 +7,7 @@
 
 from msgspec import structs
 
-from umbermoor.capture.frames import Row
+from umbermoor.front.capture.frames import Row
 from umbermoor.lab.chance import Chance, drawn
 from umbermoor.lab.day import SECOND, Burst, Day, Group, Load, ProfileRow, Trouble
 from umbermoor.lab.demand import Wish
--- a/umbermoor/planner/sheets.py
+++ b/umbermoor/planner/sheets.py
@@ -5,6 +5,7 @@
 
 from msgspec import Meta
 
+from umbermoor.front.kdl_sheet import Misread, Record, read_sheet
 from umbermoor.lab.day import (
     Above0,
     Build,
@@ -20,7 +21,6 @@
     Share,
     Word,
 )
-from umbermoor.sheet import Misread, Record, read_sheet
 
 
 class ProfileWish(Record, frozen=True, kw_only=True):
