--- a/umbermoor/__main__.py
+++ b/umbermoor/__main__.py
@@ -33,7 +33,7 @@
 from docopt import docopt
 
 from umbermoor import VERSION
-from umbermoor.front.configuration import Misplaced, read_station
+from umbermoor.front.configuration import ConfigurationError, read_configuration
 from umbermoor.logs import start_log
 
 EXTRAS = {
@@ -67,13 +67,13 @@
     if given["version"]:
         print(f"umbermoor {VERSION}")
         return 0
-    read = partial(read_station, os.environ, given["--config"])
+    read = partial(read_configuration, os.environ, given["--config"])
     try:
         station = read()
         if given["--log"] not in ("DEBUG", "INFO", "WARNING", "ERROR"):
-            raise Misplaced(f"--log: no such level: {given['--log']}")
+            raise ConfigurationError(f"--log: no such level: {given['--log']}")
         house = _house(given["--sheet"])
-    except Misplaced as fault:
+    except ConfigurationError as fault:
         print(f"umbermoor: {fault}", file=sys.stderr)
         return 2
     if given["check"]:
@@ -94,15 +94,15 @@
     if path is None:
         return None
     try:
-        from umbermoor.front.own_settings import Misread, read_house
+        from umbermoor.front.own_settings import SheetError, read_own_settings
     except ModuleNotFoundError as error:
-        raise Misplaced(
+        raise ConfigurationError(
             f"--sheet: {error.name} is not installed: pip install -e '.[sheets]'"
         ) from None
     try:
-        return read_house(path)
-    except Misread as fault:
-        raise Misplaced(str(fault)) from None
+        return read_own_settings(path)
+    except SheetError as fault:
+        raise ConfigurationError(str(fault)) from None
 
 
 if __name__ == "__main__":
--- a/umbermoor/benchlink/wire.py
+++ b/umbermoor/benchlink/wire.py
@@ -7,7 +7,7 @@
 
 from umbermoor.front.interface import Do, Ending, Entry, Listing, News, Phase, Readiness
 from umbermoor.front.rules import Front
-from umbermoor.front.start_settings import micros, read_charter
+from umbermoor.front.start_settings import micros, read_start_settings
 
 Row = list[Any]
 
@@ -139,7 +139,7 @@
         if name == "ledger":
             self.rosters[row[0]] = [_entry(entry) for entry in row[1] or ()]
         elif name == "attach":
-            self.fronts[row[0]] = Front(read_charter(row[1] or 0, row[2]))
+            self.fronts[row[0]] = Front(read_start_settings(row[1] or 0, row[2]))
             return row[0], Front.woken, []
         elif name == "detach":
             self.fronts.pop(row[0], None)
--- a/umbermoor/front/configuration.py
+++ b/umbermoor/front/configuration.py
@@ -10,7 +10,7 @@
 import orjson
 
 from umbermoor.front.interface import Charter, Control, Group
-from umbermoor.front.start_settings import REPEATS, micros, read_charter
+from umbermoor.front.start_settings import REPEATS, micros, read_start_settings
 
 Address = tuple[str, int]
 
@@ -42,12 +42,12 @@
 SOCKETS_LEAST = 40  # with fewer nothing is left for clients and machines
 
 
-class Misplaced(Exception):
+class ConfigurationError(Exception):
     """The configuration cannot be used; the text names the key."""
 
 
 @dataclass(frozen=True, slots=True)
-class Station:
+class Configuration:
     name: str
     listen: Address
     discovery: Address
@@ -65,21 +65,21 @@
     known: Mapping[str, Any] | None  # the list at the start, in discovery's form
 
 
-def read_station(environ: Mapping[str, str], path: str | None = None) -> Station:
+def read_configuration(environ: Mapping[str, str], path: str | None = None) -> Configuration:
     path = path or environ.get("LB_CONFIG")
     if not path:
-        raise Misplaced("LB_CONFIG: not set, and no --config given")
+        raise ConfigurationError("LB_CONFIG: not set, and no --config given")
     try:
         text = Path(path).read_bytes()
     except OSError as error:
-        raise Misplaced(f"LB_CONFIG: {path}: {os.strerror(error.errno or 0)}") from None
+        raise ConfigurationError(f"LB_CONFIG: {path}: {os.strerror(error.errno or 0)}") from None
     try:
         given = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise Misplaced(f"LB_CONFIG: {path}: not JSON: {error}") from None
+        raise ConfigurationError(f"LB_CONFIG: {path}: not JSON: {error}") from None
     if not isinstance(given, dict):
-        raise Misplaced(f"LB_CONFIG: {path}: not a JSON object")
-    return check_station(
+        raise ConfigurationError(f"LB_CONFIG: {path}: not a JSON object")
+    return check_configuration(
         {
             **{
                 key: environ[name]
@@ -95,18 +95,18 @@
     )
 
 
-def check_station(given: Mapping[str, Any]) -> Station:
+def check_configuration(given: Mapping[str, Any]) -> Configuration:
     settings = _at(given, "settings", dict)
     seed = _at(given, "seed", str, "0")
     try:
         seeded = int(seed, 16)
     except ValueError:
-        raise Misplaced(f"seed: not a hexadecimal number: {seed!r}") from None
+        raise ConfigurationError(f"seed: not a hexadecimal number: {seed!r}") from None
     rows = _at(settings, "request_classes", list, within="settings.")
     for place, row in enumerate(rows):
         where = f"settings.request_classes[{place}]"
         if not isinstance(row, dict):
-            raise Misplaced(f"{where}: not an object")
+            raise ConfigurationError(f"{where}: not an object")
         for key, kind in (("name", str), ("aim_ms", float), ("give_up_ms", float), ("repeat", str)):
             _at(row, key, kind, within=where + ".")
         for key in ("late_worth", "window_ms", "worth"):
@@ -122,9 +122,9 @@
     for cap in _at(domain, "stage_cap", list, [], within="settings.domain."):
         _at({"stage_cap": cap}, "stage_cap", float, within="settings.domain.")
     try:
-        charter = read_charter(seeded, settings)
+        charter = read_start_settings(seeded, settings)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise Misplaced(f"settings: {type(error).__name__}: {error}") from None
+        raise ConfigurationError(f"settings: {type(error).__name__}: {error}") from None
     zones = _at(settings, "zones", list, [], within="settings.")
     reports = _at(settings, "load_info", dict, {}, within="settings.")
     api = _at(given, "release_api", dict)
@@ -132,14 +132,14 @@
     sockets = _at(bounds, "sockets", int, 1024, within="limits.")
     memory = _at(bounds, "memory_mb", float, 64.0, within="limits.")
     if sockets < SOCKETS_LEAST:
-        raise Misplaced(
+        raise ConfigurationError(
             f"limits.sockets: {sockets} is fewer than the {SOCKETS_LEAST} that a front needs"
         )
     if memory < MEMORY_LEAST:
-        raise Misplaced(
+        raise ConfigurationError(
             f"limits.memory_mb: {memory} is less than the {MEMORY_LEAST} that a front needs"
         )
-    return Station(
+    return Configuration(
         name=_at(given, "name", str, "front"),
         listen=_address(given, "listen"),
         discovery=_address(given, "discovery"),
@@ -176,22 +176,22 @@
     value = given.get(key)
     if value is None:
         if otherwise is _NEEDED:
-            raise Misplaced(f"{within}{key}: missing")
+            raise ConfigurationError(f"{within}{key}: missing")
         return otherwise
     if not isinstance(value, (int, float) if kind is float else kind) or isinstance(value, bool):
-        raise Misplaced(f"{within}{key}: not {_WORDS[kind]}: {value!r:.60}")
+        raise ConfigurationError(f"{within}{key}: not {_WORDS[kind]}: {value!r:.60}")
     return value
 
 
 def _one_of(given: Mapping[str, Any], key: str, known: Iterable[str], within: str) -> None:
     if (value := given.get(key)) is not None and value not in known:
-        raise Misplaced(f"{within}{key}: not one of {', '.join(known)}: {value!r:.60}")
+        raise ConfigurationError(f"{within}{key}: not one of {', '.join(known)}: {value!r:.60}")
 
 
 def _address(given: Mapping[str, Any], key: str, within: str = "") -> Address:
     text = _at(given, key, str, within=within)
     if (address := read_address(text)) is None:
-        raise Misplaced(f"{within}{key}: not host:port: {text!r:.60}")
+        raise ConfigurationError(f"{within}{key}: not host:port: {text!r:.60}")
     return address
 
 
--- a/umbermoor/front/facade.py
+++ b/umbermoor/front/facade.py
@@ -154,7 +154,7 @@
 }
 
 
-class Desk:
+class DecisionModule:
     def __init__(self, charter: Charter, clock: Callable[[], int]) -> None:
         self._front, self._clock = Front(charter), clock
         self._steps: deque[Step] = deque()  # decided beside a pick, and not told yet
--- a/umbermoor/front/lifecycle/admin_calls.py
+++ b/umbermoor/front/lifecycle/admin_calls.py
@@ -27,7 +27,7 @@
     kind: str = "application/json"
 
 
-class Ways:
+class AdminCalls:
     """``front`` answers each of the names; ``token`` is asked for where it is not empty."""
 
     def __init__(self, front: Mapping[str, Callable[..., Any]], token: str = "") -> None:
--- a/umbermoor/front/lifecycle/drain_keeper.py
+++ b/umbermoor/front/lifecycle/drain_keeper.py
@@ -36,7 +36,7 @@
     why: str
 
 
-class Keeper:
+class DrainKeeper:
     def __init__(self, now: int, room: int) -> None:
         """``room``: queries at once that the front can hold at the most."""
         self.state, self._room = State.STARTING, max(RAMP_LEAST, room)
--- a/umbermoor/front/lifecycle/snapshot.py
+++ b/umbermoor/front/lifecycle/snapshot.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from umbermoor.front.sealed_files import Unfit, read_file, replace_file, sealed, unsealed
+from umbermoor.front.sealed_files import UnusableFile, read_file, replace_file, sealed, unsealed
 
 MAGIC, VERSION = b"UMSNAP", 1
 MOST = 4 << 20
@@ -48,9 +48,9 @@
     )
 
 
-def unpack(data: bytes) -> Memory | Unfit:
+def unpack(data: bytes) -> Memory | UnusableFile:
     opened = unsealed(MAGIC, (VERSION,), data)
-    if isinstance(opened, Unfit):
+    if isinstance(opened, UnusableFile):
         return opened
     body = opened[1]
     try:
@@ -61,17 +61,17 @@
             usual=tuple(map(float, memory.usual)), at=int(memory.at), name=str(memory.name)
         )
     except (orjson.JSONDecodeError, TypeError, ValueError, KeyError) as error:
-        return Unfit(f"cannot be read: {type(error).__name__}")
+        return UnusableFile(f"cannot be read: {type(error).__name__}")
 
 
-def fit(memory: Memory, now: int, name: str, fleet: str) -> Unfit | None:
+def fit(memory: Memory, now: int, name: str, fleet: str) -> UnusableFile | None:
     """Whether it may be used; what is wrong with it."""
     if memory.name != name:
-        return Unfit(f"is of front {memory.name!r}")
+        return UnusableFile(f"is of front {memory.name!r}")
     if memory.fleet != fleet:
-        return Unfit("is of a fleet with other settings")
+        return UnusableFile("is of a fleet with other settings")
     if not 0 <= now - memory.at <= OLD:
-        return Unfit(
+        return UnusableFile(
             f"is {(now - memory.at) / 1e6:.0f} s old" if now > memory.at else "is of the future"
         )
     return None
@@ -90,7 +90,7 @@
     return replace_file(path, pack(memory))
 
 
-def load(path: str) -> Memory | Unfit | None:
+def load(path: str) -> Memory | UnusableFile | None:
     """None where there is none."""
     data = read_file(path, MOST)
     return unpack(data) if isinstance(data, bytes) else data
--- a/umbermoor/front/list_polling.py
+++ b/umbermoor/front/list_polling.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Watching:
+class ListPolling:
     fronts: int
     asked: bool  # changes must be asked for
     chance: Callable[[], float]
--- a/umbermoor/front/membership/saved_list.py
+++ b/umbermoor/front/membership/saved_list.py
@@ -6,7 +6,7 @@
 
 from umbermoor.front.interface import Readiness
 from umbermoor.front.membership.sources import Seen
-from umbermoor.front.sealed_files import Unfit, read_file, replace_file, sealed, unsealed
+from umbermoor.front.sealed_files import UnusableFile, read_file, replace_file, sealed, unsealed
 
 MAGIC, VERSION = b"UMLIST", 1
 
@@ -33,9 +33,9 @@
     return sealed(MAGIC, VERSION, orjson.dumps({"at": lasting.at, "rows": rows}))
 
 
-def unpack(data: bytes) -> Lasting | Unfit:
+def unpack(data: bytes) -> Lasting | UnusableFile:
     opened = unsealed(MAGIC, (VERSION,), data)
-    if isinstance(opened, Unfit):
+    if isinstance(opened, UnusableFile):
         return opened
     try:
         given = orjson.loads(opened[1])
@@ -45,7 +45,7 @@
         )
         return Lasting(int(given["at"]), seen)
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
-        return Unfit(f"cannot be read: {type(error).__name__}")
+        return UnusableFile(f"cannot be read: {type(error).__name__}")
 
 
 def save(path: str, lasting: Lasting) -> int:
@@ -53,14 +53,14 @@
     return replace_file(path, pack(lasting))
 
 
-def load(path: str, now: int, keep: int) -> Lasting | Unfit | None:
+def load(path: str, now: int, keep: int) -> Lasting | UnusableFile | None:
     """None where there is none. ``keep``: microseconds after which it is too old."""
     data = read_file(path)
     if not isinstance(data, bytes):
         return data
     lasting = unpack(data)
     if isinstance(lasting, Lasting) and not 0 <= now - lasting.at <= keep:
-        return Unfit(
+        return UnusableFile(
             f"is {(now - lasting.at) / 1e6:.0f} s old, over {keep / 1e6:.0f}"
             if now > lasting.at
             else "is of the future"
--- a/umbermoor/front/own_settings.py
+++ b/umbermoor/front/own_settings.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta
 
-from umbermoor.front.kdl_sheet import Misread, Record, read_sheet
+from umbermoor.front.kdl_sheet import Record, SheetError, read_sheet
 
 Path = Annotated[str, Meta(min_length=1, max_length=4096)]
 
@@ -32,7 +32,7 @@
     machines: Literal["all", "listed"] = "all"
 
 
-class DoorAt(Record, frozen=True, kw_only=True):
+class AdminEndpointAt(Record, frozen=True, kw_only=True):
     """Where operators ask: 127.0.0.1:PORT or unix:/path. A token file is for TCP."""
 
     PLACES = ("where",)
@@ -104,18 +104,18 @@
         )
 
 
-class House(Record, frozen=True, kw_only=True):
+class OwnSettings(Record, frozen=True, kw_only=True):
     logs: Logs = Logs()
     capture: CaptureTo | None = None
     http2: Http2 | None = None
-    door: DoorAt | None = None
+    door: AdminEndpointAt | None = None
     remember: Remember | None = None
     members: MembersFrom | None = None
 
 
-def read_house(path: str) -> House:
-    """Raises Misread, which names file and line."""
-    return read_sheet(path, "front", House)
+def read_own_settings(path: str) -> OwnSettings:
+    """Raises SheetError, which names file and line."""
+    return read_sheet(path, "front", OwnSettings)
 
 
-__all__ = ["House", "Misread", "read_house"]
+__all__ = ["OwnSettings", "SheetError", "read_own_settings"]
--- a/umbermoor/front/rules.py
+++ b/umbermoor/front/rules.py
@@ -1,4 +1,4 @@
-"""The Front, of every concern in umbermoor/front/policy/. A host makes one from its Charter, reports what it sees (which only
+"""The Front, of every concern in policy/. A host makes one from its Charter, reports what it sees (which only
 takes note), and calls decide(now) until it answers None. Calls: interface.py; reasons: docs/design.md. Times: µs."""
 
 import heapq
--- a/umbermoor/front/sealed_files.py
+++ b/umbermoor/front/sealed_files.py
@@ -11,7 +11,7 @@
 MOST = 64 << 20
 
 
-class Unfit(NamedTuple):
+class UnusableFile(NamedTuple):
     why: str
 
 
@@ -19,18 +19,22 @@
     return _HEAD.pack(magic, version, len(body), zlib.crc32(body)) + body
 
 
-def unsealed(magic: bytes, versions: tuple[int, ...], data: bytes) -> tuple[int, bytes] | Unfit:
+def unsealed(
+    magic: bytes, versions: tuple[int, ...], data: bytes
+) -> tuple[int, bytes] | UnusableFile:
     """The version and what it holds."""
     if len(data) < _HEAD.size:
-        return Unfit("ends within its head")
+        return UnusableFile("ends within its head")
     found, version, length, checksum = _HEAD.unpack_from(data)
     if found != magic:
-        return Unfit("is of another kind")
+        return UnusableFile("is of another kind")
     if version not in versions:
-        return Unfit(f"is of version {version}; this program reads {', '.join(map(str, versions))}")
+        return UnusableFile(
+            f"is of version {version}; this program reads {', '.join(map(str, versions))}"
+        )
     body = data[_HEAD.size :]
     if len(body) != length or zlib.crc32(body) != checksum:
-        return Unfit("is torn or garbled")
+        return UnusableFile("is torn or garbled")
     return version, body
 
 
@@ -45,14 +49,14 @@
     return len(data)
 
 
-def read_file(path: str, most: int = MOST) -> bytes | Unfit | None:
+def read_file(path: str, most: int = MOST) -> bytes | UnusableFile | None:
     """None where there is none."""
     try:
         if os.path.getsize(path) > most:
-            return Unfit(f"is larger than {most} bytes")
+            return UnusableFile(f"is larger than {most} bytes")
         with open(path, "rb") as file:
             return file.read(most)
     except FileNotFoundError:
         return None
     except OSError as error:
-        return Unfit(error.strerror or str(error))
+        return UnusableFile(error.strerror or str(error))
--- a/umbermoor/front/server/admin_endpoint.py
+++ b/umbermoor/front/server/admin_endpoint.py
@@ -7,7 +7,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from umbermoor.front.lifecycle.admin_calls import TOKEN_LEAST, Said, Ways
+from umbermoor.front.lifecycle.admin_calls import TOKEN_LEAST, AdminCalls, Said
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import write_response
@@ -23,7 +23,7 @@
 
 
 class _Visitor(Protocol):
-    def __init__(self, door: "Door") -> None:
+    def __init__(self, door: "AdminEndpoint") -> None:
         self._door, self._reader, self._timer = door, Reader(door.buffers), None
 
     def connectionMade(self) -> None:
@@ -61,10 +61,10 @@
             self._timer.cancel()
 
 
-class Door(Factory):
+class AdminEndpoint(Factory):
     noisy = False
 
-    def __init__(self, reactor, buffers: Buffers, ways: Ways) -> None:
+    def __init__(self, reactor, buffers: Buffers, ways: AdminCalls) -> None:
         self.reactor, self.buffers, self._ways = reactor, buffers, ways
         self.open: set[_Visitor] = set()
         self._port = None
--- a/umbermoor/front/server/capture_writer.py
+++ b/umbermoor/front/server/capture_writer.py
@@ -4,7 +4,7 @@
 from umbermoor.front.capture.files import Segments
 from umbermoor.front.capture.frames import Header
 from umbermoor.front.capture.recorder import FRAME_EVERY, Recorder
-from umbermoor.front.configuration import Station
+from umbermoor.front.configuration import Configuration
 from umbermoor.front.facade import Asked
 from umbermoor.front.interface import Ending, Entry
 from umbermoor.front.own_settings import CaptureTo
@@ -14,7 +14,7 @@
 
 
 class Capturing:
-    def __init__(self, reactor, clock, station: Station, to: CaptureTo) -> None:
+    def __init__(self, reactor, clock, station: Configuration, to: CaptureTo) -> None:
         names = sorted(station.profiles, key=station.profiles.__getitem__)
         profiles = tuple(
             {
--- a/umbermoor/front/server/discovery.py
+++ b/umbermoor/front/server/discovery.py
@@ -11,7 +11,7 @@
 
 from umbermoor.front.configuration import Address, read_address
 from umbermoor.front.interface import Entry, Listing, Readiness
-from umbermoor.front.list_polling import Watching
+from umbermoor.front.list_polling import ListPolling
 from umbermoor.front.server.connections import SECOND, Attempt, Line
 from umbermoor.front.server.outcomes import Outcome, shown
 from umbermoor.http1.buffers import Buffers
@@ -89,7 +89,7 @@
         address: Address,
         zones: Mapping[str, int],
         told: Callable[[Listing, News], None],
-        watching: Watching,
+        watching: ListPolling,
     ) -> None:
         self._reactor, self._buffers, self._address, self._zones, self._told = (
             reactor,
--- a/umbermoor/front/server/exchange.py
+++ b/umbermoor/front/server/exchange.py
@@ -13,8 +13,8 @@
     Asked,
     Complaint,
     Connected,
+    DecisionModule,
     Denied,
-    Desk,
     Ended,
     Go,
     Heard,
@@ -71,7 +71,7 @@
         self,
         reactor,
         clock: Callable[[], int],
-        desk: Desk,
+        desk: DecisionModule,
         machines: Machines,
         load_fields: tuple[str, ...],
     ) -> None:
--- a/umbermoor/front/server/members.py
+++ b/umbermoor/front/server/members.py
@@ -13,14 +13,14 @@
 
 from umbermoor.front.configuration import read_address
 from umbermoor.front.interface import Entry, Listing, Readiness
-from umbermoor.front.kdl_sheet import Misread, Record, read_sheet
+from umbermoor.front.kdl_sheet import Record, SheetError, read_sheet
 from umbermoor.front.membership.conclusion import Concluder, difference, entry_of, explained
 from umbermoor.front.membership.dns_messages import Failed, NotThere, There
 from umbermoor.front.membership.dns_queries import Ask, Asker, Server, places
 from umbermoor.front.membership.saved_list import Lasting, load, save
 from umbermoor.front.membership.sources import SECOND, Book, Seen
 from umbermoor.front.own_settings import MembersFrom, SrvFrom
-from umbermoor.front.sealed_files import Unfit
+from umbermoor.front.sealed_files import UnusableFile
 from umbermoor.front.server.discovery import News
 from umbermoor.logs import note
 
@@ -173,7 +173,7 @@
 
 
 def read_members(path: str) -> list[Seen]:
-    """Raises Misread."""
+    """Raises SheetError."""
     return [
         Seen(
             one.name,
@@ -219,7 +219,7 @@
             lasting = load(
                 self._given.state, time.time_ns() // 1000, round(self._given.keep_s * SECOND)
             )
-            if isinstance(lasting, Unfit):
+            if isinstance(lasting, UnusableFile):
                 note(log, "last list not used", logging.WARNING, why=lasting.why)
             elif lasting is not None:
                 note(log, "last list used", machines=len(lasting.seen))
@@ -306,7 +306,7 @@
                 return
             book.whole(now, name, read_members(path))
             marks[path] = mark
-        except (OSError, Misread) as error:
+        except (OSError, SheetError) as error:
             book.failed(now, name, str(error))
         self._conclude()
 
--- a/umbermoor/front/server/operations.py
+++ b/umbermoor/front/server/operations.py
@@ -7,23 +7,23 @@
 from hashlib import blake2b
 from typing import Any
 
-from umbermoor.front.configuration import Station
+from umbermoor.front.configuration import Configuration
 from umbermoor.front.facade import Asked
 from umbermoor.front.interface import Ending, Entry
-from umbermoor.front.lifecycle.admin_calls import Ways, metrics_text
-from umbermoor.front.lifecycle.drain_keeper import SECOND, Due, Keeper
+from umbermoor.front.lifecycle.admin_calls import AdminCalls, metrics_text
+from umbermoor.front.lifecycle.drain_keeper import SECOND, DrainKeeper, Due
 from umbermoor.front.lifecycle.scheduler import Scheduler
 from umbermoor.front.lifecycle.snapshot import (
     MachineMemory,
     Memory,
-    Unfit,
+    UnusableFile,
     fit,
     load,
     usable,
     write,
 )
-from umbermoor.front.own_settings import House
-from umbermoor.front.server.admin_endpoint import Closed, Door, read_token
+from umbermoor.front.own_settings import OwnSettings
+from umbermoor.front.server.admin_endpoint import AdminEndpoint, Closed, read_token
 from umbermoor.logs import note
 
 log = logging.getLogger(__name__)
@@ -36,12 +36,20 @@
     """It is a witness of the exchange, too: it counts."""
 
     def __init__(
-        self, reactor, clock, station: Station, house: House, buffers, exchange, clients, machines
+        self,
+        reactor,
+        clock,
+        station: Configuration,
+        house: OwnSettings,
+        buffers,
+        exchange,
+        clients,
+        machines,
     ) -> None:
         self._reactor, self._clock, self._station, self._house = reactor, clock, station, house
         self._exchange, self._clients, self._machines = exchange, clients, machines
         self._room = max(8, (station.sockets - 32) // 3)
-        self.keeper = exchange.keeper = clients.keeper = Keeper(clock(), self._room)
+        self.keeper = exchange.keeper = clients.keeper = DrainKeeper(clock(), self._room)
         self._names = sorted(station.profiles, key=station.profiles.__getitem__)
         self._open: dict[str, tuple[int, int, int]] = {}  # query: profile, came, due
         self._counts: Counter[tuple[str, str]] = Counter()
@@ -57,10 +65,10 @@
         self._door = self._where = None
         if house.door is not None:
             token = read_token(house.door.token) if house.door.token else ""
-            self._door = Door(
+            self._door = AdminEndpoint(
                 reactor,
                 buffers,
-                Ways(
+                AdminCalls(
                     {
                         "status": self.status,
                         "hands": self.hands,
@@ -304,7 +312,7 @@
             return
         wrong = (
             memory
-            if isinstance(memory, Unfit)
+            if isinstance(memory, UnusableFile)
             else fit(memory, now, self._station.name, self._fleet())
         )
         if wrong is not None:
--- a/umbermoor/front/server/service.py
+++ b/umbermoor/front/server/service.py
@@ -12,10 +12,10 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import STDLibLogObserver, globalLogBeginner
 
-from umbermoor.front.configuration import Misplaced, Station
-from umbermoor.front.facade import Desk
+from umbermoor.front.configuration import Configuration, ConfigurationError
+from umbermoor.front.facade import DecisionModule
 from umbermoor.front.interface import Listing, News
-from umbermoor.front.list_polling import Watching
+from umbermoor.front.list_polling import ListPolling
 from umbermoor.front.server.clients import Clients
 from umbermoor.front.server.descriptor_budget import Budget
 from umbermoor.front.server.discovery import Discovery, read_list
@@ -64,7 +64,7 @@
 
 
 class Service:
-    def __init__(self, reactor, station: Station, clock: Clock, house=None) -> None:
+    def __init__(self, reactor, station: Configuration, clock: Clock, house=None) -> None:
         self._reactor, self._station = reactor, station
         buffers, budget = self._buffers, self._budget = (
             Buffers(station.memory),
@@ -81,7 +81,7 @@
             station.service,
         )
         self._exchange = exchange = Exchange(
-            reactor, clock, Desk(charter, clock), self._machines, station.load_fields
+            reactor, clock, DecisionModule(charter, clock), self._machines, station.load_fields
         )
         self._clients = Clients(
             reactor,
@@ -112,7 +112,7 @@
             station.discovery,
             station.zones,
             self._listed,
-            Watching(charter.fronts, charter.list_asked, chance),
+            ListPolling(charter.fronts, charter.list_asked, chance),
         )
         exchange.watch = self._discovery.start
         self._machines.counts = self._discovery.counts = self._platform.counts = exchange.counts
@@ -246,14 +246,14 @@
                 self._operations.ready()
             note(log, "up", heard=" ".join(sorted(self._heard)))
 
-    def reload(self, read: Callable[[], Station]) -> None:
+    def reload(self, read: Callable[[], Configuration]) -> None:
         """Takes what may change from the configuration read anew. Threat: one that cannot be used
         ends the front."""
         if self._clients.leaving:
             return
         try:
             station = read()
-        except Misplaced as fault:
+        except ConfigurationError as fault:
             note(log, "configuration not taken, the old one goes on", logging.WARNING, fault=fault)
             return
         old, self._station = self._station, station
@@ -332,7 +332,7 @@
         self._reactor.callLater(0, self._reactor.stop)
 
 
-def serve(station: Station, read: Callable[[], Station], house=None) -> int:
+def serve(station: Configuration, read: Callable[[], Configuration], house=None) -> int:
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
     service = Service(reactor, station, Clock(), house)
     reactor.callWhenRunning(service.start)
--- a/umbermoor/front/start_settings.py
+++ b/umbermoor/front/start_settings.py
@@ -12,7 +12,7 @@
     return round((ms or 0) * 1000)
 
 
-def read_charter(seed: int, info: dict[str, Any]) -> Charter:
+def read_start_settings(seed: int, info: dict[str, Any]) -> Charter:
     rules, limits, domain = (info.get(part) or {} for part in ("rules", "limits", "domain"))
     profiles = tuple(
         Profile(
--- a/umbermoor/lab/day.py
+++ b/umbermoor/lab/day.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta, structs
 
-from umbermoor.front.kdl_sheet import Misread, Record, read_sheet
+from umbermoor.front.kdl_sheet import Record, SheetError, read_sheet
 
 Least0 = Annotated[float, Meta(ge=0)]
 Above0 = Annotated[float, Meta(gt=0)]
@@ -281,7 +281,7 @@
 
 
 def read_day(path: str) -> Day:
-    """A sheet by its path, or a shipped day by its name. Raises Misread."""
+    """A sheet by its path, or a shipped day by its name. Raises SheetError."""
     shipped = SHIPPED / f"{path}.kdl"
     return read_sheet(shipped if "/" not in path and shipped.exists() else path, "day", Day)
 
@@ -290,4 +290,4 @@
     return sorted(one.stem for one in SHIPPED.glob("*.kdl"))
 
 
-__all__ = ["SECOND", "Day", "Misread", "micros", "read_day", "shipped_days"]
+__all__ = ["SECOND", "Day", "SheetError", "micros", "read_day", "shipped_days"]
--- a/umbermoor/logs.py
+++ b/umbermoor/logs.py
@@ -11,7 +11,7 @@
         pairs: dict[str, Any] = {
             "at": f"{record.created:.3f}",
             "level": record.levelname.lower(),
-            "in": record.name.removeprefix("umbermoor."),
+            "in": record.name.removeprefix("umbermoor.").removeprefix("front."),
             "what": record.getMessage(),
         }
         pairs.update(getattr(record, "with_", {}))
@@ -64,7 +64,7 @@
         given = {
             "at": round(record.created, 3),
             "level": record.levelname.lower(),
-            "in": record.name.removeprefix("umbermoor."),
+            "in": record.name.removeprefix("umbermoor.").removeprefix("front."),
             "what": record.getMessage(),
         }
         return (
--- a/umbermoor/planner/command.py
+++ b/umbermoor/planner/command.py
@@ -42,7 +42,7 @@
 from umbermoor.planner.plan import Planner, situations
 from umbermoor.planner.players import Players
 from umbermoor.planner.questions import arrivals_of
-from umbermoor.planner.sheets import Fleet, Misread, read_fleet
+from umbermoor.planner.sheets import Fleet, SheetError, read_fleet
 
 
 class Refused(Exception):
@@ -69,7 +69,7 @@
                 given["--quiet"],
             )
         return _plan(given, demand, fleet, arrivals)
-    except (Misread, Unreadable, Refused) as fault:
+    except (SheetError, Unreadable, Refused) as fault:
         print(f"umbermoor: {fault}", file=sys.stderr)
         return 2
 
--- a/umbermoor/planner/sheets.py
+++ b/umbermoor/planner/sheets.py
@@ -5,7 +5,7 @@
 
 from msgspec import Meta
 
-from umbermoor.front.kdl_sheet import Misread, Record, read_sheet
+from umbermoor.front.kdl_sheet import Record, SheetError, read_sheet
 from umbermoor.lab.day import (
     Above0,
     Build,
@@ -98,4 +98,4 @@
     return read_sheet(path, "fleet", Fleet)
 
 
-__all__ = ["Fleet", "Misread", "read_fleet"]
+__all__ = ["Fleet", "SheetError", "read_fleet"]
