--- a/benchmarks/answers_cost.py
+++ b/benchmarks/answers_cost.py
@@ -163,7 +163,7 @@
             trees["this"] = work_tree(given("--this", ""), Path(folder))
         roots = {
             "this": Path(__file__).parents[1],
-            **{name: tree.root for name, tree in trees.items()},
+            **{name: Path(tree.root) for name, tree in trees.items()},
         }
         try:
             for pair in range(int(given("--plays", "7"))):
