--- /dev/null
+++ b/tests/front/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the front in service."""
--- a/tests/descriptors_test.py
+++ b/tests/front/descriptors_test.py
@@ -16,8 +16,8 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.testing import MemoryReactorClock
 
-from tests.leaving_test import Pipe
-from tests.town import GIVEN
+from tests.front.leaving_test import Pipe
+from tests.front.memory_network import GIVEN
 from umbermoor.front.server.clients import READ_LEAST, READ_WITHIN, Clients
 from umbermoor.front.server.descriptor_budget import Budget
 from umbermoor.http1.buffers import Buffers
