--- /dev/null
+++ b/tests/pins/replica_storms.py
@@ -0,0 +1,50 @@
+"""Storms of faults over replicas, with and without changes of the replica set, and with operators.
+
+Each input of a state machine gives a list of effects; these are traced with the time and the
+machine.
+"""
+
+from collections.abc import Callable
+from typing import Any
+from unittest.mock import patch
+
+from tests.gateway.callers import storm as operators_storm
+from tests.gateway.sets import storm_sets
+from tests.pins.trace import Trace
+from tests.pins.wire_forms import effect_form
+from umbermoor.gateway.simulation import register
+
+FIRST_SEED = 5000
+COUNTS = {"register": 17, "sets": 17, "operators": 17}  # of each size of replica set
+SHORT_COUNTS = {"register": 3, "sets": 2, "operators": 3}
+STORMS: dict[str, Callable[..., Any]] = {
+    "register": register.storm,
+    "sets": storm_sets,
+    "operators": operators_storm,
+}
+
+
+def cases(every: bool) -> list[str]:
+    """Names of cases, `storm/members/seed`."""
+    return [
+        f"{storm}/{members}/{seed}"
+        for storm, count in (COUNTS if every else SHORT_COUNTS).items()
+        for members in (3, 5)
+        for seed in range(FIRST_SEED, FIRST_SEED + count)
+    ]
+
+
+def play(case: str, trace: Trace) -> None:
+    """Plays one storm into the trace."""
+    storm, members, seed = case.split("/")
+    carry_out = register.World._do
+
+    def traced(world: register.World, machine: Any, effects: list[Any]) -> None:
+        for effect in effects:
+            trace.add(world.now, machine.name, *effect_form(effect))
+        carry_out(world, machine, effects)
+
+    with patch.object(register.World, "_do", traced):
+        world = STORMS[storm](int(seed), int(members))
+    model = world.model
+    trace.add("end", world.now, model.puts, model.reads, model.later, len(model.maps))
--- a/tests/pins/surface_test.py
+++ b/tests/pins/surface_test.py
@@ -17,6 +17,7 @@
 import pytest
 
 from umbermoor.gateway.config.node_settings import parse_node_settings
+from umbermoor.gateway.simulation import play, script
 
 ROOT = Path(__file__).parents[2]
 STATUS_BAD_SETTINGS = 2
@@ -79,6 +80,10 @@
     77,
     5,
 ]
+DAY_WITH_ENDS = """day seed=1 members=3 fronts=1 bear=1 long=3000
+500 core_term on=0 back=300
+900 front_term on=0
+"""
 REQUIRED = ("nodeName", "role", "machineClass", "ip", "zone", "portRange")
 WRONG_VALUES = {
     **dict.fromkeys(("nodeName", "role", "machineClass", "ip", "zone", "region", "dataDir"), 7),
@@ -128,6 +133,19 @@
     assert values.count(True) == 2
 
 
+def test_the_margins_are_asked_for_by_the_pages_names(monkeypatch):
+    asked = set()
+
+    class Margins(dict):
+        def get(self, name, default=None):
+            asked.add(name)
+            return super().get(name, default)
+
+    monkeypatch.setattr(play, "MARGINS", Margins(play.MARGINS))
+    play.Play(script.read(DAY_WITH_ENDS)).run()
+    assert asked == {"graceS", "retryRatio", "retryWindowS", "retrySlack"}
+
+
 @pytest.mark.parametrize("key", ["coldStart", "quorumMember"])
 def test_a_flag_of_a_settings_file_is_read(key):
     settings = parse_node_settings(toml(SETTINGS | {key: False}).encode())
