--- a/tests/pins/decision_inputs.py
+++ b/tests/pins/decision_inputs.py
@@ -17,10 +17,10 @@
 from msgspec import structs
 
 from tests.pins.decisions import FOLDER, SUFFIX
-from umbermoor.interface import Entry, Listing, News
+from umbermoor.front.interface import Entry, Listing, News
+from umbermoor.front.rules import Front
 from umbermoor.lab import fleet
 from umbermoor.lab.day import read_day
-from umbermoor.rules import Front
 
 DAYS = ("burst", "failing-build", "good-build", "lost-group", "silent", "wrong-build", "vast-sick")
 QUERIES_A_SECOND = 25.0
--- a/tests/pins/scenarios.py
+++ b/tests/pins/scenarios.py
@@ -10,7 +10,7 @@
 from tests.__main__ import Play
 from tests.pins.trace import Trace
 from umbermoor.benchlink.wire import MESSAGES
-from umbermoor.rules import Front
+from umbermoor.front.rules import Front
 
 FOLDER = Path(__file__).parents[1] / "scenarios"
 OTHER_FORMATS = ("http1.txt",)  # it tells the decision module nothing
