--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -29,8 +29,8 @@
 from typing import Any
 
 from benchmarks.capacity.measures import beat_body, configuration
-from umbermoor.gateway.distribution.reader import GAP, Reader
-from umbermoor.gateway.server.peer_transport import PRESSED, frame, opened
+from umbermoor.gateway.distribution.subscriber import PULL_INTERVAL_US, Subscriber
+from umbermoor.gateway.server.peer_transport import COMPRESSED_FLAG, decode_body, encode_frame
 
 SECOND = 1_000_000
 PERIOD = 1.5  # s between a machine's beats
@@ -280,7 +280,7 @@
 class HollowFront(asyncio.Protocol):
     def __init__(self, play: Play, real: bool) -> None:
         self.play, self.real = play, real
-        self.reader = Reader([play.ip])
+        self.reader = Subscriber([play.ip])
         self.transport: asyncio.Transport | None = None
         self.held, self.next, self.seen = bytearray(), 0.0, set[bytes]()
         self.ended = False
@@ -298,38 +298,40 @@
         if self.transport is None:
             self.play.refused += self.play.looking
         else:
-            self.transport.write(frame(self.reader.pull(round(now * SECOND), self.play.ip)))
+            self.transport.write(
+                encode_frame(self.reader.make_pull(round(now * SECOND), self.play.ip))
+            )
 
     def data_received(self, data: bytes) -> None:
         self.held += data
         while len(self.held) >= 4:
             head = int.from_bytes(self.held[:4], "big")
-            size = head & ~PRESSED
+            size = head & ~COMPRESSED_FLAG
             if len(self.held) < 4 + size:
                 return
             body = bytes(self.held[4 : 4 + size])
             del self.held[: 4 + size]
-            self.frame(body, bool(head & PRESSED))
+            self.frame(body, bool(head & COMPRESSED_FLAG))
 
     def frame(self, body: bytes, pressed: bool) -> None:
         now, play = time.monotonic(), self.play
         play.news_bytes += len(body) + 4
         raw = zlib.decompress(body) if pressed else body
         if raw.startswith(b'{"kind":"body"'):
-            self.reader.revision = self.reader.offered
+            self.reader.revision = self.reader.newest_revision
             return
         play.news_count += 1
         play.told(raw, self)
         if self.real:
-            self.reader.news(round(now * SECOND), play.ip, opened(body, pressed))
+            self.reader.receive_update(round(now * SECOND), play.ip, decode_body(body, pressed))
         else:  # the vector stands before the machines and behind them
             message = json.loads(
                 raw[: raw.index(b'"machines":[')]
                 + b'"machines":[]'
                 + raw[raw.rindex(b',"register"') :]
             )
-            self.reader.news(round(now * SECOND), play.ip, message)
-        self.next = now + GAP / SECOND
+            self.reader.receive_update(round(now * SECOND), play.ip, message)
+        self.next = now + PULL_INTERVAL_US / SECOND
 
     def connection_lost(self, error: Exception | None) -> None:
         if not self.ended:
--- a/benchmarks/capacity/taker.py
+++ b/benchmarks/capacity/taker.py
@@ -9,12 +9,12 @@
 import time
 
 from benchmarks.capacity.measures import PERIOD
-from umbermoor.gateway.discovery.registry import Registry, beat_of
+from umbermoor.gateway.discovery.registry import InstanceRegistry, record_from_heartbeat
 from umbermoor.gateway.server.client_connection import answer_bytes
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Reader, Request
 
-REGISTRY, BUFFERS = Registry(1, PERIOD), Buffers(64 << 20)
+REGISTRY, BUFFERS = InstanceRegistry(1, PERIOD), Buffers(64 << 20)
 
 
 class Taker(asyncio.Protocol):
@@ -26,7 +26,9 @@
             if not isinstance(asked, Request):
                 self.transport.close()
             elif asked.target.startswith("/Plants.Heartbeat/"):
-                entry = beat_of(asked.target.rpartition("/")[2], json.loads(asked.body))
+                entry = record_from_heartbeat(
+                    asked.target.rpartition("/")[2], json.loads(asked.body)
+                )
                 REGISTRY.take(round(time.monotonic() * 1e6), entry)
                 self.transport.write(answer_bytes(200, b"", {}, 15))
             else:
--- a/umbermoor/gateway/api/orders.py
+++ b/umbermoor/gateway/api/decisions.py
@@ -16,20 +16,22 @@
 from umbermoor.gateway.rollout.plan import ROLLOUT, Record, newer
 from umbermoor.gateway.rollout.trial import judge_begin, judge_step
 
-CONFIG = "config"  # the register's key of the configuration
-KNOWN = 128  # numbers that were in force before, whose contents are still told apart
-DIGEST = 8  # bytes
-NUMBER = 4  # bytes of a revision
-EACH = NUMBER + DIGEST
-CHUNK = 1_500  # routes digested between two yields: some 10 ms
+CONFIG_KEY = "config"  # the register's key of the configuration
+MAX_PAST_REVISIONS = 128  # numbers that were in force before, whose contents are still told apart
+DIGEST_BYTES = 8  # bytes
+REVISION_BYTES = 4  # bytes of a revision
+PAST_ENTRY_BYTES = REVISION_BYTES + DIGEST_BYTES
+ROUTES_PER_STEP = 1_500  # routes digested between two yields: some 10 ms
 
-Value = dict[str, Any]  # revision, text as it was sent, digest (hexadecimal), past (see _past)
+ConfigurationRecord = dict[
+    str, Any
+]  # revision, text as it was sent, digest (hexadecimal), past (see _past)
 
 
-def digest(body: Mapping[str, Any]) -> str:
+def configuration_digest(body: Mapping[str, Any]) -> str:
     """Of a decoded configuration; the same for the same JSON in another order, whatever its spaces
     and escapes."""
-    steps = digest_slowly(body)
+    steps = configuration_digest_in_steps(body)
     while True:
         try:
             next(steps)
@@ -37,15 +39,16 @@
             return end.value
 
 
-def digest_slowly(body: Mapping[str, Any]) -> Generator[None, None, str]:
+def configuration_digest_in_steps(body: Mapping[str, Any]) -> Generator[None, None, str]:
     """The same in steps of some 10 ms, yielding between them; returns what digest would.
 
     >>> one = {"revision": "0000000C", "routes": {"a": {"tries": 2.0}, "b": {}}, "services": {}}
     >>> other = {"services": {}, "routes": {"b": {}, "a": {"tries": 2}}, "revision": "0000000c"}
+    >>> digest = configuration_digest
     >>> digest(one) == digest(other), digest(one) == digest(other | {"routes": {}})
     (True, False)
     """
-    hashed, work = blake2b(digest_size=DIGEST), 0
+    hashed, work = blake2b(digest_size=DIGEST_BYTES), 0
     for name in sorted(body):
         part = body[name]
         if name == "revision":
@@ -58,7 +61,7 @@
         for key in sorted(part):
             hashed.update(_plain(key) + b"\0" + _plain(part[key]) + b"\0")
             work += 1
-            if work >= CHUNK:
+            if work >= ROUTES_PER_STEP:
                 work = 0
                 yield
         hashed.update(b"}")
@@ -78,16 +81,16 @@
     return [_level(one) for one in part] if type(part) is list else part
 
 
-def configuration(revision: int, text: str, digest: str) -> Value:
+def configuration_record(revision: int, text: str, digest: str) -> ConfigurationRecord:
     """What is put for a configuration that was found sound."""
     return {"revision": revision, "text": text, "digest": digest}
 
 
-def judge(held: Mapping[str, Any], key: str, new: Any, epoch: int) -> Decision:
+def decide_write(held: Mapping[str, Any], key: str, new: Any, epoch: int) -> Decision:
     """What a put of `new` under `key` comes to beside the map `held`, at a head of that epoch.
     Never raises: a value of another shape than the key's is a CONFLICT."""
     try:
-        if key == CONFIG:
+        if key == CONFIG_KEY:
             return _judge_configuration(held.get(key), new)
         if key.startswith(ROLLOUT):
             return _judge_rollout(held, key, new, epoch)
@@ -104,11 +107,11 @@
     return Decision(Outcome.CONFLICT, None, "no such key")
 
 
-def _judge_configuration(held: Value | None, new: Value) -> Decision:
+def _judge_configuration(held: ConfigurationRecord | None, new: ConfigurationRecord) -> Decision:
     revision, text = new["revision"], new["text"]
     if (
         type(revision) is not int
-        or not 0 <= revision < 1 << 8 * NUMBER
+        or not 0 <= revision < 1 << 8 * REVISION_BYTES
         or not isinstance(text, str)
     ):
         raise ValueError
@@ -121,7 +124,7 @@
                 "revision": revision,
                 "text": text,
                 "digest": mine,
-                "past": b64encode(past[-KNOWN * EACH :]).decode(),
+                "past": b64encode(past[-MAX_PAST_REVISIONS * PAST_ENTRY_BYTES :]).decode(),
             },
         )
     known = _digest_of(held) if revision == held["revision"] else _known(_past(held), revision)
@@ -134,32 +137,32 @@
     )
 
 
-def _digest_of(value: Value) -> str:
+def _digest_of(value: ConfigurationRecord) -> str:
     """Values that the present revision's members stored have none."""
     found = value.get("digest")
     return (
         found
-        if isinstance(found, str) and len(found) == 2 * DIGEST
-        else digest(json.loads(value["text"]))
+        if isinstance(found, str) and len(found) == 2 * DIGEST_BYTES
+        else configuration_digest(json.loads(value["text"]))
     )
 
 
-def _past(held: Value) -> bytes:
+def _past(held: ConfigurationRecord) -> bytes:
     """The numbers in force before and their contents' digests, oldest first, EACH bytes each."""
     return b64decode(held.get("past", ""))
 
 
 def _packed(revision: int, digest: str) -> bytes:
-    return revision.to_bytes(NUMBER, "big") + bytes.fromhex(digest)
+    return revision.to_bytes(REVISION_BYTES, "big") + bytes.fromhex(digest)
 
 
 def _known(past: bytes, revision: int) -> str | None:
-    number = revision.to_bytes(NUMBER, "big")
+    number = revision.to_bytes(REVISION_BYTES, "big")
     return next(
         (
-            past[at + NUMBER : at + EACH].hex()
-            for at in range(0, len(past), EACH)
-            if past[at : at + NUMBER] == number
+            past[at + REVISION_BYTES : at + PAST_ENTRY_BYTES].hex()
+            for at in range(0, len(past), PAST_ENTRY_BYTES)
+            if past[at : at + REVISION_BYTES] == number
         ),
         None,
     )
@@ -175,10 +178,10 @@
     ):
         return judge_step(last, new, epoch)
     if "begin" in new:
-        return judge_begin(last, new["begin"], lambda: _names(held.get(CONFIG), service))
+        return judge_begin(last, new["begin"], lambda: _names(held.get(CONFIG_KEY), service))
     return Decision(Outcome.ACCEPTED, new) if newer(new, last) else Decision(Outcome.STALE)
 
 
-def _names(configuration: Value | None, service: str) -> bool:
+def _names(configuration: ConfigurationRecord | None, service: str) -> bool:
     """Whether the configuration in force names that service; also where there is none yet."""
     return configuration is None or service in json.loads(configuration["text"])["services"]
--- a/umbermoor/gateway/api/calls.py
+++ b/umbermoor/gateway/api/http_api.py
@@ -5,17 +5,17 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, NamedTuple
 
-BODY_MOST = 6 << 20  # bytes of a call's body
-NAME_MOST = 200  # characters of a name in a path
+MAX_BODY_BYTES = 6 << 20  # bytes of a call's body
+MAX_NAME_LENGTH = 200  # characters of a name in a path
 
 
-class Reply(NamedTuple):
+class ApiResponse(NamedTuple):
     status: int
     body: bytes = b""
     headers: tuple[tuple[bytes, bytes], ...] = ()
 
 
-class Call(NamedTuple):
+class ApiRequest(NamedTuple):
     """One call as a handler gets it."""
 
     name: str  # what the path holds behind the declared part
@@ -26,10 +26,10 @@
         return json.loads(self.body)
 
 
-Handler = Callable[[Any, Call], Awaitable[Reply]]
+Handler = Callable[[Any, ApiRequest], Awaitable[ApiResponse]]
 
 
-def call(method: str, path: str):
+def api_call(method: str, path: str):
     """Declares the call that a handler answers. A path that ends with a slash has a name behind
     it."""
 
@@ -40,7 +40,7 @@
     return declared
 
 
-def calls_of(holder: Any) -> dict[tuple[str, str], Handler]:
+def declared_calls(holder: Any) -> dict[tuple[str, str], Handler]:
     """All declared handlers of an object, by method and path."""
     found = {}
     for name in dir(type(holder)):
@@ -50,35 +50,39 @@
     return found
 
 
-def reply(status: int, value: Any = None) -> Reply:
+def json_response(status: int, value: Any = None) -> ApiResponse:
     """An answer with a JSON body."""
     body = b"" if value is None else json.dumps(value, separators=(",", ":")).encode()
-    return Reply(status, body, ((b"content-type", b"application/json"),) if body else ())
+    return ApiResponse(status, body, ((b"content-type", b"application/json"),) if body else ())
 
 
-def wrong(status: int, text: str) -> Reply:
+def error_response(status: int, text: str) -> ApiResponse:
     """One line that names what is wrong."""
-    return reply(status, {"error": text})
+    return json_response(status, {"error": text})
 
 
-class Desk:
+class HttpApi:
     """An ASGI application over declared calls."""
 
     def __init__(self, holder: Any) -> None:
-        self.calls = calls_of(holder)
+        self.calls = declared_calls(holder)
         self.paths = {path for _, path in self.calls}
 
-    def find(self, method: str, path: str) -> tuple[Handler, str] | Reply:
+    def find(self, method: str, path: str) -> tuple[Handler, str] | ApiResponse:
         """The handler and the name in the path, or what is answered instead."""
         head, slash, name = path.rpartition("/")
         if name and (method, path) in self.calls:
             return self.calls[method, path], ""
-        if len(name) > NAME_MOST:
-            return wrong(400, f"name in the path: over {NAME_MOST} characters")
+        if len(name) > MAX_NAME_LENGTH:
+            return error_response(400, f"name in the path: over {MAX_NAME_LENGTH} characters")
         if name and (method, head + slash) in self.calls:
             return self.calls[method, head + slash], name
         known = name and (path in self.paths or head + slash in self.paths)
-        return wrong(405, "no such method here") if known else wrong(404, "no such call")
+        return (
+            error_response(405, "no such method here")
+            if known
+            else error_response(404, "no such call")
+        )
 
     async def __call__(self, scope: dict, receive: Callable, send: Callable) -> None:
         if scope["type"] == "lifespan":
@@ -95,14 +99,16 @@
                 return
             body += event.get("body", b"")
             whole = not event.get("more_body")
-            if len(body) > BODY_MOST:
+            if len(body) > MAX_BODY_BYTES:
                 break
-        if len(body) > BODY_MOST:
-            answer = wrong(413, f"body: over {BODY_MOST} bytes")
+        if len(body) > MAX_BODY_BYTES:
+            answer = error_response(413, f"body: over {MAX_BODY_BYTES} bytes")
         else:
             found = self.find(scope["method"], scope["path"])
             answer = (
-                found if isinstance(found, Reply) else await found[0](Call(found[1], bytes(body)))
+                found
+                if isinstance(found, ApiResponse)
+                else await found[0](ApiRequest(found[1], bytes(body)))
             )
         headers = [*answer.headers, (b"content-length", str(len(answer.body)).encode())]
         await send({"type": "http.response.start", "status": answer.status, "headers": headers})
--- a/umbermoor/gateway/balancing/instances.py
+++ b/umbermoor/gateway/balancing/instances.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Container, Iterable
 from math import exp
 
-from umbermoor.gateway.discovery.registry import DRAINING, GONE, READY, Entry
+from umbermoor.gateway.discovery.registry import DRAINING, GONE, READY, InstanceRecord
 
 SECOND = 1_000_000
 LEARN = 0.15  # weight of the newest answer in a machine's pace
@@ -43,8 +43,8 @@
         "warm_at",
     )
 
-    def __init__(self, entry: Entry, now: int) -> None:
-        self.entry, self.listed, self.warm_at = entry, now, now + entry.warm_us
+    def __init__(self, entry: InstanceRecord, now: int) -> None:
+        self.entry, self.listed, self.warm_at = entry, now, now + entry.warmup_us
         self.open, self.pace, self.told, self.told_at, self.told_open = 0, 1.0, 0.0, 0, 0
         self.row, self.rest_until, self.heard, self.since, self.denied = 0, 0, now, 0, False
 
@@ -68,7 +68,7 @@
         self.usual: dict[str, float] = {}  # time of an answer by service, us
         self.changed: set[str] = set()  # services whose lists changed since this was emptied
 
-    def take(self, now: int, entries: Iterable[Entry]) -> list[Plant]:
+    def take(self, now: int, entries: Iterable[InstanceRecord]) -> list[Plant]:
         """Notes the news; returns those that may get nothing any more."""
         left = []
         for entry in entries:
@@ -87,8 +87,8 @@
             elif plant.entry.state != entry.state or plant.entry.revision != entry.revision:
                 self.changed.add(entry.service)
             plant.entry = entry
-            if entry.warm_us:
-                plant.warm_at = now + entry.warm_us
+            if entry.warmup_us:
+                plant.warm_at = now + entry.warmup_us
         return left
 
     def _drop(self, plant: Plant) -> None:
--- a/umbermoor/gateway/cli/command.py
+++ b/umbermoor/gateway/cli/command.py
@@ -15,7 +15,7 @@
 
 from cyclopts import App, CycloptsError, Parameter
 
-from umbermoor.gateway.cli.caller import Caller, Nobody, Told
+from umbermoor.gateway.cli.control_client import ControlClient, ControlResponse, NoResponse
 from umbermoor.gateway.config.configuration import parse
 from umbermoor.gateway.config.errors import Fault
 from umbermoor.gateway.config.node_settings import read_papers
@@ -79,9 +79,9 @@
     return exit
 
 
-def _ended(told: Told | Nobody) -> Exit:
+def _ended(told: ControlResponse | NoResponse) -> Exit:
     """How a call ended that did not do what it should; says why."""
-    if isinstance(told, Nobody):
+    if isinstance(told, NoResponse):
         return _complain(f"nobody answered; the last: {told.why}", Exit.NOBODY)
     return _complain(f"refused by {told.at} with {told.status}{_why(told.body)}", Exit.REFUSED)
 
@@ -182,8 +182,8 @@
     to
         A file to write it to, else it is printed.
     """
-    told = Caller(at, within_s).call("GET", "/Config.Read")
-    if isinstance(told, Nobody) or not told.done:
+    told = ControlClient(at, within_s).call("GET", "/Config.Read")
+    if isinstance(told, NoResponse) or not told.done:
         return _ended(told)
     if to is None:
         _say(told.body.decode())
@@ -204,15 +204,15 @@
     held = raw if isinstance(raw, Fault) else parse(raw)
     if isinstance(held, Fault):
         return _complain(str(held), Exit.BAD)
-    caller = Caller(at, within_s)
+    caller = ControlClient(at, within_s)
     told = caller.call("POST", "/Config.Replace", raw)
-    if isinstance(told, Nobody) or not told.done:
+    if isinstance(told, NoResponse) or not told.done:
         return _ended(told)
     revision = held.body["revision"]
     newest = caller.call("GET", "/Config.Read")
     now = (
         (_table(newest.body) or {}).get("revision")
-        if isinstance(newest, Told) and newest.done
+        if isinstance(newest, ControlResponse) and newest.done
         else None
     )
     if isinstance(now, str) and now.lower() != revision.lower():
@@ -243,21 +243,21 @@
     body = json.dumps(
         {"service": service, "target": target, "rampS": ramp_s} | ({"key": key} if key else {})
     ).encode()
-    told = Caller(at, within_s).call("POST", "/Rollouts.Begin", body)
+    told = ControlClient(at, within_s).call("POST", "/Rollouts.Begin", body)
     if (
-        isinstance(told, Told) and told.status == 409 and told.tries > 1
+        isinstance(told, ControlResponse) and told.status == 409 and told.tries > 1
     ):  # an earlier try got through, or another's
         _say(f"under way: {service}, as {told.at} says; see rollout read")
         return Exit.DONE
-    if isinstance(told, Nobody) or not told.done:
+    if isinstance(told, NoResponse) or not told.done:
         return _ended(told)
     _say(f"taken by {told.at}: {service} to {target}")
     return Exit.DONE
 
 
-def _rollout(caller: Caller, service: str) -> dict[str, Any] | Exit:
+def _rollout(caller: ControlClient, service: str) -> dict[str, Any] | Exit:
     told = caller.call("GET", f"/Rollouts.Read/{quote(service, safe='')}")
-    if isinstance(told, Nobody) or not told.done:
+    if isinstance(told, NoResponse) or not told.done:
         return _ended(told)
     return _table(told.body) or {}
 
@@ -265,7 +265,7 @@
 @rollout.command(name="read")
 def rollout_read(service: str, *, at: At, within_s: Within = 5.0) -> int:
     """Says how a roll-out stands."""
-    held = _rollout(Caller(at, within_s), service)
+    held = _rollout(ControlClient(at, within_s), service)
     if isinstance(held, Exit):
         return held
     _say(f"{service} {held.get('state')} {held.get('target')}")
@@ -275,7 +275,7 @@
 @rollout.command(name="watch")
 def rollout_watch(service: str, *, at: At, within_s: Within = 20.0) -> int:
     """A line for each change of a roll-out until it ends; exit status 1 where it was reverted."""
-    caller, begun, shown = Caller(at, within_s), time.monotonic(), None
+    caller, begun, shown = ControlClient(at, within_s), time.monotonic(), None
     while True:
         held = _rollout(caller, service)
         if isinstance(held, Exit):
@@ -289,21 +289,27 @@
         time.sleep(LOOK)
 
 
-def members(caller: Caller, at: Iterable[str]) -> dict[str, dict[str, Any] | Nobody]:
+def members(caller: ControlClient, at: Iterable[str]) -> dict[str, dict[str, Any] | NoResponse]:
     """What each member says of itself, by control address; members that one names are asked too, at
     the same port."""
-    found: dict[str, dict[str, Any] | Nobody] = {}
+    found: dict[str, dict[str, Any] | NoResponse] = {}
     asked = list(at)
     for place in asked:
         if place in found:
             continue
         told = caller.once(place, "GET", "/Story")
-        if isinstance(told, Told) and told.done and (story := _table(told.body)) is not None:
+        if (
+            isinstance(told, ControlResponse)
+            and told.done
+            and (story := _table(told.body)) is not None
+        ):
             found[place] = story
             asked.extend(f"{ip}:{place.rpartition(':')[2]}" for ip in story.get("everyone", ()))
         else:
             found[place] = (
-                told if isinstance(told, Nobody) else Nobody(f"{place}: answered {told.status}")
+                told
+                if isinstance(told, NoResponse)
+                else NoResponse(f"{place}: answered {told.status}")
             )
     return found
 
@@ -315,9 +321,9 @@
     Well is: as many members as there should be, one epoch and one chain, none blank. Exit status 3
     if none answered.
     """
-    found = members(Caller(at), at)
+    found = members(ControlClient(at), at)
     for place, held in found.items():
-        if isinstance(held, Nobody):
+        if isinstance(held, NoResponse):
             _say(f"{place} silent: {held.why}")
             continue
         chain = ",".join(held.get("chain") or ()) or "none"
@@ -346,8 +352,8 @@
     thin: fewer losses can be borne now than the settings ask. Exit status 1 then, so that a script
     may wait for 0.
     """
-    told = Caller(at, within_s).call("GET", "/Members")
-    if isinstance(told, Nobody) or not told.done:
+    told = ControlClient(at, within_s).call("GET", "/Members")
+    if isinstance(told, NoResponse) or not told.done:
         return _ended(told)
     held = _table(told.body) or {}
     thin, chain = bool(held.get("thin")), held.get("chain") or ()
@@ -364,8 +370,8 @@
 
 def _change(at: Iterable[str], within_s: float, add: str, remove: str, dry: bool) -> int:
     body = json.dumps({"add": add, "remove": remove, "dry": dry}).encode()
-    told = Caller(tuple(at), within_s).call("POST", "/Members.Change", body)
-    if isinstance(told, Nobody) or not told.done:
+    told = ControlClient(tuple(at), within_s).call("POST", "/Members.Change", body)
+    if isinstance(told, NoResponse) or not told.done:
         return _ended(told)
     held = _table(told.body) or {}
     members, up = held.get("members") or (), held.get("up") or ()
@@ -426,8 +432,8 @@
     service
         Only machines of this service.
     """
-    told = Caller(at, within_s).call("GET", "/Machines")
-    if isinstance(told, Nobody) or not told.done:
+    told = ControlClient(at, within_s).call("GET", "/Machines")
+    if isinstance(told, NoResponse) or not told.done:
         return _ended(told)
     listed = (_table(told.body) or {}).get("machines", {})
     for id, one in sorted(listed.items(), key=lambda item: (item[1]["service"], item[0])):
@@ -470,14 +476,14 @@
     to
         The file.
     """
-    caller = Caller(at, within_s)
+    caller = ControlClient(at, within_s)
     told = caller.call("GET", "/Config.Read")
-    if isinstance(told, Nobody) or not told.done:
+    if isinstance(told, NoResponse) or not told.done:
         return _ended(told)
     rollouts = {}
     for service in (_table(told.body) or {}).get("services", {}):
         stands = caller.call("GET", f"/Rollouts.Read/{quote(service, safe='')}")
-        if isinstance(stands, Nobody) or (not stands.done and stands.status != 404):
+        if isinstance(stands, NoResponse) or (not stands.done and stands.status != 404):
             return _ended(stands)
         if stands.done:
             rollouts[service] = _table(stands.body)
@@ -512,9 +518,9 @@
     held = parse(text.encode())
     if isinstance(held, Fault):
         return _complain(f"{file}: configuration: {held}", Exit.BAD)
-    caller = Caller(at, within_s)
+    caller = ControlClient(at, within_s)
     told = caller.call("GET", "/Config.Read")
-    if isinstance(told, Nobody) or (not told.done and told.status != 404):
+    if isinstance(told, NoResponse) or (not told.done and told.status != 404):
         return _ended(told)
     now = (_table(told.body) or {}) if told.done else {}
     for kind in ("services", "routes"):
@@ -534,7 +540,7 @@
         _say(f"revision {revision} would be put; nothing was")
         return Exit.DONE
     put = caller.call("POST", "/Config.Replace", text.encode())
-    if isinstance(put, Nobody) or not put.done:
+    if isinstance(put, NoResponse) or not put.done:
         return _ended(put)
     _say(f"taken by {put.at}: revision {revision}")
     return Exit.DONE
--- a/umbermoor/gateway/distribution/deltas.py
+++ b/umbermoor/gateway/distribution/deltas.py
@@ -13,14 +13,17 @@
 
 import zstandard
 
-LONG = 1024  # characters from which a text is worth it
-MOST = 8 << 20  # bytes of a text
-TEXTS, HELD = 8, 12 << 20  # texts held at most, and characters of all; but the two newest always
-KNOWN = 2 * TEXTS  # digests remembered of another side
-MADE = 16  # deltas kept for others who lack the same
-GREET = 16  # messages between two greetings of one who does not answer them
-PEERS = 128  # other sides remembered
-BULKY = {
+MIN_TEXT_LENGTH = 1024  # characters from which a text is worth it
+MAX_TEXT_BYTES = 8 << 20  # bytes of a text
+MAX_TEXTS, MAX_CACHED_CHARACTERS = (
+    8,
+    12 << 20,
+)  # texts held at most, and characters of all; but the two newest always
+MAX_PEER_DIGESTS = 2 * MAX_TEXTS  # digests remembered of another side
+MAX_CACHED_DELTAS = 16  # deltas kept for others who lack the same
+MESSAGES_PER_GREETING = 16  # messages between two greetings of one who does not answer them
+MAX_PEERS = 128  # other sides remembered
+KINDS_WITH_TEXTS = {
     "put",
     "append",
     "newview",
@@ -28,10 +31,10 @@
     "map",
     "news",
 }  # messages of the chain that carry values
-MARK = "~text"  # key of what stands for a text in a message: [digest] or [digest, base, delta]
+TEXT_KEY = "~text"  # key of what stands for a text in a message: [digest] or [digest, base, delta]
 
 
-def digest_of(text: str) -> str:
+def text_digest(text: str) -> str:
     return blake2b(_bytes(text), digest_size=12).hexdigest()
 
 
@@ -39,7 +42,7 @@
     return text.encode(errors="surrogatepass")
 
 
-def delta(base: str, text: str) -> str:
+def encode_delta(base: str, text: str) -> str:
     """From one to the other, in base64. Some 7 ms for two of 1.7 MB, 0.5 ms for 240 kB; about
     linear."""
     old, new = _bytes(base), _bytes(text)
@@ -57,22 +60,22 @@
     return base64.b64encode(made).decode()
 
 
-def applied(base: str, change: str, digest: str) -> str | None:
+def apply_delta(base: str, change: str, digest: str) -> str | None:
     """The text that `delta` was made for; None if it does not come out as the digest says."""
     try:
         raw = base64.b64decode(change, validate=True)
         size = zstandard.get_frame_parameters(raw).content_size
-        if not 0 <= size <= MOST:
+        if not 0 <= size <= MAX_TEXT_BYTES:
             return None
         held = zstandard.ZstdCompressionDict(_bytes(base), dict_type=zstandard.DICT_TYPE_RAWCONTENT)
-        reader = zstandard.ZstdDecompressor(dict_data=held, max_window_size=4 * MOST)
-        text = reader.decompress(raw, max_output_size=MOST).decode(errors="surrogatepass")
+        reader = zstandard.ZstdDecompressor(dict_data=held, max_window_size=4 * MAX_TEXT_BYTES)
+        text = reader.decompress(raw, max_output_size=MAX_TEXT_BYTES).decode(errors="surrogatepass")
     except (ValueError, zstandard.ZstdError):
         return None
-    return text if digest_of(text) == digest else None
+    return text if text_digest(text) == digest else None
 
 
-class Texts:
+class TextCache:
     """Long texts of late, by digest; bounded."""
 
     def __init__(self) -> None:
@@ -87,10 +90,12 @@
         if digest := self._digests.get(text):
             self._digests.move_to_end(text)
             return digest
-        digest = self._digests[text] = digest_of(text)
+        digest = self._digests[text] = text_digest(text)
         self._texts[digest] = text
         self._size += len(text)
-        while len(self._digests) > 2 and (len(self._digests) > TEXTS or self._size > HELD):
+        while len(self._digests) > 2 and (
+            len(self._digests) > MAX_TEXTS or self._size > MAX_CACHED_CHARACTERS
+        ):
             old, gone = self._digests.popitem(last=False)
             del self._texts[gone]
             self._size -= len(old)
@@ -104,16 +109,16 @@
         return list(reversed(self._digests.values()))
 
 
-class Lack(Exception):
+class MissingTextError(Exception):
     """A message stands on a text that is not held here."""
 
 
-class Packer:
+class DeltaCodec:
     """Long texts in messages to and from other processes. What another one holds is known by what
     it told (`holds`), and by what went to it and came from it since; one that never told gets its
     texts whole.
 
-    >>> one, other = Packer(), Packer()
+    >>> one, other = DeltaCodec(), DeltaCodec()
     >>> text = "route, " * 1000
     >>> one.told("b", other.texts.digests()); other.told("a", one.texts.digests())
     >>> first = one.pack("b", {"put": [{"text": text}]})
@@ -122,14 +127,14 @@
     >>> second = one.pack("b", {"put": [{"text": text + "one more"}]})
     >>> len(str(second)) < 200, other.unpack("a", second)["put"][0]["text"][-9:]
     (True, ' one more')
-    >>> Packer().unpack("a", second)
+    >>> DeltaCodec().unpack("a", second)
     Traceback (most recent call last):
         ...
-    umbermoor.gateway.distribution.deltas.Lack
+    umbermoor.gateway.distribution.deltas.MissingTextError
     """
 
     def __init__(self) -> None:
-        self.texts = Texts()
+        self.texts = TextCache()
         self._held: OrderedDict[str, OrderedDict[str, None]] = (
             OrderedDict()
         )  # by peer, the newest last
@@ -137,10 +142,12 @@
 
     def told(self, peer: str, digests: Iterable[Any]) -> None:
         """That is all it holds, the newest first."""
-        first = [one for one in digests if isinstance(one, str) and len(one) <= 64][:KNOWN]
+        first = [one for one in digests if isinstance(one, str) and len(one) <= 64][
+            :MAX_PEER_DIGESTS
+        ]
         self._held[peer] = OrderedDict.fromkeys(reversed(first))
         self._held.move_to_end(peer)
-        if len(self._held) > PEERS:
+        if len(self._held) > MAX_PEERS:
             self._held.popitem(last=False)
 
     def knows(self, peer: str) -> bool:
@@ -154,7 +161,7 @@
         """The message with what `to` lacks of its long texts; the one that was given stays as it
         is."""
         if isinstance(message, str):
-            return self._packed(to, message) if len(message) >= LONG else message
+            return self._packed(to, message) if len(message) >= MIN_TEXT_LENGTH else message
         if isinstance(message, dict):
             return {key: self.pack(to, value) for key, value in message.items()}
         if isinstance(message, (list, tuple)):
@@ -162,16 +169,16 @@
         return message
 
     def unpack(self, sender: str, message: Any) -> Any:
-        """The message as it was packed; raises Lack."""
+        """The message as it was packed; raises MissingTextError."""
         if isinstance(message, str):
-            if len(message) < LONG:
+            if len(message) < MIN_TEXT_LENGTH:
                 return message
             digest = self.texts.add(message)
             self._note(sender, digest)
             return self.texts.get(digest)
         if isinstance(message, dict):
-            if MARK in message:
-                return self._unpacked(sender, message[MARK])
+            if TEXT_KEY in message:
+                return self._unpacked(sender, message[TEXT_KEY])
             return {key: self.unpack(sender, value) for key, value in message.items()}
         if isinstance(message, list):
             return [self.unpack(sender, value) for value in message]
@@ -184,8 +191,8 @@
             return None
         made = self._made.get((base, digest))
         if made is None:
-            made = self._made[base, digest] = delta(held, text)
-            if len(self._made) > MADE:
+            made = self._made[base, digest] = encode_delta(held, text)
+            if len(self._made) > MAX_CACHED_DELTAS:
                 self._made.popitem(last=False)
         return [digest, base, made]
 
@@ -196,21 +203,21 @@
             return text
         if digest in known:
             known.move_to_end(digest)
-            return {MARK: [digest]}
+            return {TEXT_KEY: [digest]}
         base = next((one for one in reversed(known) if self.texts.get(one) is not None), None)
         change = self.change(base, text) if base else None
         self._note(to, digest)
-        return text if change is None or 2 * len(change[2]) > len(text) else {MARK: change}
+        return text if change is None or 2 * len(change[2]) > len(text) else {TEXT_KEY: change}
 
     def _unpacked(self, sender: str, change: Any) -> str:
         if not isinstance(change, list) or not change or not isinstance(change[0], str):
-            raise Lack
+            raise MissingTextError
         text = self.texts.get(change[0])
         if text is None and len(change) == 3 and isinstance(change[2], str):
             base = self.texts.get(change[1])
-            text = None if base is None else applied(base, change[2], change[0])
+            text = None if base is None else apply_delta(base, change[2], change[0])
         if text is None:
-            raise Lack
+            raise MissingTextError
         self.texts.add(text)
         self._note(sender, change[0])
         return text
@@ -220,17 +227,17 @@
         if known is not None:
             known[digest] = None
             known.move_to_end(digest)
-            if len(known) > KNOWN:
+            if len(known) > MAX_PEER_DIGESTS:
                 known.popitem(last=False)
 
 
-class Carrier:
+class DeltaChannel:
     """Messages of the chain as frames between members, and back. A member greets those it does not
     know with what it holds, so that both know; one of a revision that knows no greeting gets, and
     sends, everything whole."""
 
     def __init__(self) -> None:
-        self.packer = Packer()
+        self.packer = DeltaCodec()
         self.lacks = 0  # messages that stood on a text that was not held here
         self._greeted: dict[
             str, int
@@ -241,9 +248,9 @@
         frames = []
         if not self.packer.knows(to):
             count = self._greeted[to] = self._greeted.get(to, -1) + 1
-            if count % GREET == 0 or message["kind"] in BULKY:
+            if count % MESSAGES_PER_GREETING == 0 or message["kind"] in KINDS_WITH_TEXTS:
                 frames.append(self._holds(ask=True))
-        body = self.packer.pack(to, message) if message["kind"] in BULKY else message
+        body = self.packer.pack(to, message) if message["kind"] in KINDS_WITH_TEXTS else message
         return [*frames, {"kind": "chain", "body": body}]
 
     def receive(
@@ -261,7 +268,7 @@
         body = frame.get("body")
         if not isinstance(body, dict) or not isinstance(body.get("kind"), str):
             return None, []
-        if body["kind"] not in BULKY:
+        if body["kind"] not in KINDS_WITH_TEXTS:
             return body, []
         if not known:
             return None, []
@@ -269,7 +276,7 @@
             return self.packer.unpack(sender, body), []
         except RecursionError:
             return None, []
-        except Lack:
+        except MissingTextError:
             self.lacks += 1
             return None, [self._holds(ask=False)]
 
--- a/umbermoor/gateway/local/gateway.py
+++ b/umbermoor/gateway/local/gateway.py
@@ -21,7 +21,7 @@
 
 import httpcore
 
-from umbermoor.gateway.cli.caller import Caller, Told
+from umbermoor.gateway.cli.control_client import ControlClient, ControlResponse
 from umbermoor.gateway.local.machines import Machine, Make
 from umbermoor.gateway.local.traffic import follow, trickle
 
@@ -196,7 +196,7 @@
     async def stories(self) -> dict[str, dict[str, Any]]:
         """What each running core says of itself, by name."""
         running = [one for one in self.cores if one.process]
-        caller = Caller(())
+        caller = ControlClient(())
         told = await asyncio.gather(
             *(
                 asyncio.to_thread(caller.once, f"{one.ip}:{self.ports.control}", "GET", "/Story")
@@ -206,7 +206,7 @@
         return {
             one.name: json.loads(said.body)
             for one, said in zip(running, told)
-            if isinstance(said, Told) and said.done
+            if isinstance(said, ControlResponse) and said.done
         }
 
     async def one_view(self, least: int) -> list[str] | None:
@@ -259,16 +259,18 @@
             }
         ).encode()
         told = await asyncio.to_thread(
-            Caller(self.controls, PATIENCE).call, "POST", "/Config.Replace", body
+            ControlClient(self.controls, PATIENCE).call, "POST", "/Config.Replace", body
         )
-        if not isinstance(told, Told) or not told.done:
+        if not isinstance(told, ControlResponse) or not told.done:
             raise Late(f"configuration {revision:08x} was not taken: {told}")
         self.say(f"configuration {revision:08x} taken by {told.at}")
 
     async def read(self, revision: int) -> None:
         """Reads the configuration back."""
-        told = await asyncio.to_thread(Caller(self.controls, PATIENCE).call, "GET", "/Config.Read")
-        if not isinstance(told, Told) or not told.done:
+        told = await asyncio.to_thread(
+            ControlClient(self.controls, PATIENCE).call, "GET", "/Config.Read"
+        )
+        if not isinstance(told, ControlResponse) or not told.done:
             raise Late(f"the configuration was not read: {told}")
         held = json.loads(told.body)["revision"]
         self.say(f"configuration {held} read at {told.at}")
--- a/umbermoor/gateway/local/machines.py
+++ b/umbermoor/gateway/local/machines.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from umbermoor.gateway.cli.caller import Caller, Told
+from umbermoor.gateway.cli.control_client import ControlClient, ControlResponse
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import write_response
@@ -59,7 +59,7 @@
         self.lines: set[MachineLine] = set()
         self.buffers = Buffers(32 << 20)
         self._waiting: deque[asyncio.Future[None]] = deque()
-        self._caller, self._report_to = Caller(controls, make.period_s), None
+        self._caller, self._report_to = ControlClient(controls, make.period_s), None
         self._server: asyncio.Server | None = None
         self._beating: asyncio.Task[None] | None = None
 
@@ -126,11 +126,13 @@
     async def _leave(self) -> bool:
         return await self._call(f"/Plants.Leave/{self.id}", None) is not None
 
-    async def _call(self, path: str, body: dict | None) -> Told | None:
+    async def _call(self, path: str, body: dict | None) -> ControlResponse | None:
         raw = b"" if body is None else json.dumps(body).encode()
         told = await asyncio.to_thread(self._caller.call, "POST", path, raw, self._report_to)
         return (
-            told if isinstance(told, Told) and told.done and len(told.body) <= ANSWER_MOST else None
+            told
+            if isinstance(told, ControlResponse) and told.done and len(told.body) <= ANSWER_MOST
+            else None
         )
 
     async def _beats(self) -> None:
--- a/umbermoor/gateway/local/traffic.py
+++ b/umbermoor/gateway/local/traffic.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 
-from umbermoor.gateway.cli.caller import Caller, Told
+from umbermoor.gateway.cli.control_client import ControlClient, ControlResponse
 from umbermoor.gateway.local.machines import Machine
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Response
@@ -71,12 +71,12 @@
     those that serve.
 
     Settled: the old ones end at once. Reverted: the new ones drain a few seconds later."""
-    caller, new, ordered, seen = Caller(controls, LOOK), [], "", None
+    caller, new, ordered, seen = ControlClient(controls, LOOK), [], "", None
     ends: set[asyncio.Task[None]] = set()
     while True:
         await asyncio.sleep(LOOK)
         told = await asyncio.to_thread(caller.call, "GET", f"/Rollouts.Read/{service}")
-        if not isinstance(told, Told) or not told.done:
+        if not isinstance(told, ControlResponse) or not told.done:
             continue
         held = json.loads(told.body)
         state, target = held["state"], held["target"]
--- a/umbermoor/gateway/server/client_connection.py
+++ b/umbermoor/gateway/server/client_connection.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from umbermoor.gateway.balancing.attempt_outcomes import SINGLE
-from umbermoor.gateway.server.peer_transport import quicken
+from umbermoor.gateway.server.peer_transport import tune_socket
 from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import REASONS
 
@@ -107,7 +107,7 @@
 
     def connection_made(self, transport) -> None:
         self.transport = transport
-        quicken(transport)
+        tune_socket(transport)
         if len(self.front.lines) >= CONNECTIONS:
             transport.abort()
             return
--- a/umbermoor/gateway/server/connections.py
+++ b/umbermoor/gateway/server/connections.py
@@ -15,7 +15,7 @@
     decide,
 )
 from umbermoor.gateway.balancing.instances import Plant
-from umbermoor.gateway.server.peer_transport import quicken
+from umbermoor.gateway.server.peer_transport import tune_socket
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Response
 
@@ -85,7 +85,7 @@
 
     def connection_made(self, transport) -> None:
         self.transport = transport
-        quicken(transport)
+        tune_socket(transport)
 
     @property
     def stage(self) -> Stage:
--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -11,8 +11,20 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Any
 
-from umbermoor.gateway.api.calls import Call, Desk, Reply, call, reply, wrong
-from umbermoor.gateway.api.orders import CONFIG, configuration, digest_slowly, judge
+from umbermoor.gateway.api.decisions import (
+    CONFIG_KEY,
+    configuration_digest_in_steps,
+    configuration_record,
+    decide_write,
+)
+from umbermoor.gateway.api.http_api import (
+    ApiRequest,
+    ApiResponse,
+    HttpApi,
+    api_call,
+    error_response,
+    json_response,
+)
 from umbermoor.gateway.config.configuration import check_slowly, read
 from umbermoor.gateway.config.errors import Fault
 from umbermoor.gateway.config.node_settings import Papers
@@ -20,15 +32,15 @@
     DRAINING,
     READY,
     SILENT,
-    STANDINGS,
-    Entry,
-    Registry,
-    beat_of,
-    entry_of,
+    STATE_NAMES,
+    InstanceRecord,
+    InstanceRegistry,
+    record_from_heartbeat,
+    record_from_wire,
 )
-from umbermoor.gateway.distribution.deltas import Carrier
-from umbermoor.gateway.distribution.reader import Reader as Pulls
-from umbermoor.gateway.distribution.reader import Teller
+from umbermoor.gateway.distribution.deltas import DeltaChannel
+from umbermoor.gateway.distribution.publisher import Publisher
+from umbermoor.gateway.distribution.subscriber import Subscriber as Pulls
 from umbermoor.gateway.effects import CallResult, Decision, Effect, Outcome, Send, Status, Write
 from umbermoor.gateway.replication.anti_entropy import Compare
 from umbermoor.gateway.replication.replica import Member
@@ -38,7 +50,7 @@
 from umbermoor.gateway.rollout.trial import ask as asked_of
 from umbermoor.gateway.rollout.trial import judge_begin, step
 from umbermoor.gateway.server.events import event, watch
-from umbermoor.gateway.server.peer_transport import Line, Post, frame
+from umbermoor.gateway.server.peer_transport import PeerConnection, PeerTransport, encode_frame
 
 SECOND = 1_000_000
 CLOCK = getattr(
@@ -52,7 +64,7 @@
     2.0  # s: how long a member that is told to end waits at most until the chain goes on without it
 )
 CHANGE = 4.5  # s: a change of the members is answered by then
-LATER = Reply(503, b"", ((b"retry-after", b"0.2"),))
+LATER = ApiResponse(503, b"", ((b"retry-after", b"0.2"),))
 FULL = b'{"error": "the disk is full: what is held stays and is read; a smaller one may be taken"}'
 SWEEP = 10 * SECOND  # us: from the end of a look at the disk to the next
 STATUS = {
@@ -86,20 +98,20 @@
             papers.bear_machines,
             cold,
             stored,
-            judge,
+            decide_write,
             chance,
             papers.zone,
             papers.quorum,
         )
-        self.registry = Registry(chance.getrandbits(40) | 1, papers.period_us)
-        for entry in filter(None, map(entry_of, machines)):
-            self.registry.take(self.now(), entry)
+        self.registry = InstanceRegistry(chance.getrandbits(40) | 1, papers.period_us)
+        for entry in filter(None, map(record_from_wire, machines)):
+            self.registry.observe(self.now(), entry)
         self.compare = Compare()
         self.sweeps, self.mended, self.swept_at, self.sweeping = 0, 0, self.now(), False
-        self.saved, self.saved_at, self.saving = self.registry.shape, 0, False
+        self.saved, self.saved_at, self.saving = self.registry.durable_sequence, 0, False
         self.pulls = Pulls(seeds, papers.ip)
-        self.teller, self.steps, self.learnt = Teller(), Steps(), (0, 0)
-        self.post = Post(papers.ip, papers.ports[0], self.receive, self.lost)
+        self.publisher, self.steps, self.learnt = Publisher(), Steps(), (0, 0)
+        self.post = PeerTransport(papers.ip, papers.ports[0], self.receive, self.lost)
         self.asks: dict[int, asyncio.Future] = {}
         self.heards: dict[int, tuple[set[str], asyncio.Event]] = {}
         self.number = chance.getrandbits(
@@ -116,9 +128,9 @@
             str, bytes
         ] = {}  # frames of the newest configuration, by the base they stand on
         self.bodies_of = 0  # its revision
-        self.carrier = Carrier()
+        self.carrier = DeltaChannel()
         self.texts = self.carrier.packer.texts
-        if held := self.member.held(CONFIG):
+        if held := self.member.held(CONFIG_KEY):
             self.texts.add(held["text"])
         self.over = asyncio.Event()
 
@@ -131,19 +143,21 @@
 
     # Calls
 
-    @call("POST", "/Config.Replace")
-    async def replace(self, ask: Call) -> Reply:
+    @api_call("POST", "/Config.Replace")
+    async def replace(self, ask: ApiRequest) -> ApiResponse:
         body = read(ask.body)
         if isinstance(body, Fault):
-            return wrong(400, str(body))
+            return error_response(400, str(body))
         fault = await self.slowly(check_slowly(body))
         if fault is not None:
             event("refused", what="configuration", why=str(fault))
-            return wrong(400, str(fault))
-        value = configuration(
-            int(body["revision"], 16), ask.body.decode(), await self.slowly(digest_slowly(body))
+            return error_response(400, str(fault))
+        value = configuration_record(
+            int(body["revision"], 16),
+            ask.body.decode(),
+            await self.slowly(configuration_digest_in_steps(body)),
         )
-        answer = await self.ask(lambda now, number: self.member.put(now, number, CONFIG, value))
+        answer = await self.ask(lambda now, number: self.member.put(now, number, CONFIG_KEY, value))
         event(
             "taken" if answer.status is Status.OK else "untaken",
             what="configuration",
@@ -152,7 +166,7 @@
             **self.outcome(answer),
         )
         if answer.status is Status.UNAVAILABLE and self.store.full:
-            return Reply(503, FULL, LATER.headers)
+            return ApiResponse(503, FULL, LATER.headers)
         return self.told(answer)
 
     @staticmethod
@@ -171,54 +185,54 @@
         return {"outcome": answer.value.outcome.value} if isinstance(answer.value, Decision) else {}
 
     @staticmethod
-    def told(answer: CallResult) -> Reply:
+    def told(answer: CallResult) -> ApiResponse:
         """What an order's caller is told."""
         if answer.status is Status.OK:
-            return Reply(200)
+            return ApiResponse(200)
         if answer.status is Status.UNAVAILABLE:
             return LATER
-        return wrong(
+        return error_response(
             STATUS[answer.status],
             answer.value.reason if isinstance(answer.value, Decision) else answer.status.value,
         )
 
-    @call("GET", "/Config.Read")
-    async def config(self, ask: Call) -> Reply:
+    @api_call("GET", "/Config.Read")
+    async def config(self, ask: ApiRequest) -> ApiResponse:
         answer = await self.ask(self.member.read)
         if answer.status is not Status.OK:
             return LATER
-        held = answer.value.get(CONFIG)
+        held = answer.value.get(CONFIG_KEY)
         if held is None:
-            return wrong(404, "no configuration yet")
-        return Reply(200, held["text"].encode(), ((b"content-type", b"application/json"),))
+            return error_response(404, "no configuration yet")
+        return ApiResponse(200, held["text"].encode(), ((b"content-type", b"application/json"),))
 
-    @call("POST", "/Plants.Heartbeat/")
-    async def beat(self, ask: Call) -> Reply:
+    @api_call("POST", "/Plants.Heartbeat/")
+    async def beat(self, ask: ApiRequest) -> ApiResponse:
         try:
             body = ask.json()
         except (ValueError, RecursionError):
-            return wrong(400, "a beat is JSON")
-        entry = beat_of(ask.name, body)
+            return error_response(400, "a beat is JSON")
+        entry = record_from_heartbeat(ask.name, body)
         if isinstance(entry, str):
-            return wrong(400, entry)
+            return error_response(400, entry)
         if not self.connected():
             return LATER
-        known = self.registry.entries.get(entry.id)
-        if self.registry.take(self.now(), entry):
+        known = self.registry.records.get(entry.id)
+        if self.registry.observe(self.now(), entry):
             self.tell_soon()
         if entry.state == DRAINING or known is None:
-            if not await self.note(self.registry.entries.get(entry.id, entry)):
+            if not await self.note(self.registry.records.get(entry.id, entry)):
                 return LATER
-        return Reply(200)
+        return ApiResponse(200)
 
-    @call("POST", "/Plants.Leave/")
-    async def gone(self, ask: Call) -> Reply:
-        entry = self.registry.gone(self.now(), ask.name)
+    @api_call("POST", "/Plants.Leave/")
+    async def gone(self, ask: ApiRequest) -> ApiResponse:
+        entry = self.registry.mark_gone(self.now(), ask.name)
         self.tell_soon()
-        return Reply(200) if self.connected() and await self.note(entry) else LATER
+        return ApiResponse(200) if self.connected() and await self.note(entry) else LATER
 
-    @call("POST", "/Rollouts.Begin")
-    async def begin(self, ask: Call) -> Reply:
+    @api_call("POST", "/Rollouts.Begin")
+    async def begin(self, ask: ApiRequest) -> ApiResponse:
         try:
             body = ask.json()
             service, target, ramp, key = (
@@ -228,26 +242,26 @@
                 body.get("key", ""),
             )
         except (ValueError, RecursionError, TypeError, KeyError, AttributeError) as error:
-            return wrong(400, f"a roll-out names service, target and rampS: {error}")
+            return error_response(400, f"a roll-out names service, target and rampS: {error}")
         if (
             not isinstance(service, str)
             or not 0 < len(service) <= 200
             or not isinstance(target, str)
         ):
-            return wrong(400, "service, target: not texts")
+            return error_response(400, "service, target: not texts")
         if not isinstance(key, str) or len(key) > KEY_MOST:
-            return wrong(400, f"key: not a text of {KEY_MOST} characters at most")
+            return error_response(400, f"key: not a text of {KEY_MOST} characters at most")
         if (
             not target
             or isinstance(ramp, bool)
             or not isinstance(ramp, (int, float))
             or not 0 < ramp < float("inf")
         ):
-            return wrong(422, "target: empty, or rampS: not a number above 0")
+            return error_response(422, "target: empty, or rampS: not a number above 0")
         present = sorted(
             {
                 entry.revision
-                for entry in self.registry.entries.values()
+                for entry in self.registry.records.values()
                 if entry.service == service and entry.state in (READY, SILENT)
             }
         )
@@ -258,7 +272,9 @@
         last = self.member.committed.get(ROLLOUT + service)
         own = judge_begin(last, order, lambda: True)
         if own.outcome is Outcome.CONFLICT and not self.member.judged:
-            return wrong(STATUS[Status.CONFLICT], own.reason) if self.connected() else LATER
+            return (
+                error_response(STATUS[Status.CONFLICT], own.reason) if self.connected() else LATER
+            )
         value = (own.value or last) | {"begin": order}
         answer = await self.ask(
             lambda now, number: self.member.put(now, number, ROLLOUT + service, value)
@@ -273,25 +289,25 @@
         )
         return self.told(answer)
 
-    @call("GET", "/Rollouts.Read/")
-    async def rollout(self, ask: Call) -> Reply:
+    @api_call("GET", "/Rollouts.Read/")
+    async def rollout(self, ask: ApiRequest) -> ApiResponse:
         answer = await self.ask(self.member.read)
         if answer.status is not Status.OK:
             return LATER
         record = answer.value.get(ROLLOUT + ask.name)
         if record is None:
-            return wrong(404, f"no roll-out of {ask.name}")
-        return reply(200, {"state": record["state"], "target": record["target"]})
+            return error_response(404, f"no roll-out of {ask.name}")
+        return json_response(200, {"state": record["state"], "target": record["target"]})
 
-    @call("GET", "/Story")
-    async def story(self, ask: Call) -> Reply:
-        return reply(
+    @api_call("GET", "/Story")
+    async def story(self, ask: ApiRequest) -> ApiResponse:
+        return json_response(
             200,
             {
                 **self.member.story(),
-                "machines": len(self.registry.entries),
+                "machines": len(self.registry.records),
                 "connected": self.member.connected,
-                "pulls": len(self.teller.waiting),
+                "pulls": len(self.publisher.waiting),
                 "name": self.papers.name,
                 "everyone": list(self.member.everyone),
                 "lacks": self.carrier.lacks,
@@ -307,12 +323,12 @@
             },
         )
 
-    @call("GET", "/Machines")
-    async def machines(self, ask: Call) -> Reply:
+    @api_call("GET", "/Machines")
+    async def machines(self, ask: ApiRequest) -> ApiResponse:
         """What this member knows of the machines, by id; `heardS`: how long since it last changed
         here."""
         now, registry = self.now(), self.registry
-        return reply(
+        return json_response(
             200,
             {
                 "machines": {
@@ -322,19 +338,19 @@
                         "zone": one.zone,
                         "revision": one.revision,
                         "capacity": one.capacity,
-                        "state": STANDINGS[one.state],
-                        "heardS": round((now - registry.heard(one.id)) / SECOND, 3),
+                        "state": STATE_NAMES[one.state],
+                        "heardS": round((now - registry.last_changed_at(one.id)) / SECOND, 3),
                     }
-                    for one in registry.entries.values()
+                    for one in registry.records.values()
                 }
             },
         )
 
-    @call("GET", "/Members")
-    async def members(self, ask: Call) -> Reply:
+    @api_call("GET", "/Members")
+    async def members(self, ask: ApiRequest) -> ApiResponse:
         """Who counts, who is in the chain, who could be taken in."""
         member, story = self.member, self.member.story()
-        return reply(
+        return json_response(
             200,
             {
                 "set": story["set"],
@@ -347,15 +363,17 @@
             },
         )
 
-    @call("POST", "/Members.Change")
-    async def change(self, ask: Call) -> Reply:
+    @api_call("POST", "/Members.Change")
+    async def change(self, ask: ApiRequest) -> ApiResponse:
         """One more member (`add`), one fewer (`remove`), or one in the place of another; `dry`:
         only says what that would leave."""
         try:
             body = ask.json()
             add, remove, dry = body.get("add", ""), body.get("remove", ""), body.get("dry", False)
         except (ValueError, RecursionError, AttributeError) as error:
-            return wrong(400, f"a change of the members is JSON with add, remove, dry: {error}")
+            return error_response(
+                400, f"a change of the members is JSON with add, remove, dry: {error}"
+            )
         if not (
             isinstance(add, str)
             and isinstance(remove, str)
@@ -364,7 +382,9 @@
             and len(remove) <= 64
             and (add or remove)
         ):
-            return wrong(400, "add, remove: IP addresses, one at least; dry: true or false")
+            return error_response(
+                400, "add, remove: IP addresses, one at least; dry: true or false"
+            )
         answer = await self.ask(
             lambda now, number: self.member.change(now, number, add, remove, dry), CHANGE
         )
@@ -380,7 +400,7 @@
         )
         if answer.status is Status.UNAVAILABLE:
             return LATER
-        return reply(
+        return json_response(
             STATUS[answer.status], {**told, "error": told["why"]} if told.get("why") else told
         )
 
@@ -398,14 +418,14 @@
         finally:
             self.asks.pop(number, None)
 
-    async def note(self, entry: Entry) -> bool:
+    async def note(self, entry: InstanceRecord) -> bool:
         """Whether a majority of the members holds it: then every front in touch gets it."""
         self.number += 1
         number, done = self.number, asyncio.Event()
         self.heards[number] = {self.papers.ip}, done
         for name in self.member.everyone:
             if name != self.papers.ip:
-                self.post.send(name, {"kind": "told", "number": number, "entry": entry.told()})
+                self.post.send(name, {"kind": "told", "number": number, "entry": entry.to_wire()})
         try:
             if not self.enough(number):
                 async with asyncio.timeout(HEARD):
@@ -421,20 +441,20 @@
 
     # Messages
 
-    def receive(self, line: Line, message: dict[str, Any]) -> None:
+    def receive(self, line: PeerConnection, message: dict[str, Any]) -> None:
         kind, now = message.get("kind"), self.now()
         if kind == "pull":
-            self.teller.pull(now, line, message)
+            self.publisher.add_pull(now, line, message)
             self.tell_soon()
         elif kind == "news":
-            heard = self.pulls.news(now, line.peer, message)
+            heard = self.pulls.receive_update(now, line.peer, message)
             if heard is not None:
-                self.learn(now, heard.machines)
+                self.learn(now, heard.instances)
         elif kind == "told" and line.peer in self.member.everyone:
-            entry = entry_of(message.get("entry"))
+            entry = record_from_wire(message.get("entry"))
             if entry is not None:
                 self.learn(now, [entry])
-                line.send(frame({"kind": "heard", "number": message.get("number")}))
+                line.send(encode_frame({"kind": "heard", "number": message.get("number")}))
         elif kind == "heard":
             held = (
                 self.heards.get(message.get("number"))
@@ -461,15 +481,17 @@
             if body is not None:
                 self.carry(self.member.message(now, line.peer, body))
 
-    def learn(self, now: int, entries: list[Entry]) -> None:
-        changed = [self.registry.take(now, entry) for entry in entries]  # each one is to be taken
+    def learn(self, now: int, entries: list[InstanceRecord]) -> None:
+        changed = [
+            self.registry.observe(now, entry) for entry in entries
+        ]  # each one is to be taken
         if any(changed):
             self.tell_soon()
 
-    def lost(self, line: Line) -> None:
+    def lost(self, line: PeerConnection) -> None:
         self.carrier.lost(line.peer)
-        self.teller.closed(line)
-        self.pulls.failed(self.now(), line.peer)
+        self.publisher.drop(line)
+        self.pulls.pull_failed(self.now(), line.peer)
 
     def carry(self, effects: list[Effect]) -> None:
         """Does what the chain's member returned."""
@@ -490,7 +512,7 @@
         if self.member.version != self.learnt:
             self.learnt = self.member.version
             records = {
-                key: record for key, record in self.member.committed.items() if key != CONFIG
+                key: record for key, record in self.member.committed.items() if key != CONFIG_KEY
             }
             changed = [key for key, record in records.items() if self.records.get(key) != record]
             if changed:
@@ -521,10 +543,14 @@
     def save(self, now: int) -> None:
         """Keeps the list of machines, so that a restart of all members begins with them. Lost, it
         is refilled."""
-        if self.saving or self.registry.shape == self.saved or now - self.saved_at < SAVE:
+        if (
+            self.saving
+            or self.registry.durable_sequence == self.saved
+            or now - self.saved_at < SAVE
+        ):
             return
-        self.saving, self.saved, self.saved_at = True, self.registry.shape, now
-        puts = {MACHINES: json.dumps(self.registry.kept(), separators=(",", ":")).encode()}
+        self.saving, self.saved, self.saved_at = True, self.registry.durable_sequence, now
+        puts = {MACHINES: json.dumps(self.registry.snapshot(), separators=(",", ":")).encode()}
 
         def done(_: Any) -> None:
             self.saving = False
@@ -576,23 +602,28 @@
         """Answers the pulls that have news."""
         self.telling = False
         member, registry = self.member, self.registry
-        config = member.committed.get(CONFIG)
+        config = member.committed.get(CONFIG_KEY)
         revision = config["revision"] if config else 0
-        callers = [line.peer for line in self.teller.waiting if line.peer not in member.everyone]
+        callers = [line.peer for line in self.publisher.waiting if line.peer not in member.everyone]
         fronts = callers if len(callers) <= FRONTS else self.chance.sample(callers, FRONTS)
-        for line, pull in self.teller.due(
-            self.now(), registry.life, registry.urgent, member.version, revision, self.pressing
+        for line, pull in self.publisher.take_due(
+            self.now(),
+            registry.incarnation,
+            registry.urgent_sequence,
+            member.version,
+            revision,
+            self.pressing,
         ):
-            known = pull["number"] if pull["life"] == registry.life else -1
+            known = pull.sequence if pull.incarnation == registry.incarnation else -1
             line.send(
-                frame(
+                encode_frame(
                     {
                         "kind": "news",
-                        "life": registry.life,
-                        "number": registry.number,
-                        "machines": registry.after(known),
+                        "life": registry.incarnation,
+                        "number": registry.sequence,
+                        "machines": registry.changes_after(known),
                         "register": list(member.version),
-                        "keys": self.since(tuple(pull["register"])),
+                        "keys": self.since(pull.version),
                         "everyone": list(member.sets.members),
                         "set": member.sets.number,
                         "head": self.head(),
@@ -602,8 +633,8 @@
                     }
                 )
             )
-            if pull.get("want") and revision > pull["revision"]:
-                line.send(self.body(revision, config["text"], pull["base"]))
+            if pull.wants_body and revision > pull.revision:
+                line.send(self.body(revision, config["text"], pull.base_digest))
 
     def since(self, version: tuple[int, int]) -> dict[str, Any]:
         """What one who holds that version of the register lacks of it, beside the configuration."""
@@ -623,7 +654,7 @@
         if made is None:
             change = self.carrier.packer.change(base, text)
             short = change is not None and 2 * len(change[2]) < len(text)
-            made = self.bodies[base] = frame(
+            made = self.bodies[base] = encode_frame(
                 {"kind": "body", "delta": change} if short else {"kind": "body", "text": text}
             )
         return made
@@ -649,7 +680,7 @@
         gc.freeze()
         ticking = loop.create_task(self.ticks())
         ticking.add_done_callback(lambda _: self.over.set())
-        await serve(Desk(self), config, shutdown_trigger=self.over.wait)
+        await serve(HttpApi(self), config, shutdown_trigger=self.over.wait)
         if (
             ticking.done()
         ):  # a broken invariant: it ends with status 1, and is started again in a clean state
@@ -677,7 +708,7 @@
         while True:
             now = self.now()
             self.carry(self.member.tick(now))
-            self.pulls.everyone = self.member.sets.members
+            self.pulls.members = self.member.sets.members
             if self.member.connected and self.head() == self.papers.ip:
                 for service, record in self.steps.tick(now):
                     self.number += 1
@@ -688,14 +719,14 @@
             self.registry.tick(now, self.member.connected)
             self.save(now)
             self.sweep(now)
-            self.pulls.forget(now)
+            self.pulls.forget_departed(now)
             if self.member.counted and {*self.pulls.sources, self.papers.ip} != {
                 *self.member.everyone
             }:
-                self.pulls.members(self.member.everyone)
-            for name in self.pulls.due(now):
-                self.post.send(name, self.pulls.pull(now, name))
-            if any(now >= until for until, _ in self.teller.waiting.values()):
+                self.pulls.set_members(self.member.everyone)
+            for name in self.pulls.due_pulls(now):
+                self.post.send(name, self.pulls.make_pull(now, name))
+            if self.publisher.has_expired(now):
                 self.tell_soon()
             self.hand_over(now)
             story = self.member.story()
--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -16,8 +16,8 @@
 from umbermoor.gateway.balancing.retry_budget import Budget
 from umbermoor.gateway.config.errors import Fault
 from umbermoor.gateway.config.node_settings import Papers, read_papers
-from umbermoor.gateway.distribution.deltas import applied, digest_of
-from umbermoor.gateway.distribution.reader import Reader as Pulls
+from umbermoor.gateway.distribution.deltas import apply_delta, text_digest
+from umbermoor.gateway.distribution.subscriber import Subscriber
 from umbermoor.gateway.membership.failure_detector import Sonde
 from umbermoor.gateway.rollout.front import Trials
 from umbermoor.gateway.rollout.plan import ROLLOUT
@@ -26,7 +26,7 @@
 from umbermoor.gateway.server.client_connection import ClientLine, relieve, request_bytes
 from umbermoor.gateway.server.connections import Attempt, Pool
 from umbermoor.gateway.server.events import event, watch
-from umbermoor.gateway.server.peer_transport import Line, Post
+from umbermoor.gateway.server.peer_transport import PeerConnection, PeerTransport
 from umbermoor.gateway.server.readiness import ReadyLine
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Request, Response
@@ -72,9 +72,9 @@
         self.plants, self.trials, self.routes = Plants(papers.zone), Trials(), None
         self.buffers = Buffers(papers.memory_mb << 20)
         self.pool = Pool(self.buffers, self.clock, self.may)
-        self.pulls = Pulls([seed.rpartition(":")[0] for seed in papers.seeds])
+        self.pulls = Subscriber([seed.rpartition(":")[0] for seed in papers.seeds])
         self.pulls.salt = chance.getrandbits(32)
-        self.post = Post(papers.ip, papers.ports[0], self.receive, self.lost)
+        self.post = PeerTransport(papers.ip, papers.ports[0], self.receive, self.lost)
         self.lines: set[ClientLine] = set()
         self.going: dict[int, Going] = {}  # by id of its slot
         self.budgets: dict[str, Budget] = {}
@@ -290,21 +290,21 @@
 
     # News
 
-    def receive(self, line: Line, message: dict[str, Any]) -> None:
+    def receive(self, line: PeerConnection, message: dict[str, Any]) -> None:
         kind, now = message.get("kind"), self.now()
         if kind == "news":
             self.look(now)
-            heard = self.pulls.news(now, line.peer, message)
+            heard = self.pulls.receive_update(now, line.peer, message)
             if heard is None:
                 return
-            for plant in self.plants.take(now, heard.machines):
+            for plant in self.plants.take(now, heard.instances):
                 self.pool.drop(plant)
-            if heard.firm:
+            if heard.confirmed:
                 self.trials.heard(now)
-            for key, record in heard.register.items():
+            for key, record in heard.records.items():
                 if key.startswith(ROLLOUT):
                     service = key[len(ROLLOUT) :]
-                    self.trials.order(now, service, record, heard.firm)
+                    self.trials.order(now, service, record, heard.confirmed)
                     stage = record["state"], record["target"], record["stage"]
                     if self.stages.get(key) != stage:
                         self.stages[key] = stage
@@ -316,7 +316,7 @@
                             stage=stage[2],
                         )
             for service in self.plants.changed:
-                if heard.firm and ROLLOUT + service not in self.pulls.register:
+                if heard.confirmed and ROLLOUT + service not in self.pulls.records:
                     self.trials.order(now, service, None)
                 self.trials.listed(
                     now,
@@ -330,8 +330,8 @@
             self.sonde.heard_of(
                 now, [one for one in message.get("fronts", ()) if isinstance(one, str)]
             )
-            if heard.want:
-                self.post.send(line.peer, self.pulls.pull(now, line.peer))
+            if heard.wants_body:
+                self.post.send(line.peer, self.pulls.make_pull(now, line.peer))
         elif kind == "body" and line.peer in self.pulls.sources:
             self.configured(message)
 
@@ -341,14 +341,18 @@
         if (change := message.get("delta")) is not None:
             try:
                 digest, base, made = change
-                if digest == self.pulls.base != "":  # it came from another member before
+                if digest == self.pulls.base_digest != "":  # it came from another member before
                     return
-                text = applied(self.text, made, digest) if base == self.pulls.base != "" else None
+                text = (
+                    apply_delta(self.text, made, digest)
+                    if base == self.pulls.base_digest != ""
+                    else None
+                )
             except (TypeError, ValueError):
                 text = None
             if text is None:
                 event("garbled", what="change of a configuration", why="it does not come out")
-                self.pulls.unusable()
+                self.pulls.discard_base()
                 return
         try:
             body = json.loads(text)
@@ -363,7 +367,7 @@
             event("garbled", what="configuration", why=error)
             return
         self.routes, self.text = routes, text
-        self.pulls.base = digest_of(text)
+        self.pulls.base_digest = text_digest(text)
         self.pulls.revision = max(self.pulls.revision, routes.revision)
         envelope = routes.envelope
         self.idle_s, self.head_s = envelope.idle_us / SECOND + 1.0, envelope.header_us / SECOND
@@ -371,9 +375,9 @@
         self.keep_s = max(1, round(envelope.idle_us / SECOND) - 1)
         event("configured", revision=routes.revision_text, source="news")
 
-    def lost(self, line: Line) -> None:
+    def lost(self, line: PeerConnection) -> None:
         if line.peer in self.pulls.sources:
-            self.pulls.failed(self.now(), line.peer)
+            self.pulls.pull_failed(self.now(), line.peer)
 
     # Clocks
 
@@ -381,7 +385,7 @@
         """Finds out that time has passed in which this process did not run: messages may come
         before the next tick."""
         if now - self.ticked > STILL:
-            self.pulls.stood_still()
+            self.pulls.mark_stalled()
         self.ticked = now
 
     async def serve(self) -> None:
@@ -420,15 +424,15 @@
         while True:
             now = self.now()
             self.look(now)
-            for name in self.pulls.due(now):
-                self.post.send(name, self.pulls.pull(now, name))
+            for name in self.pulls.due_pulls(now):
+                self.post.send(name, self.pulls.make_pull(now, name))
             if self.pulls.head and (reports := self.trials.tick(now)):
                 self.post.send(self.pulls.head, {"kind": "reports", "reports": reports})
             if not self.ready:
                 self.ready = (
                     self.routes is not None
-                    and self.pulls.offered <= self.pulls.revision
-                    and self.pulls.firm_since(self.started)
+                    and self.pulls.newest_revision <= self.pulls.revision
+                    and self.pulls.confirmed_since(self.started)
                     and (bool(self.plants.by_id) or now - self.started > FIRST)
                 )
                 if self.ready:
@@ -439,7 +443,7 @@
             if clock - told >= 1:
                 told = clock
                 self.pool.sweep()
-                for id in self.pulls.forget(now):
+                for id in self.pulls.forget_departed(now):
                     self.plants.forget(id)
                 if _changed(self.path) != self.changed:
                     self.read_again()
@@ -464,7 +468,7 @@
         for budget in self.budgets.values():
             budget.set_ratio(papers.margin("retryRatio", 0.2))
         for seed in papers.seeds:
-            self.pulls.meet(seed.rpartition(":")[0])
+            self.pulls.add_seed(seed.rpartition(":")[0])
         event("settings", seeds=",".join(papers.seeds))
 
     def leave(self) -> None:
--- a/umbermoor/gateway/simulation/play.py
+++ b/umbermoor/gateway/simulation/play.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from umbermoor.gateway.api.calls import Desk
+from umbermoor.gateway.api.http_api import HttpApi
 from umbermoor.gateway.balancing.attempt_outcomes import Fate
 from umbermoor.gateway.config.node_settings import Papers
 from umbermoor.gateway.server import controller as core_host
@@ -76,7 +76,7 @@
         def begin() -> None:
             with patch.object(core_host, "Store", lambda *_: self.box.disk):
                 core.__init__(papers, chance)
-            self.core, self.desk = core, Desk(core)
+            self.core, self.desk = core, HttpApi(core)
             process.create_task(core.post.listen())
             process.create_task(core.ticks()).add_done_callback(
                 lambda task: self.ended(process, task)
