--- a/umbermoor/gateway/__main__.py
+++ b/umbermoor/gateway/__main__.py
@@ -34,22 +34,22 @@
     import asyncio
     import os
 
-    from umbermoor.gateway.config.errors import Fault
-    from umbermoor.gateway.config.node_settings import read_papers
+    from umbermoor.gateway.config.errors import ValidationError
+    from umbermoor.gateway.config.node_settings import read_node_settings
     from umbermoor.gateway.effects import UnsupportedFormatError
     from umbermoor.gateway.server import events
 
     program = DEPRECATED_PROGRAMS.get(name, name)
     path = os.environ.get("UMBERMOOR_SETTINGS", DEFAULT_SETTINGS_PATH)
-    papers = read_papers(path)
-    if isinstance(papers, Fault):
-        print(papers, file=sys.stderr)
+    settings = read_node_settings(path)
+    if isinstance(settings, ValidationError):
+        print(settings, file=sys.stderr)
         return EXIT_BAD_INPUT
     required = REQUIRED_LISTEN_ADDRESSES[program]
-    if missing := [address for address in required if address not in papers.listen]:
+    if missing := [address for address in required if address not in settings.listen]:
         print(f"settings: listen.{missing[0]}: missing, {program} serves it", file=sys.stderr)
         return EXIT_BAD_INPUT
-    events.start(program, papers.name)
+    events.start(program, settings.name)
     if name != program:
         events.event("deprecated", command=name, use=program)
     if program == "proxy":
@@ -57,7 +57,7 @@
     else:
         from umbermoor.gateway.server.controller import serve
     try:
-        asyncio.run(serve(papers, path))
+        asyncio.run(serve(settings, path))
     except UnsupportedFormatError as error:
         print(f"settings: dataDir: {error}", file=sys.stderr)
         return EXIT_BAD_INPUT
--- a/umbermoor/gateway/api/decisions.py
+++ b/umbermoor/gateway/api/decisions.py
@@ -3,7 +3,7 @@
 
 The one place where puts are decided (`judge`): no I/O, no clock, no copy of its own. A number
 (`revision`) has one content for good, as far back as digests are kept. Source: PROTOCOL.md, "The
-operator"; docs/control.md says why.
+operator"; docs/consistency.md says why.
 """
 
 import json
@@ -83,7 +83,7 @@
 
 def configuration_record(revision: int, text: str, digest: str) -> ConfigurationRecord:
     """What is put for a configuration that was found sound."""
-    return {"revision": revision, "text": text, "digest": digest}
+    return {"revision": revision, "text": text, "digest": configuration_digest}
 
 
 def decide_write(held: Mapping[str, Any], key: str, new: Any, epoch: int) -> Decision:
@@ -153,7 +153,7 @@
 
 
 def _packed(revision: int, digest: str) -> bytes:
-    return revision.to_bytes(REVISION_BYTES, "big") + bytes.fromhex(digest)
+    return revision.to_bytes(REVISION_BYTES, "big") + bytes.fromhex(configuration_digest)
 
 
 def _known(past: bytes, revision: int) -> str | None:
@@ -184,4 +184,7 @@
 
 def _names(configuration: ConfigurationRecord | None, service: str) -> bool:
     """Whether the configuration in force names that service; also where there is none yet."""
-    return configuration is None or service in json.loads(configuration["text"])["services"]
+    return (
+        configuration_record is None
+        or service in json.loads(configuration_record["text"])["services"]
+    )
--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -25,9 +25,9 @@
     error_response,
     json_response,
 )
-from umbermoor.gateway.config.configuration import check_slowly, read
-from umbermoor.gateway.config.errors import Fault
-from umbermoor.gateway.config.node_settings import Papers
+from umbermoor.gateway.config.configuration import check_in_steps, decode
+from umbermoor.gateway.config.errors import ValidationError
+from umbermoor.gateway.config.node_settings import NodeSettings
 from umbermoor.gateway.discovery.registry import (
     DRAINING,
     READY,
@@ -80,7 +80,7 @@
 
 
 class Core:
-    def __init__(self, papers: Papers, chance: random.Random) -> None:
+    def __init__(self, papers: NodeSettings, chance: random.Random) -> None:
         self.papers, self.chance = papers, chance
         self.store = Store(papers.data_dir or "", round(papers.disk_mb * 0.6) << 20)
         self.disk = ThreadPoolExecutor(1)
@@ -91,19 +91,19 @@
             self.store.lost
         ):  # a disk that can't be believed is one that was lost, and no new system's
             event("disk_lost", why=self.store.lost)
-        cold = papers.cold and not self.store.lost
+        cold = papers.cold_start and not self.store.lost
         self.member = Member(
             papers.ip,
             seeds,
-            papers.bear_machines,
+            papers.tolerated_machine_losses,
             cold,
             stored,
             decide_write,
             chance,
             papers.zone,
-            papers.quorum,
+            papers.quorum_member,
         )
-        self.registry = InstanceRegistry(chance.getrandbits(40) | 1, papers.period_us)
+        self.registry = InstanceRegistry(chance.getrandbits(40) | 1, papers.heartbeat_interval_us)
         for entry in filter(None, map(record_from_wire, machines)):
             self.registry.observe(self.now(), entry)
         self.compare = Compare()
@@ -111,7 +111,7 @@
         self.saved, self.saved_at, self.saving = self.registry.durable_sequence, 0, False
         self.pulls = Pulls(seeds, papers.ip)
         self.publisher, self.steps, self.learnt = Publisher(), Steps(), (0, 0)
-        self.post = PeerTransport(papers.ip, papers.ports[0], self.receive, self.lost)
+        self.post = PeerTransport(papers.ip, papers.port_range[0], self.receive, self.lost)
         self.asks: dict[int, asyncio.Future] = {}
         self.heards: dict[int, tuple[set[str], asyncio.Event]] = {}
         self.number = chance.getrandbits(
@@ -145,10 +145,10 @@
 
     @api_call("POST", "/Config.Replace")
     async def replace(self, ask: ApiRequest) -> ApiResponse:
-        body = read(ask.body)
-        if isinstance(body, Fault):
+        body = decode(ask.body)
+        if isinstance(body, ValidationError):
             return error_response(400, str(body))
-        fault = await self.slowly(check_slowly(body))
+        fault = await self.slowly(check_in_steps(body))
         if fault is not None:
             event("refused", what="configuration", why=str(fault))
             return error_response(400, str(fault))
@@ -358,7 +358,7 @@
                 "chain": story["chain"],
                 "learners": {name: name in member.learners() for name in story["learners"]},
                 "thin": story["thin"],
-                "bear": self.papers.bear_machines,
+                "bear": self.papers.tolerated_machine_losses,
                 "connected": member.connected,
             },
         )
@@ -751,7 +751,7 @@
             await asyncio.sleep(TICK)
 
 
-async def serve(papers: Papers, path: str = "") -> None:
+async def serve(papers: NodeSettings, path: str = "") -> None:
     """Runs a barograph until it is told to end. Of its settings nothing is read again: members stay
     as founded."""
     await Core(papers, random.Random()).serve()
