--- a/umbermoor/gateway/api/decisions.py
+++ b/umbermoor/gateway/api/decisions.py
@@ -83,7 +83,7 @@
 
 def configuration_record(revision: int, text: str, digest: str) -> ConfigurationRecord:
     """What is put for a configuration that was found sound."""
-    return {"revision": revision, "text": text, "digest": configuration_digest}
+    return {"revision": revision, "text": text, "digest": digest}
 
 
 def decide_write(held: Mapping[str, Any], key: str, new: Any, epoch: int) -> Decision:
@@ -153,7 +153,7 @@
 
 
 def _packed(revision: int, digest: str) -> bytes:
-    return revision.to_bytes(REVISION_BYTES, "big") + bytes.fromhex(configuration_digest)
+    return revision.to_bytes(REVISION_BYTES, "big") + bytes.fromhex(digest)
 
 
 def _known(past: bytes, revision: int) -> str | None:
@@ -184,7 +184,4 @@
 
 def _names(configuration: ConfigurationRecord | None, service: str) -> bool:
     """Whether the configuration in force names that service; also where there is none yet."""
-    return (
-        configuration_record is None
-        or service in json.loads(configuration_record["text"])["services"]
-    )
+    return configuration is None or service in json.loads(configuration["text"])["services"]
