--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -40,10 +40,10 @@
 )
 from umbermoor.gateway.distribution.deltas import DeltaChannel
 from umbermoor.gateway.distribution.publisher import Publisher
-from umbermoor.gateway.distribution.subscriber import Subscriber as Pulls
+from umbermoor.gateway.distribution.subscriber import Subscriber
 from umbermoor.gateway.effects import CallResult, Decision, Effect, Outcome, Send, Status, Write
-from umbermoor.gateway.replication.anti_entropy import Compare
-from umbermoor.gateway.replication.replica import Member
+from umbermoor.gateway.replication.anti_entropy import DigestComparison
+from umbermoor.gateway.replication.replica import Replica
 from umbermoor.gateway.replication.store import Store
 from umbermoor.gateway.rollout.core import Steps
 from umbermoor.gateway.rollout.plan import ROLLOUT
@@ -92,7 +92,7 @@
         ):  # a disk that can't be believed is one that was lost, and no new system's
             event("disk_lost", why=self.store.lost)
         cold = papers.cold_start and not self.store.lost
-        self.member = Member(
+        self.member = Replica(
             papers.ip,
             seeds,
             papers.tolerated_machine_losses,
@@ -106,10 +106,10 @@
         self.registry = InstanceRegistry(chance.getrandbits(40) | 1, papers.heartbeat_interval_us)
         for entry in filter(None, map(record_from_wire, machines)):
             self.registry.observe(self.now(), entry)
-        self.compare = Compare()
+        self.compare = DigestComparison()
         self.sweeps, self.mended, self.swept_at, self.sweeping = 0, 0, self.now(), False
         self.saved, self.saved_at, self.saving = self.registry.durable_sequence, 0, False
-        self.pulls = Pulls(seeds, papers.ip)
+        self.pulls = Subscriber(seeds, papers.ip)
         self.publisher, self.steps, self.learnt = Publisher(), Steps(), (0, 0)
         self.post = PeerTransport(papers.ip, papers.port_range[0], self.receive, self.lost)
         self.asks: dict[int, asyncio.Future] = {}
@@ -130,7 +130,7 @@
         self.bodies_of = 0  # its revision
         self.carrier = DeltaChannel()
         self.texts = self.carrier.packer.texts
-        if held := self.member.held(CONFIG_KEY):
+        if held := self.member.stored(CONFIG_KEY):
             self.texts.add(held["text"])
         self.over = asyncio.Event()
 
@@ -271,7 +271,7 @@
         # the order changes nothing.
         last = self.member.committed.get(ROLLOUT + service)
         own = judge_begin(last, order, lambda: True)
-        if own.outcome is Outcome.CONFLICT and not self.member.judged:
+        if own.outcome is Outcome.CONFLICT and not self.member.head_decides:
             return (
                 error_response(STATUS[Status.CONFLICT], own.reason) if self.connected() else LATER
             )
@@ -304,12 +304,12 @@
         return json_response(
             200,
             {
-                **self.member.story(),
+                **self.member.status().to_json(),
                 "machines": len(self.registry.records),
                 "connected": self.member.connected,
                 "pulls": len(self.publisher.waiting),
                 "name": self.papers.name,
-                "everyone": list(self.member.everyone),
+                "everyone": list(self.member.member_names),
                 "lacks": self.carrier.lacks,
                 "disk": {
                     "bytes": self.store.used(),
@@ -349,15 +349,15 @@
     @api_call("GET", "/Members")
     async def members(self, ask: ApiRequest) -> ApiResponse:
         """Who counts, who is in the chain, who could be taken in."""
-        member, story = self.member, self.member.story()
+        member, story = self.member, self.member.status()
         return json_response(
             200,
             {
-                "set": story["set"],
-                "members": story["members"],
-                "chain": story["chain"],
-                "learners": {name: name in member.learners() for name in story["learners"]},
-                "thin": story["thin"],
+                "set": story.set_number,
+                "members": list(story.members),
+                "chain": list(story.chain),
+                "learners": {name: name in member.learners() for name in story.learners},
+                "thin": story.degraded,
                 "bear": self.papers.tolerated_machine_losses,
                 "connected": member.connected,
             },
@@ -423,7 +423,7 @@
         self.number += 1
         number, done = self.number, asyncio.Event()
         self.heards[number] = {self.papers.ip}, done
-        for name in self.member.everyone:
+        for name in self.member.member_names:
             if name != self.papers.ip:
                 self.post.send(name, {"kind": "told", "number": number, "entry": entry.to_wire()})
         try:
@@ -437,7 +437,7 @@
             del self.heards[number]
 
     def enough(self, number: int) -> bool:
-        return self.member.sets.quorum(self.heards[number][0])
+        return self.member.replica_set.quorum(self.heards[number][0])
 
     # Messages
 
@@ -450,7 +450,7 @@
             heard = self.pulls.receive_update(now, line.peer, message)
             if heard is not None:
                 self.learn(now, heard.instances)
-        elif kind == "told" and line.peer in self.member.everyone:
+        elif kind == "told" and line.peer in self.member.member_names:
             entry = record_from_wire(message.get("entry"))
             if entry is not None:
                 self.learn(now, [entry])
@@ -461,7 +461,7 @@
                 if isinstance(message.get("number"), int)
                 else None
             )
-            if held is not None and line.peer in self.member.everyone:
+            if held is not None and line.peer in self.member.member_names:
                 held[0].add(line.peer)
                 if self.enough(message["number"]):
                     held[1].set()
@@ -471,15 +471,17 @@
                     self.steps.report(now, line.peer, report)
                 except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
                     event("garbled", what="report", source=line.peer, why=error)
-        elif kind == "digest" and line.peer in self.member.everyone:
-            if self.compare.heard(line.peer, message, self.member.version, self.member.committed):
+        elif kind == "digest" and line.peer in self.member.member_names:
+            if self.compare.differs(line.peer, message, self.member.version, self.member.committed):
                 event("differs", source=line.peer, version=message["version"])
         elif kind in ("chain", "holds"):
-            body, frames = self.carrier.receive(line.peer, self.member.listens(line.peer), message)
+            body, frames = self.carrier.receive(
+                line.peer, self.member.accepts_from(line.peer), message
+            )
             for one in frames:
                 self.post.send(line.peer, one)
             if body is not None:
-                self.carry(self.member.message(now, line.peer, body))
+                self.carry(self.member.receive(now, line.peer, body))
 
     def learn(self, now: int, entries: list[InstanceRecord]) -> None:
         changed = [
@@ -534,11 +536,11 @@
                 event("disk_lost", why=self.store.lost)
                 self.over.set()  # it is started again, and finds that its disk counts as lost
                 return
-            self.carry(self.member.unwritten(self.now(), token))
+            self.carry(self.member.write_failed(self.now(), token))
 
     def head(self) -> str:
         """The member where puts enter, as far as it is known here."""
-        return next(iter(self.member.story()["chain"]), "")
+        return next(iter(self.member.status().chain), "")
 
     def save(self, now: int) -> None:
         """Keeps the list of machines, so that a restart of all members begins with them. Lost, it
@@ -572,14 +574,14 @@
     def swept(self, rotten: list[str] | None) -> None:
         self.sweeping, self.swept_at, self.sweeps = False, self.now(), self.sweeps + 1
         if self.member.version > (0, 0):
-            told = self.compare.tell(self.member.version, self.member.committed)
-            for name in self.member.everyone:
+            told = self.compare.message(self.member.version, self.member.committed)
+            for name in self.member.member_names:
                 if name != self.papers.ip:
                     self.post.send(name, told)
         if not rotten and rotten is not None:
             return
         values = [record for record in rotten or () if record != MACHINES]
-        effects = None if rotten is None else self.member.mend(self.now(), values)
+        effects = None if rotten is None else self.member.repair(self.now(), values)
         if effects is None:
             event(
                 "disk_lost",
@@ -604,7 +606,9 @@
         member, registry = self.member, self.registry
         config = member.committed.get(CONFIG_KEY)
         revision = config["revision"] if config else 0
-        callers = [line.peer for line in self.publisher.waiting if line.peer not in member.everyone]
+        callers = [
+            line.peer for line in self.publisher.waiting if line.peer not in member.member_names
+        ]
         fronts = callers if len(callers) <= FRONTS else self.chance.sample(callers, FRONTS)
         for line, pull in self.publisher.take_due(
             self.now(),
@@ -624,8 +628,8 @@
                         "machines": registry.changes_after(known),
                         "register": list(member.version),
                         "keys": self.since(pull.version),
-                        "everyone": list(member.sets.members),
-                        "set": member.sets.number,
+                        "everyone": list(member.replica_set.members),
+                        "set": member.replica_set.number,
                         "head": self.head(),
                         "firm": self.connected(),
                         "revision": revision,
@@ -695,11 +699,15 @@
             self.leaving = self.now() + round(
                 min(HANDS_OVER, self.papers.margin_us("graceS", 6.0) / 3e6) * SECOND
             )
-            self.carry(self.member.leave(self.now()))
+            self.carry(self.member.hand_over(self.now()))
 
     def hand_over(self, now: int) -> None:
-        if self.leaving and not self.over.is_set() and (self.member.left or now >= self.leaving):
-            event("left", handed_over=self.member.left, epoch=self.member.story()["epoch"])
+        if (
+            self.leaving
+            and not self.over.is_set()
+            and (self.member.handed_over or now >= self.leaving)
+        ):
+            event("left", handed_over=self.member.handed_over, epoch=self.member.status().epoch)
             self.over.set()
 
     async def ticks(self) -> None:
@@ -708,37 +716,37 @@
         while True:
             now = self.now()
             self.carry(self.member.tick(now))
-            self.pulls.members = self.member.sets.members
+            self.pulls.members = self.member.replica_set.members
             if self.member.connected and self.head() == self.papers.ip:
                 for service, record in self.steps.tick(now):
                     self.number += 1
                     value = step(
-                        record, self.steps.orders[service].record, self.member.story()["epoch"]
+                        record, self.steps.orders[service].record, self.member.status().epoch
                     )
                     self.carry(self.member.put(now, self.number, ROLLOUT + service, value))
             self.registry.tick(now, self.member.connected)
             self.save(now)
             self.sweep(now)
             self.pulls.forget_departed(now)
-            if self.member.counted and {*self.pulls.sources, self.papers.ip} != {
-                *self.member.everyone
+            if self.member.is_member and {*self.pulls.sources, self.papers.ip} != {
+                *self.member.member_names
             }:
-                self.pulls.set_members(self.member.everyone)
+                self.pulls.set_members(self.member.member_names)
             for name in self.pulls.due_pulls(now):
                 self.post.send(name, self.pulls.make_pull(now, name))
             if self.publisher.has_expired(now):
                 self.tell_soon()
             self.hand_over(now)
-            story = self.member.story()
-            if (story["set"], story["thin"]) != thin:
-                thin = story["set"], story["thin"]
+            story = self.member.status()
+            if (story.set_number, story.degraded) != thin:
+                thin = story.set_number, story.degraded
                 event(
                     "set",
-                    number=story["set"],
-                    members=",".join(story["members"]) or "none",
-                    thin=story["thin"],
+                    number=story.set_number,
+                    members=",".join(story.members) or "none",
+                    thin=story.degraded,
                 )
-            view = story.get("epoch"), story.get("chain"), story.get("role"), self.member.connected
+            view = story.epoch, story.chain, story.role.value, self.member.connected
             if view != shown:
                 shown = view
                 event(
