--- a/umbermoor/facade.py
+++ b/umbermoor/front/facade.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from umbermoor.interface import Charter, Do, Ending, Entry, Listing, News, Verdict
-from umbermoor.records import Contrast, Pace
-from umbermoor.rules import Front
+from umbermoor.front.interface import Charter, Do, Ending, Entry, Listing, News, Verdict
+from umbermoor.front.records import Contrast, Pace
+from umbermoor.front.rules import Front
 
 # What a front is asked to do next.
 
@@ -154,7 +154,7 @@
 }
 
 
-class Desk:
+class DecisionModule:
     def __init__(self, charter: Charter, clock: Callable[[], int]) -> None:
         self._front, self._clock = Front(charter), clock
         self._steps: deque[Step] = deque()  # decided beside a pick, and not told yet
--- a/umbermoor/charter.py
+++ b/umbermoor/front/start_settings.py
@@ -3,7 +3,7 @@
 
 from typing import Any
 
-from umbermoor.interface import Charter, Control, Group, Profile, Repeat
+from umbermoor.front.interface import Charter, Control, Group, Profile, Repeat
 
 REPEATS = {"repeatable": Repeat.RETRIABLE, "by_key": Repeat.FINGERPRINTED, "once": Repeat.BINDING}
 
@@ -12,7 +12,7 @@
     return round((ms or 0) * 1000)
 
 
-def read_charter(seed: int, info: dict[str, Any]) -> Charter:
+def read_start_settings(seed: int, info: dict[str, Any]) -> Charter:
     rules, limits, domain = (info.get(part) or {} for part in ("rules", "limits", "domain"))
     profiles = tuple(
         Profile(
