--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -24,7 +24,7 @@
 
 from benchmarks.members_replaced import Stream
 from benchmarks.revisions import MixedGateway
-from umbermoor.gateway.cli.caller import Caller, Told
+from umbermoor.gateway.cli.control_client import ControlClient, ControlResponse
 from umbermoor.gateway.local.gateway import HOST, PREFIX, Late, Node, _free, _signal
 from umbermoor.gateway.local.traffic import trickle
 from umbermoor.lab.compare import drop_tree, work_tree
@@ -106,9 +106,9 @@
     async def read_newest(self, when: str) -> None:
         """What was acknowledged before is read now."""
         least = self.stream.acknowledged
-        call = Caller(self.gateway.controls, 5.0).call
+        call = ControlClient(self.gateway.controls, 5.0).call
         told = await asyncio.to_thread(call, "GET", "/Config.Read")
-        if not isinstance(told, Told) or not told.done:
+        if not isinstance(told, ControlResponse) or not told.done:
             self.faults.append(f"{when}: the configuration was not read: {told}")
             return
         held = int(json.loads(told.body)["revision"], 16)
--- a/umbermoor/gateway/balancing/instances.py
+++ b/umbermoor/gateway/balancing/instances.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Container, Iterable
 
 from umbermoor.gateway.balancing.instance import Instance, ServiceTimeEstimate
-from umbermoor.gateway.discovery.registry import DRAINING, GONE, READY, Entry
+from umbermoor.gateway.discovery.registry import DRAINING, GONE, READY, InstanceRecord
 
 RANDOM_SPREAD = 0.15  # how much longer an instance may be taken to need, by chance
 RETRY_PENALTY = 10  # mean service times: an instance that was tried before comes last
@@ -33,7 +33,7 @@
         self.service_times: dict[str, ServiceTimeEstimate] = {}
         self.changed_services: set[str] = set()
 
-    def update(self, now: int, entries: Iterable[Entry]) -> list[Instance]:
+    def update(self, now: int, entries: Iterable[InstanceRecord]) -> list[Instance]:
         """Takes over changed entries; returns the instances that may get no request any more."""
         removed = []
         for entry in entries:
@@ -50,11 +50,11 @@
             elif instance.entry.state != entry.state or instance.entry.revision != entry.revision:
                 self.changed_services.add(entry.service)
             instance.entry = entry
-            if entry.warm_us:
-                instance.warm_at = now + entry.warm_us
+            if entry.warmup_us:
+                instance.warm_at = now + entry.warmup_us
         return removed
 
-    def _add(self, entry: Entry, now: int) -> Instance:
+    def _add(self, entry: InstanceRecord, now: int) -> Instance:
         instance = self.by_id[entry.id] = Instance(entry, now)
         self.by_service.setdefault(entry.service, {})[entry.id] = instance
         self.changed_services.add(entry.service)
