--- a/benchmarks/capacity/measures.py
+++ b/benchmarks/capacity/measures.py
@@ -905,7 +905,7 @@
     from umbermoor.gateway.discovery import registry as screen
     from umbermoor.gateway.distribution import deltas, reader
     from umbermoor.gateway.membership import failure_detector
-    from umbermoor.gateway.replication import replica, requests, view
+    from umbermoor.gateway.replication import replica_set, requests, timing
     from umbermoor.gateway.rollout import core as anemometer
     from umbermoor.gateway.server import controller, peer_transport
 
@@ -920,11 +920,11 @@
         "fronts known to a front": failure_detector.MEMBERS,
         "probe period": failure_detector.PERIOD,
         "fronts that report": anemometer.FRONTS,
-        "members": view.MOST,
+        "members": replica_set.MAX_MEMBERS,
         "pull kept": reader.HOLD,
         "pulls apart": reader.GAP,
-        "calls under way": requests.MOST,
-        "members' ping": replica.HEARTBEAT_INTERVAL,
+        "calls under way": requests.MAX_CALLS,
+        "members' ping": timing.HEARTBEAT_INTERVAL,
         "report renewed": 250_000,
         "tick": round(controller.TICK * SECOND),
         "told together": round(controller.BATCH * SECOND),
--- a/umbermoor/gateway/effects.py
+++ b/umbermoor/gateway/effects.py
@@ -6,7 +6,11 @@
 
 from collections.abc import Mapping
 from enum import Enum
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, TypeAlias
+
+# Values of operators and of other processes, as JSON holds them.
+JsonValue: TypeAlias = None | bool | int | float | str | list["JsonValue"] | dict[str, "JsonValue"]
+JsonObject: TypeAlias = dict[str, JsonValue]
 
 
 class Status(Enum):
@@ -45,7 +49,7 @@
     """A message to another process, best effort: it may be lost, duplicated or late."""
 
     to: str  # its IP address
-    message: dict[str, Any]  # JSON
+    message: JsonObject
 
 
 class Write(NamedTuple):
--- /dev/null
+++ b/umbermoor/gateway/replication/codec.py
@@ -0,0 +1,374 @@
+"""The wire format of the messages between replicas: JSON objects, each with its `kind`.
+
+The table FORMATS holds for each kind its fields in their order on the wire. A message of another
+shape is dropped whole, so what handles one need not look again; fields that are not known are
+ignored; those that earlier revisions do not send have a default.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+from umbermoor.gateway.effects import JsonObject, JsonValue, Outcome
+from umbermoor.gateway.replication import messages
+from umbermoor.gateway.replication.messages import CallId, Entry, HeartbeatId, Message
+from umbermoor.gateway.replication.replica_set import EpochSet, ReplicaSet
+from umbermoor.gateway.replication.view import View
+
+NUMBER_LIMIT = 2**62
+MAX_NAMES = 64
+MAX_NAME_LENGTH = 64
+MAX_KEY_BYTES = 480  # as long as LMDB takes with what is put before it
+MAX_REASON_LENGTH = 400
+OUTCOMES = frozenset(outcome.value for outcome in Outcome)
+
+
+def is_number(value: object) -> bool:
+    """Whether it is a whole number of the range."""
+    return type(value) is int and 0 <= value < NUMBER_LIMIT
+
+
+def is_flag(value: object) -> bool:
+    """Whether it is true or false."""
+    return type(value) is bool
+
+
+def is_name(value: object) -> bool:
+    """Whether it may be a replica's name."""
+    return type(value) is str and 0 < len(value) <= MAX_NAME_LENGTH
+
+
+def is_key(value: object) -> bool:
+    """Whether it may be a key of the map."""
+    return (
+        type(value) is str
+        and len(value.encode(errors="replace")) <= MAX_KEY_BYTES
+        and value.isprintable()
+    )
+
+
+def _is_anything(value: object) -> bool:
+    return True
+
+
+def _is_zone(value: object) -> bool:
+    return type(value) is str and len(value) <= MAX_NAME_LENGTH
+
+
+def _is_names(value: object) -> bool:
+    return (
+        type(value) is list
+        and len(value) <= MAX_NAMES
+        and all(map(is_name, value))
+        and len(set(value)) == len(value)
+    )
+
+
+def _is_pair_of_numbers(value: object) -> bool:
+    return type(value) is list and len(value) == 2 and all(map(is_number, value))
+
+
+def _is_view(value: object) -> bool:
+    return type(value) is list and len(value) == 2 and is_number(value[0]) and _is_names(value[1])
+
+
+def _is_state(value: object) -> bool:
+    return type(value) is dict and all(map(is_key, value))
+
+
+def _is_entry(value: object) -> bool:
+    return (
+        type(value) is list
+        and len(value) == 5
+        and is_key(value[0])
+        and is_name(value[2])
+        and all(map(is_number, value[3:]))
+    )
+
+
+def _is_entries(value: object) -> bool:
+    return type(value) is list and all(map(_is_entry, value))
+
+
+def _is_outcome(value: object) -> bool:
+    return type(value) is str and value in OUTCOMES
+
+
+def _is_reason(value: object) -> bool:
+    return type(value) is str and len(value) <= MAX_REASON_LENGTH
+
+
+def _is_seats(value: object) -> bool:
+    return (
+        type(value) is list
+        and 0 < len(value) <= MAX_NAMES
+        and all(
+            type(seat) is list and len(seat) == 2 and is_name(seat[0]) and is_number(seat[1])
+            for seat in value
+        )
+        and len({seat[0] for seat in value}) == len(value)
+    )
+
+
+def _is_replica_set(value: object) -> bool:
+    return (
+        type(value) is list
+        and len(value) == 4
+        and all(map(is_number, value[:2]))
+        and all(map(_is_seats, value[2:]))
+    )
+
+
+def _is_epoch_set(value: object) -> bool:
+    return (
+        type(value) is list
+        and len(value) == 2
+        and is_number(value[0])
+        and _is_replica_set(value[1])
+    )
+
+
+def _unchanged(value: Any) -> Any:
+    return value
+
+
+class FieldType(NamedTuple):
+    """How one type of field is checked, read and written."""
+
+    is_valid: Callable[[object], bool]
+    decode: Callable[[Any], Any] = _unchanged
+    encode: Callable[[Any], JsonValue] = _unchanged
+
+    def or_null(self) -> "FieldType":
+        """The same type, or null, which is None."""
+        is_valid, decode, encode = self
+        return FieldType(
+            lambda value: value is None or is_valid(value),
+            lambda value: None if value is None else decode(value),
+            lambda value: None if value is None else encode(value),
+        )
+
+
+def _decode_view(value: Any) -> View:
+    return View(value[0], tuple(value[1]))
+
+
+def _encode_view(view: View) -> JsonValue:
+    return [view.epoch, list(view.chain)]
+
+
+def _decode_entries(value: Any) -> tuple[Entry, ...]:
+    return tuple(Entry(key, content, CallId(*call)) for key, content, *call in value)
+
+
+def _encode_entries(entries: tuple[Entry, ...]) -> JsonValue:
+    return [[entry.key, entry.value, *entry.call] for entry in entries]
+
+
+NUMBER = FieldType(is_number)
+FLAG = FieldType(is_flag)
+NAMES = FieldType(_is_names, tuple, list)
+VERSION = FieldType(_is_pair_of_numbers, tuple, list)
+VIEW = FieldType(_is_view, _decode_view, _encode_view)
+KEY = FieldType(is_key)
+ANYTHING = FieldType(_is_anything)
+ZONE = FieldType(_is_zone)
+STATE = FieldType(_is_state)
+ENTRIES = FieldType(_is_entries, _decode_entries, _encode_entries)
+HEARTBEAT_ID = FieldType(_is_pair_of_numbers, lambda value: HeartbeatId(*value), list)
+OUTCOME = FieldType(_is_outcome, Outcome, lambda outcome: outcome.value)
+REASON = FieldType(_is_reason)
+REPLICA_SET = FieldType(_is_replica_set, ReplicaSet.from_json, ReplicaSet.to_json)
+EPOCH_SET = FieldType(_is_epoch_set, EpochSet.from_json, EpochSet.to_json)
+
+REQUIRED: Any = object()
+
+
+@dataclass(frozen=True, slots=True)
+class Field:
+    """One field of a kind of message."""
+
+    key: str  # on the wire
+    attribute: str  # of the message's class
+    type: FieldType
+    default: Any = REQUIRED  # taken where the field is not sent
+    is_left_out: bool = True  # not sent where it has the default
+
+    def is_sent(self, value: object) -> bool:
+        """Whether a field of that value is on the wire."""
+        return self.default is REQUIRED or not self.is_left_out or value != self.default
+
+
+class Format(NamedTuple):
+    """The wire format of one kind."""
+
+    kind: str
+    message: type
+    fields: tuple[Field, ...]
+
+    def decode(self, value: dict[str, Any]) -> Message | None:
+        """The message, or None where the object is of another shape."""
+        arguments = {}
+        for field in self.fields:
+            if field.key not in value:
+                if field.default is REQUIRED:
+                    return None
+                arguments[field.attribute] = field.default
+                continue
+            content = value[field.key]
+            if not field.type.is_valid(content):
+                return None
+            arguments[field.attribute] = field.type.decode(content)
+        message: Message = self.message(**arguments)
+        return message
+
+    def encode(self, message: Message) -> JsonObject:
+        """The object to send."""
+        value: JsonObject = {"kind": self.kind}
+        for field in self.fields:
+            content = getattr(message, field.attribute)
+            if field.is_sent(content):
+                value[field.key] = field.type.encode(content)
+        return value
+
+
+EPOCH = Field("epoch", "epoch", NUMBER)
+NONCE = Field("nonce", "nonce", NUMBER)
+PROMISE = Field("promise", "promise", NUMBER)
+CALL = (Field("life", "incarnation", NUMBER), Field("id", "number", NUMBER))
+MEMBERS = Field("members", "members", NAMES)
+VERSION_FIELD = Field("version", "version", VERSION)
+HAVE = Field("have", "version", VERSION)
+HEARS = Field("hears", "hears", NAMES)
+
+HEARTBEAT = (
+    Field("life", "incarnation", NUMBER),
+    Field("beat", "sequence", NUMBER),
+    Field("fresh", "cold_start", FLAG),
+    Field("blank", "disk_lost", FLAG),
+    Field("ready", "ready_to_fill", FLAG),
+    Field("well", "disk_healthy", FLAG),
+    MEMBERS,
+    PROMISE,
+    Field("joined", "joined", NUMBER),
+    Field("serving", "serving", FLAG),
+    Field("view", "view", VIEW.or_null()),
+    Field("committed", "committed", VERSION),
+    HEARS,
+    Field("number", "set_number", NUMBER, None),
+    Field("leaving", "leaving", FLAG, False),
+    Field("zone", "zone", ZONE, None),
+    Field("quorum", "quorum_member", FLAG, None),
+    Field("age", "age", NUMBER, None),
+    Field("echo", "echo", HEARTBEAT_ID, None),
+    Field("system", "system", NUMBER, None),
+    Field("sets", "proven_set", EPOCH_SET.or_null(), None),
+)
+
+FORMATS = (
+    Format("ping", messages.Heartbeat, HEARTBEAT),
+    Format(
+        "found",
+        messages.Found,
+        (
+            MEMBERS,
+            Field("life", "incarnation", NUMBER),
+            Field("system", "system", NUMBER, 0, False),
+        ),
+    ),
+    Format("settled", messages.Settled, (MEMBERS, PROMISE)),
+    Format("learn", messages.PromiseQuery, (NONCE,)),
+    Format("learnt", messages.PromiseQueryReply, (NONCE, PROMISE)),
+    Format("prepare", messages.Prepare, (EPOCH, VERSION_FIELD)),
+    Format(
+        "promise",
+        messages.Promised,
+        (
+            EPOCH,
+            Field("blank", "disk_lost", FLAG),
+            VERSION_FIELD,
+            Field("state", "state", STATE.or_null()),
+            HEARS,
+            Field("held", "accepted_set", REPLICA_SET.or_null(), None),
+            Field("proven", "proven_set", EPOCH_SET.or_null(), None),
+        ),
+    ),
+    Format("refuse", messages.Refused, (EPOCH, PROMISE)),
+    Format(
+        "newview",
+        messages.NewView,
+        (
+            EPOCH,
+            Field("chain", "chain", NAMES),
+            MEMBERS,
+            Field("sets", "replica_set", REPLICA_SET.or_null(), None),
+            Field("base", "base_version", VERSION),
+            Field("state", "state", STATE.or_null()),
+        ),
+    ),
+    Format("accept", messages.Accepted, (EPOCH,)),
+    Format(
+        "append",
+        messages.Append,
+        (
+            EPOCH,
+            Field("first", "first", NUMBER),
+            Field("entries", "entries", ENTRIES),
+            Field("committed", "committed", NUMBER),
+        ),
+    ),
+    Format(
+        "ack",
+        messages.Acknowledge,
+        (EPOCH, Field("synced", "synced", NUMBER), Field("committed", "committed", NUMBER)),
+    ),
+    Format(
+        "put",
+        messages.PutRequest,
+        (EPOCH, *CALL, Field("key", "key", KEY), Field("value", "value", ANYTHING)),
+    ),
+    Format(
+        "done",
+        messages.PutDone,
+        (
+            *CALL,
+            Field("outcome", "outcome", OUTCOME, Outcome.ACCEPTED, False),
+            Field("why", "reason", REASON, "", False),
+        ),
+    ),
+    Format("refused", messages.PutRefused, (EPOCH, *CALL)),
+    Format("read", messages.ReadRequest, (EPOCH, *CALL, HAVE)),
+    Format(
+        "map",
+        messages.ReadReply,
+        (*CALL, VERSION_FIELD, Field("state", "state", STATE.or_null())),
+    ),
+    Format("confirm", messages.Confirm, (EPOCH, NONCE)),
+    Format("confirmed", messages.Confirmed, (EPOCH, NONCE)),
+    Format("fetch", messages.Fetch, (HAVE,)),
+    Format("news", messages.Fetched, (VERSION_FIELD, Field("state", "state", STATE))),
+)
+_BY_KIND = {format_.kind: format_ for format_ in FORMATS}
+_BY_CLASS = {format_.message: format_ for format_ in FORMATS}
+
+
+def decode(value: object) -> Message | None:
+    """The message that a JSON value holds; None where it is none, and is to be dropped.
+
+    >>> decode({"kind": "confirm", "epoch": 7, "nonce": 1, "beside": "ignored"})
+    Confirm(epoch=7, nonce=1)
+    >>> decode({"kind": "confirm", "epoch": -7, "nonce": 1})
+    """
+    if type(value) is not dict or type(value.get("kind")) is not str:
+        return None
+    format_ = _BY_KIND.get(value["kind"])
+    return format_.decode(value) if format_ else None
+
+
+def encode(message: Message) -> JsonObject:
+    """The JSON object of a message; it shares the message's values.
+
+    >>> encode(messages.Confirm(epoch=7, nonce=1))
+    {'kind': 'confirm', 'epoch': 7, 'nonce': 1}
+    """
+    return _BY_CLASS[type(message)].encode(message)
--- /dev/null
+++ b/umbermoor/gateway/replication/disk_care.py
@@ -0,0 +1,36 @@
+"""Writes that repeat what is on disk already: probes of a slow disk, repairs of a rotten record."""
+
+from collections.abc import Iterable, Sequence
+
+from umbermoor.gateway.replication.context import Context
+from umbermoor.gateway.replication.stored_records import VALUE_PREFIX, Records, value_record
+from umbermoor.gateway.replication.write_queue import do_nothing
+
+
+def probe_disk(context: Context) -> None:
+    """See whether a disk that was slow still is, by what a change writes, while nobody waits."""
+    lifecycle = context.lifecycle
+    if context.views.serving or lifecycle.disk_lost or not lifecycle.settled:
+        return
+    if context.disk.begin_probe(context.now):
+        context.disk.enqueue(_records(context, context.map.values), "probe", do_nothing)
+
+
+def repair_records(context: Context, records: Sequence[str]) -> bool:
+    """Write those records again, as they are held here.
+
+    Returns False, and writes nothing, if one of them is no value of the map.
+    """
+    keys = [record.removeprefix(VALUE_PREFIX) for record in records]
+    for key, record in zip(keys, records):
+        if key == record or key not in context.map.values:
+            return False
+    context.disk.enqueue(_records(context, keys), "mend", do_nothing)
+    return True
+
+
+def _records(context: Context, keys: Iterable[str]) -> Records:
+    records: Records = {}
+    for key in keys:
+        records |= value_record(key, context.map.values[key])
+    return records
--- /dev/null
+++ b/umbermoor/gateway/replication/learners.py
@@ -0,0 +1,36 @@
+"""Learners: machines that follow what is committed, and could be made members."""
+
+from umbermoor.gateway.replication.context import Context
+from umbermoor.gateway.replication.peers import STEADY, Peer
+
+
+def known_zones(context: Context) -> dict[str, str]:
+    """Where members and learners run, as last told, also before a restart."""
+    zones = {}
+    for name in (*context.sets.names, *context.learners.names()):
+        peer = context.peers.get(name) or context.learners.get(name)
+        if peer and peer.zone:
+            zones[name] = peer.zone
+    return context.sets.zones | zones | {context.name: context.identity.zone}
+
+
+def ready_learners(context: Context) -> list[str]:
+    """Those that could be taken in now, sorted.
+
+    Heard by the chain and hearing it, steadily, with a healthy disk, and ready to be filled.
+    """
+    heard = sorted(context.learners.heard(context.now).items())
+    return [name for name, peer in heard if _is_ready(context, name, peer)]
+
+
+def _is_ready(context: Context, name: str, learner: Peer) -> bool:
+    chain = [member for member in context.views.active.chain if member != context.name]
+    for member in chain:
+        peer = context.peers.get(member)
+        if not peer or name not in peer.heartbeat.hears:
+            return False
+    hears = learner.heartbeat.hears
+    if context.name not in hears or not set(chain) <= {context.name, *hears}:
+        return False
+    is_steady = context.now - learner.steady_since >= STEADY
+    return learner.heartbeat.disk_healthy and learner.can_join and is_steady
--- a/umbermoor/gateway/replication/messages.py
+++ b/umbermoor/gateway/replication/messages.py
@@ -1,212 +1,268 @@
-"""What members of the register say to each other, and whether a message has the shape of what it
-says to be.
+"""The messages between replicas: one frozen dataclass a kind. `codec` holds their wire format.
 
-Source: none outside; a message of another shape is dropped whole, so what handles one need not look
-again. Numbers are whole and below 2**62, a version is [epoch, seq], names are IP addresses.
+Epochs and sequence numbers are whole numbers below 2**62, names are IP addresses, times are
+microseconds. A call is named by its caller's name, incarnation and number there.
 """
 
-from collections.abc import Callable, Mapping
-from typing import Any
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import NamedTuple
 
-from umbermoor.gateway.effects import Outcome
+from umbermoor.gateway.effects import JsonValue, Outcome
+from umbermoor.gateway.replication.replica_set import EpochSet, ReplicaSet
+from umbermoor.gateway.replication.view import Version, View
 
-Check = Callable[[Any], bool]
-LARGEST = 2**62
 
+class CallId(NamedTuple):
+    """A call, as the replica that its client asked names it."""
 
-def number(value: Any) -> bool:
-    return type(value) is int and 0 <= value < LARGEST
+    origin: str
+    incarnation: int  # of that replica's process
+    number: int  # rises within an incarnation
 
 
-def flag(value: Any) -> bool:
-    return type(value) is bool
+class Entry(NamedTuple):
+    """A write on its way along the chain."""
 
+    key: str
+    value: JsonValue  # None removes the key
+    call: CallId
 
-def anything(value: Any) -> bool:
-    return True
 
+class HeartbeatId(NamedTuple):
+    """One heartbeat of a replica's process."""
 
-def name(value: Any) -> bool:
-    return type(value) is str and 0 < len(value) <= 64
+    incarnation: int
+    sequence: int
 
 
-def zone(value: Any) -> bool:
-    return type(value) is str and len(value) <= 64
+@dataclass(frozen=True, slots=True)
+class Heartbeat:
+    """What a replica tells of itself; optional fields are None where they are not told."""
 
+    incarnation: int  # drawn when the process started
+    sequence: int  # rises within an incarnation
+    cold_start: bool  # of a new system, and holds nothing
+    disk_lost: bool
+    ready_to_fill: bool  # its disk was lost, and it may be given the state
+    disk_healthy: bool  # its disk takes writes
+    members: tuple[str, ...]  # of the newest set known to be in force; () if none is
+    promise: int  # the highest epoch promised
+    joined: int  # epoch of the view that was accepted in this incarnation
+    serving: bool  # that view is active and nothing later is promised
+    view: View | None  # the newest one known to be active
+    committed: Version
+    hears: tuple[str, ...]
+    set_number: int | None  # of the newest set known to be in force; None: an earlier revision
+    leaving: bool = False  # it is about to end, in order
+    zone: str | None = None  # told now and then
+    quorum_member: bool | None = None  # of a learner: it counts, by the platform's word
+    age: int | None = None  # of a learner: microseconds since its start
+    echo: HeartbeatId | None = None  # the last heartbeat of the addressed that came here
+    system: int | None = None  # 0: none yet; not told to a member that has its disk
+    proven_set: EpochSet | None = None  # for one that does not know it
 
-def names(value: Any) -> bool:
-    return (
-        type(value) is list
-        and len(value) <= 64
-        and all(map(name, value))
-        and len(set(value)) == len(value)
-    )
 
+@dataclass(frozen=True, slots=True)
+class Found:
+    """The founder asks a cold replica to record the members of the new system."""
 
-def version(value: Any) -> bool:
-    return type(value) is list and len(value) == 2 and all(map(number, value))
+    members: tuple[str, ...]
+    incarnation: int  # of the addressed
+    system: int  # 0: derived from the names, by an earlier revision
 
 
-def view(value: Any) -> bool:
-    return value is None or (
-        type(value) is list and len(value) == 2 and number(value[0]) and names(value[1])
-    )
+@dataclass(frozen=True, slots=True)
+class Settled:
+    """The founding is on this replica's disk."""
 
+    members: tuple[str, ...]
+    promise: int
 
-def key(value: Any) -> bool:
-    """As long as LMDB takes with what is put before it."""
-    return type(value) is str and len(value.encode(errors="replace")) <= 480 and value.isprintable()
 
+@dataclass(frozen=True, slots=True)
+class PromiseQuery:
+    """One whose disk was lost asks what was promised."""
 
-def values(value: Any) -> bool:
-    return type(value) is dict and all(map(key, value))
+    nonce: int
 
 
-def maybe_values(value: Any) -> bool:
-    return value is None or values(value)
+@dataclass(frozen=True, slots=True)
+class PromiseQueryReply:
+    """The highest epoch that this replica has promised."""
 
+    nonce: int
+    promise: int
 
-def entry(value: Any) -> bool:
-    """[key, value, origin, its life, its number there]"""
-    return (
-        type(value) is list
-        and len(value) == 5
-        and key(value[0])
-        and name(value[2])
-        and all(map(number, value[3:]))
-    )
 
+@dataclass(frozen=True, slots=True)
+class Prepare:
+    """Phase 1a of Paxos: promise to accept no view below this epoch."""
 
-def entries(value: Any) -> bool:
-    return type(value) is list and all(map(entry, value))
-
-
-def echo(value: Any) -> bool:
-    """[life, beat] of the last ping that came from the addressed"""
-    return type(value) is list and len(value) == 2 and all(map(number, value))
-
-
-def outcome(value: Any) -> bool:
-    return type(value) is str and value in OUTCOMES
-
-
-def line(value: Any) -> bool:
-    return type(value) is str and len(value) <= 400
-
-
-def seats(value: Any) -> bool:
-    """[[name, rank], ...]"""
-    return (
-        type(value) is list
-        and 0 < len(value) <= 64
-        and all(
-            type(seat) is list and len(seat) == 2 and name(seat[0]) and number(seat[1])
-            for seat in value
-        )
-        and len({seat[0] for seat in value}) == len(value)
-    )
-
-
-def sets(value: Any) -> bool:
-    """[system, number, old, new]; null: none."""
-    return value is None or (
-        type(value) is list
-        and len(value) == 4
-        and all(map(number, value[:2]))
-        and all(map(seats, value[2:]))
-    )
-
-
-def proven(value: Any) -> bool:
-    """[epoch, sets]"""
-    return value is None or (
-        type(value) is list
-        and len(value) == 2
-        and number(value[0])
-        and sets(value[1])
-        and bool(value[1])
-    )
-
-
-ASK = {"life": number, "id": number}
-OUTCOMES = frozenset(one.value for one in Outcome)
-SHAPES: Mapping[str, Mapping[str, Check]] = {
-    "ping": {
-        "life": number,  # drawn when the process started
-        "beat": number,  # rises in a life
-        "fresh": flag,  # cold, and holds nothing
-        "blank": flag,  # its disk was lost
-        "ready": flag,  # blank, and may be filled
-        "well": flag,  # its disk takes writes
-        "members": names,  # M, [] if unknown
-        "promise": number,
-        "joined": number,  # epoch of the view that was accepted in this life
-        "serving": flag,  # that one is active and nothing later is promised
-        "view": view,  # the latest known to be active
-        "committed": version,
-        "hears": names,
-    },
-    "found": {"members": names, "life": number},  # that of the addressed
-    "settled": {"members": names, "promise": number},
-    "learn": {"nonce": number},
-    "learnt": {"nonce": number, "promise": number},
-    "prepare": {"epoch": number, "version": version},
-    "promise": {
-        "epoch": number,
-        "blank": flag,
-        "version": version,
-        "state": maybe_values,
-        "hears": names,
-    },
-    "refuse": {"epoch": number, "promise": number},
-    "newview": {
-        "epoch": number,
-        "chain": names,
-        "members": names,
-        "base": version,
-        "state": maybe_values,
-    },
-    "accept": {"epoch": number},
-    "append": {"epoch": number, "first": number, "entries": entries, "committed": number},
-    "ack": {"epoch": number, "synced": number, "committed": number},
-    "put": {"epoch": number, **ASK, "key": key, "value": anything},
-    "done": ASK,
-    "refused": {**ASK, "epoch": number},
-    "read": {"epoch": number, **ASK, "have": version},
-    "map": {**ASK, "version": version, "state": maybe_values},
-    "confirm": {"epoch": number, "nonce": number},
-    "confirmed": {"epoch": number, "nonce": number},
-    "fetch": {"have": version},
-    "news": {"version": version, "state": values},
-}
-# Fields that members of an earlier revision do not send.
-MAYBE: Mapping[str, Mapping[str, Check]] = {
-    "ping": {
-        "echo": echo,
-        "number": number,  # of the latest set known to be in force
-        "system": number,  # 0: none yet; not told to a member that has its disk
-        "leaving": flag,  # it is about to end, in order
-        "zone": zone,  # now and then
-        "quorum": flag,  # of a learner: it is a machine that counts, by the platform's word
-        "age": number,  # of a learner: us since its start
-        "sets": proven,  # that set, for one that does not know it
-    },
-    "found": {"system": number},
-    "promise": {"held": sets, "proven": proven},
-    "newview": {"sets": sets},
-    "done": {"outcome": outcome, "why": line},
-}
-
-
-def shaped(message: Any) -> bool:
-    """Whether it is a message that a member may have sent; more fields than are known do not
-    harm."""
-    if type(message) is not dict or type(message.get("kind")) is not str:
-        return False
-    shape = SHAPES.get(message["kind"])
-    maybe = MAYBE.get(message["kind"], {})
-    return (
-        shape is not None
-        and all(key in message and check(message[key]) for key, check in shape.items())
-        and all(key not in message or check(message[key]) for key, check in maybe.items())
-    )
+    epoch: int
+    version: Version  # that the proposer holds
+
+
+@dataclass(frozen=True, slots=True)
+class Promised:
+    """Phase 1b: the promise, synced, with what the proposer may lack."""
+
+    epoch: int
+    disk_lost: bool
+    version: Version
+    state: Mapping[str, JsonValue] | None  # None: no newer than the proposer's
+    hears: tuple[str, ...]
+    accepted_set: ReplicaSet | None = None  # of the view of `version`'s epoch
+    proven_set: EpochSet | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class Refused:
+    """A higher epoch was promised."""
+
+    epoch: int
+    promise: int
+
+
+@dataclass(frozen=True, slots=True)
+class NewView:
+    """Phase 2a: accept this view."""
+
+    epoch: int
+    chain: tuple[str, ...]
+    members: tuple[str, ...]  # of both sets
+    replica_set: ReplicaSet | None  # None: of an earlier revision, as known here
+    base_version: Version
+    state: Mapping[str, JsonValue] | None  # None: the addressed holds it at `base_version`
+
+
+@dataclass(frozen=True, slots=True)
+class Accepted:
+    """Phase 2b: the view is on this replica's disk."""
+
+    epoch: int
+
+
+@dataclass(frozen=True, slots=True)
+class Append:
+    """Writes for the successor in the chain."""
+
+    epoch: int
+    first: int  # sequence number of the first entry
+    entries: tuple[Entry, ...]
+    committed: int  # sequence number
+
+
+@dataclass(frozen=True, slots=True)
+class Acknowledge:
+    """Up to where writes are synced here, and known to be committed; for the predecessor."""
+
+    epoch: int
+    synced: int
+    committed: int
+
+
+@dataclass(frozen=True, slots=True)
+class PutRequest:
+    """A conditional write, for the head to decide."""
+
+    epoch: int
+    incarnation: int
+    number: int
+    key: str
+    value: JsonValue
+
+
+@dataclass(frozen=True, slots=True)
+class PutDone:
+    """What a conditional write came to."""
+
+    incarnation: int
+    number: int
+    outcome: Outcome
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class PutRefused:
+    """The head has not taken this write and will not in that epoch: the next head may."""
+
+    epoch: int
+    incarnation: int
+    number: int
+
+
+@dataclass(frozen=True, slots=True)
+class ReadRequest:
+    """A read, for the tail."""
+
+    epoch: int
+    incarnation: int
+    number: int
+    version: Version  # that the caller holds
+
+
+@dataclass(frozen=True, slots=True)
+class ReadReply:
+    """The committed map."""
+
+    incarnation: int
+    number: int
+    version: Version
+    state: Mapping[str, JsonValue] | None  # None: the caller holds that version
+
+
+@dataclass(frozen=True, slots=True)
+class Confirm:
+    """A read round: does the addressed still promise no later epoch?"""
+
+    epoch: int
+    nonce: int
+
+
+@dataclass(frozen=True, slots=True)
+class Confirmed:
+    """It does not."""
+
+    epoch: int
+    nonce: int
+
+
+@dataclass(frozen=True, slots=True)
+class Fetch:
+    """One outside the chain asks for what is committed beyond its version."""
+
+    version: Version
+
+
+@dataclass(frozen=True, slots=True)
+class Fetched:
+    """The committed map of that version."""
+
+    version: Version
+    state: Mapping[str, JsonValue]
+
+
+Message = (
+    Heartbeat
+    | Found
+    | Settled
+    | PromiseQuery
+    | PromiseQueryReply
+    | Prepare
+    | Promised
+    | Refused
+    | NewView
+    | Accepted
+    | Append
+    | Acknowledge
+    | PutRequest
+    | PutDone
+    | PutRefused
+    | ReadRequest
+    | ReadReply
+    | Confirm
+    | Confirmed
+    | Fetch
+    | Fetched
+)
--- a/umbermoor/gateway/replication/peers.py
+++ b/umbermoor/gateway/replication/peers.py
@@ -1,99 +1,162 @@
-"""What a member knows of the others by their pings: who is heard, how steadily, and who hears whom.
+"""What a replica knows of the others by their heartbeats: who is heard, how steadily, by whom.
 
 Times are whole microseconds.
 """
 
 from dataclasses import dataclass, field
-from typing import Any
 
-from umbermoor.gateway.replication.view import MOST, Version
+from umbermoor.gateway.replication.messages import Heartbeat
+from umbermoor.gateway.replication.replica_set import MAX_MEMBERS
+from umbermoor.gateway.replication.timing import MILLISECOND
+from umbermoor.gateway.replication.view import Version
 
-SILENT = 700_000  # a gap in hearing that ends a steady time
-STEADY = 1_000_000  # heard for so long, one outside may be taken into the chain
+SILENT = 700 * MILLISECOND  # a gap in hearing that ends a steady time
+STEADY = 1000 * MILLISECOND  # heard for so long, one outside may be taken into the chain
 
 
 @dataclass(slots=True)
 class Peer:
-    """One other member, as its last ping tells it."""
+    """One other replica, as its last heartbeat tells it."""
 
-    last: int
-    since: int  # heard without a gap, in one life and well
-    ping: dict[str, Any]
-    joined: int = 0  # the epoch that it was last heard to be in, well
+    heard_at: int
+    steady_since: int  # heard without a gap, in one incarnation and with a healthy disk
+    heartbeat: Heartbeat
+    joined: int = 0  # the epoch that it was last heard to be in, with a healthy disk
     joined_at: int = 0
     zone: str = ""  # as last told
 
     @property
     def committed(self) -> Version:
-        return tuple(self.ping["committed"])
+        """The version that it knows to be committed."""
+        return self.heartbeat.committed
+
+    @property
+    def can_join(self) -> bool:
+        """Whether it holds its state, or may be given it."""
+        return not self.heartbeat.disk_lost or self.heartbeat.ready_to_fill
+
+    def take(self, now: int, heartbeat: Heartbeat) -> bool:
+        """Take a newer heartbeat in; whether the peer was started or came back since the last."""
+        is_restarted = self.heartbeat.incarnation != heartbeat.incarnation
+        is_back = now - self.heard_at > SILENT
+        if is_restarted or is_back or not heartbeat.disk_healthy:
+            self.steady_since = now
+        self.heard_at, self.heartbeat = now, heartbeat
+        return is_restarted or is_back
+
+    def note_epoch(self, now: int) -> None:
+        """Note which view it is in; a lower epoch is of an earlier incarnation, or newly started."""
+        if self.heartbeat.disk_healthy and self.heartbeat.joined >= self.joined:
+            self.joined, self.joined_at = self.heartbeat.joined, now
+
+    def note_zone(self) -> None:
+        """Note where it runs, where it tells that."""
+        if self.heartbeat.zone is not None:
+            self.zone = self.heartbeat.zone
 
 
 @dataclass(slots=True)
 class Peers:
-    me: str
-    most: int = 2 * MOST
-    _all: dict[str, Peer] = field(default_factory=dict)
-
-    def hear(self, now: int, sender: str, ping: dict[str, Any]) -> bool:
-        """Take a ping in, an older one than the last not; whether the sender is new, or newly
-        started."""
-        peer = self._all.get(sender)
+    """A bounded table of other replicas, by name."""
+
+    own_name: str
+    capacity: int = 2 * MAX_MEMBERS
+    _peers: dict[str, Peer] = field(default_factory=dict)
+
+    def record(self, now: int, sender: str, heartbeat: Heartbeat) -> bool:
+        """Take a heartbeat in, unless it is older than the last or there is no room.
+
+        Returns whether the sender is new, newly started, or back after a silence.
+        """
+        peer = self._peers.get(sender)
         if peer is None:
-            if len(self._all) >= self.most and not self._forgot(now):
+            if len(self._peers) >= self.capacity and not self._evict_silent(now):
                 return False
-            peer = self._all[sender] = Peer(now, now, ping)
-            new = True
+            peer = self._peers[sender] = Peer(now, now, heartbeat)
+            is_new = True
+        elif _is_outdated(peer.heartbeat, heartbeat):
+            return False
         else:
-            new = peer.ping["life"] != ping["life"]
-            if not new and ping["beat"] <= peer.ping["beat"]:
-                return False
-            if new or now - peer.last > SILENT or not ping["well"]:
-                peer.since = now
-            new = new or now - peer.last > SILENT
-            peer.last, peer.ping = now, ping
-        peer.zone = ping.get("zone", peer.zone)
-        if (
-            ping["well"] and ping["joined"] >= peer.joined
-        ):  # a lower one is of an earlier life, or newly started
-            peer.joined, peer.joined_at = ping["joined"], now
-        return new
-
-    def _forgot(self, now: int) -> bool:
-        """Whether one that is silent could be forgotten for another."""
-        silent = next((who for who, peer in self._all.items() if now - peer.last > SILENT), None)
-        return silent is not None and self._all.pop(silent) is not None
-
-    def adopt(self, who: str, peer: Peer) -> None:
-        self._all.setdefault(who, peer)
-
-    def drop(self, names: tuple[str, ...]) -> None:
-        self._all = {who: peer for who, peer in self._all.items() if who not in names}
-
-    def keep(self, members: tuple[str, ...]) -> None:
-        """Forget all others."""
-        self._all = {who: peer for who, peer in self._all.items() if who in members}
+            is_new = peer.take(now, heartbeat)
+        peer.note_zone()
+        peer.note_epoch(now)
+        return is_new
+
+    def _evict_silent(self, now: int) -> bool:
+        silent = next(
+            (name for name, peer in self._peers.items() if now - peer.heard_at > SILENT), None
+        )
+        return silent is not None and self._peers.pop(silent) is not None
+
+    def adopt(self, name: str, peer: Peer) -> None:
+        """Know that peer too, as another table did."""
+        self._peers.setdefault(name, peer)
+
+    def forget(self, names: tuple[str, ...]) -> None:
+        """Drop those."""
+        self._peers = {name: peer for name, peer in self._peers.items() if name not in names}
+
+    def keep_only(self, names: tuple[str, ...]) -> None:
+        """Drop all others."""
+        self._peers = {name: peer for name, peer in self._peers.items() if name in names}
 
     def heard(self, now: int, within: int = SILENT) -> dict[str, Peer]:
-        return {who: peer for who, peer in self._all.items() if now - peer.last <= within}
+        """Those whose last heartbeat is no older than that."""
+        return {name: peer for name, peer in self._peers.items() if now - peer.heard_at <= within}
 
     def names(self) -> tuple[str, ...]:
-        return tuple(self._all)
+        """All that are known, heard lately or not."""
+        return tuple(self._peers)
 
-    def get(self, who: str) -> Peer | None:
-        return self._all.get(who)
+    def get(self, name: str) -> Peer | None:
+        """What is known of that one."""
+        return self._peers.get(name)
 
-    def mutual(self, now: int, one: str, other: str) -> bool:
+    def in_contact(self, now: int, first: str, second: str) -> bool:
         """Whether the two hear each other, as far as is known here."""
-        return self._hears(now, one, other) and self._hears(now, other, one)
+        return self._hears(now, first, second) and self._hears(now, second, first)
 
-    def _hears(self, now: int, one: str, other: str) -> bool:
-        if one == other:
+    def _hears(self, now: int, listener: str, speaker: str) -> bool:
+        if listener == speaker:
             return True
-        peer = self._all.get(other if one == self.me else one)
-        if peer is None or now - peer.last > SILENT:
+        peer = self._peers.get(speaker if listener == self.own_name else listener)
+        if peer is None or now - peer.heard_at > SILENT:
             return False
-        return one == self.me or other in peer.ping["hears"]
+        return listener == self.own_name or speaker in peer.heartbeat.hears
 
-    def highest(self) -> int:
+    def highest_promise(self) -> int:
         """The highest epoch that any was heard to have promised."""
-        return max((peer.ping["promise"] for peer in self._all.values()), default=0)
+        return max((peer.heartbeat.promise for peer in self._peers.values()), default=0)
+
+
+def _is_outdated(last: Heartbeat, heartbeat: Heartbeat) -> bool:
+    return last.incarnation == heartbeat.incarnation and heartbeat.sequence <= last.sequence
+
+
+class Exclusions:
+    """Who is left out of the next views, and until when."""
+
+    __slots__ = ("_until",)
+
+    def __init__(self) -> None:
+        self._until: dict[str, int] = {}
+
+    def exclude(self, name: str, until: int) -> None:
+        """Leave that one out until then."""
+        self._until[name] = until
+
+    def readmit(self, name: str) -> None:
+        """That one is back: it may be in the next view."""
+        self._until.pop(name, None)
+
+    def holds(self, name: str, now: int) -> bool:
+        """Whether that one is to be left out now."""
+        return self._until.get(name, 0) > now
+
+    def expire(self, now: int) -> None:
+        """Forget those whose time is over."""
+        self._until = {name: until for name, until in self._until.items() if until > now}
+
+    def names(self) -> frozenset[str]:
+        """All that were excluded and not yet expired or readmitted."""
+        return frozenset(self._until)
--- /dev/null
+++ b/umbermoor/gateway/replication/reconfiguration.py
@@ -0,0 +1,227 @@
+"""Changes of the replica set, ordered by an operator or by the head itself for a lost member.
+
+Source: joint consensus, see `replica_set`; what may be refused and why: docs/members.md. Times are
+microseconds.
+"""
+
+from typing import NamedTuple
+
+from umbermoor.gateway.effects import CallResult, Status
+from umbermoor.gateway.replication.change_plan import (
+    ChangePlan,
+    plan_change,
+    zone_with_new_majority,
+)
+from umbermoor.gateway.replication.codec import is_name
+from umbermoor.gateway.replication.context import Context
+from umbermoor.gateway.replication.heartbeats import Heartbeats
+from umbermoor.gateway.replication.learners import known_zones, ready_learners
+from umbermoor.gateway.replication.peers import Peer
+from umbermoor.gateway.replication.timing import CHANGE_TIMEOUT, SILENCE, SUCCESSION
+from umbermoor.gateway.replication.view_change import ViewChange
+
+
+class _Change(NamedTuple):
+    """A change under way."""
+
+    request_id: int | None  # None: begun by the head itself
+    until: int
+    add: str
+    remove: str
+
+
+class _Succession(NamedTuple):
+    """A newcomer, and the member whose place it takes."""
+
+    newcomer: str
+    member: str
+
+
+class Reconfiguration:
+    """One change of the replica set at a time."""
+
+    def __init__(self, context: Context, view_change: ViewChange, heartbeats: Heartbeats) -> None:
+        self._context, self._view_change, self._heartbeats = context, view_change, heartbeats
+        self._change: _Change | None = None
+
+    def change(self, request_id: int, add: str, remove: str, dry_run: bool) -> None:
+        """Have the set become another: one more, one fewer, or one in the place of another."""
+        context = self._context
+        if not context.views.serving:
+            reason = "this member is not in the chain"
+            self._finish(request_id, Status.UNAVAILABLE, reason)
+        elif self._is_done(add, remove):
+            self._finish(request_id, Status.OK, self._present())
+        elif (plan := self.plan(add, remove)).refusal or dry_run:
+            self._invite(add)
+            status = Status.CONFLICT if plan.refusal else Status.OK
+            self._finish(request_id, status, plan)
+        elif self._change:
+            self._finish(request_id, Status.CONFLICT, "another change is under way")
+        else:
+            self._change = _Change(request_id, context.now + CHANGE_TIMEOUT, add, remove)
+            self.tick()
+
+    def _finish(self, request_id: int | None, status: Status, told: ChangePlan | str) -> None:
+        """Answer the call, if there is one, with the plan or the reason."""
+        if request_id is None:
+            return
+        value = {"why": told} if isinstance(told, str) else told.to_json()
+        self._context.outbox.finish(CallResult(request_id, status, value))
+
+    def _invite(self, newcomer: str) -> None:
+        """Have one that is not heard learn of the system: its seeds may all be gone."""
+        context = self._context
+        if not newcomer or not is_name(newcomer):
+            return
+        if newcomer not in (*context.sets.names, *context.learners.heard(context.now)):
+            self._heartbeats.send(newcomer)
+
+    # plans
+
+    def plan(self, add: str, remove: str) -> ChangePlan:
+        """What a change would leave, and why it would be refused."""
+        context = self._context
+        present = context.sets.current
+        plan = plan_change(
+            present,
+            context.views.active.chain,
+            ready_learners(context),
+            add,
+            remove,
+            context.identity.tolerated_losses,
+        )
+        if not plan.refusal:
+            plan = plan._replace(refusal=self._refuse_zone(plan))
+        if not plan.refusal and (old := self._of_an_earlier_revision(remove)):
+            refusal = f"{old} runs a revision that knows no changes of the members"
+            plan = plan._replace(refusal=refusal)
+        return plan
+
+    def _refuse_zone(self, plan: ChangePlan) -> str:
+        present = self._context.sets.current.members
+        zone = zone_with_new_majority(present, plan.members, known_zones(self._context))
+        return f"would leave a majority in zone {zone}, where none is now" if zone else ""
+
+    def _of_an_earlier_revision(self, remove: str) -> str:
+        """A member that knows no changes, as last heard, also one that is away; "": none.
+
+        Back, it would promise nothing to the majority that it does not know. One that is removed
+        knows too few who listen to it then.
+        """
+        context = self._context
+        for name in context.sets.names:
+            is_away = name not in context.views.active.chain
+            peer = context.peers.get(name)
+            is_removed = is_away and name == remove
+            if peer and peer.heartbeat.set_number is None and not is_removed:
+                return name
+        return ""
+
+    def _is_done(self, add: str, remove: str) -> bool:
+        members = self._context.sets.current.members
+        is_added = not add or add in members
+        is_removed = not remove or remove not in members
+        return bool(add or remove) and is_added and is_removed
+
+    def _present(self) -> ChangePlan:
+        return self.plan("", "")._replace(refusal="")
+
+    # the change under way
+
+    def tick(self) -> None:
+        """Take the change as far as it goes now; begin one for a member that is succeeded."""
+        if not self._change and not self._view_change.attempt:
+            self._begin_succession()
+        change = self._change
+        if not change:
+            return
+        context = self._context
+        is_proven = context.sets.proven.epoch >= context.views.accepted.epoch
+        if self._is_done(change.add, change.remove) and is_proven:
+            self._end(change, Status.OK, self._present())
+        elif context.now >= change.until:
+            reason = "not agreed in time; it may come to be"
+            self._end(change, Status.UNAVAILABLE, reason)
+        elif self._may_propose():
+            self._propose(change)
+
+    def _may_propose(self) -> bool:
+        context = self._context
+        is_healthy = context.disk.healthy(context.now)
+        return self._view_change.may_begin and context.views.serving and is_healthy
+
+    def _propose(self, change: _Change) -> None:
+        plan = self.plan(change.add, change.remove)
+        if plan.refusal:
+            self._end(change, Status.CONFLICT, plan)
+            return
+        joint = self._context.sets.current.changed(change.add, change.remove)
+        self._view_change.propose(changed_set=joint, newcomer=change.add)
+
+    def _end(self, change: _Change, status: Status, told: ChangePlan | str) -> None:
+        self._finish(change.request_id, status, told)
+        self._change = None
+
+    # succession
+
+    def _begin_succession(self) -> None:
+        succession = self._find_succession()
+        if not succession or self.plan(*succession).refusal:
+            return
+        until = self._context.now + CHANGE_TIMEOUT
+        self._change = _Change(None, until, succession.newcomer, succession.member)
+
+    def _find_succession(self) -> _Succession | None:
+        """Silence alone takes nobody out.
+
+        The head does it where the platform has put another in that place: a machine that counts, in
+        the same zone, without a disk, started when the chain had long heard nothing of the member:
+        docs/members.md.
+        """
+        context = self._context
+        member = self._find_missing()
+        if not member:
+            return None
+        gone = context.peers.get(member)
+        heard_at = gone.heard_at if gone else context.clock.started_at  # in this incarnation
+        zone = known_zones(context).get(member)
+        if not zone or context.now - heard_at < SUCCESSION or self._is_heard_by_chain(member):
+            return None
+        for name in ready_learners(context):
+            learner = context.learners.get(name)
+            if learner and _may_succeed(learner, zone, heard_at):
+                return _Succession(name, member)
+        return None
+
+    def _find_missing(self) -> str:
+        """At the head: the one member that is not in the chain; "": there is none."""
+        context, views = self._context, self._context.views
+        sets, chain = context.sets.current, views.active.chain
+        if not views.serving or views.place or len(chain) == len(sets.new):
+            return ""
+        missing = [name for name in sets.members if name not in chain]
+        if len(missing) != 1 or not set(chain) <= set(sets.members):
+            return ""
+        return missing[0]
+
+    def _is_heard_by_chain(self, member: str) -> bool:
+        """Whether one of the chain hears it, or cannot be asked."""
+        context = self._context
+        for name in context.views.active.chain:
+            if name == context.name:
+                continue
+            peer = context.peers.get(name)
+            if peer is None or member in peer.heartbeat.hears:
+                return True
+        return False
+
+
+def _may_succeed(learner: Peer, zone: str, heard_at: int) -> bool:
+    """Whether the platform started it in that zone after a member was last heard there."""
+    heartbeat = learner.heartbeat
+    if not heartbeat.disk_lost or not heartbeat.quorum_member or learner.zone != zone:
+        return False
+    if heartbeat.age is None:
+        return False
+    return learner.heard_at - heartbeat.age > heard_at + SILENCE
--- a/umbermoor/gateway/replication/replica_set.py
+++ b/umbermoor/gateway/replication/replica_set.py
@@ -1,5 +1,4 @@
-"""Sets of members: who counts in a majority, a change from one set to the next, and what refuses a
-change.
+"""Replica sets: who counts in a majority, and a change from one set to the next.
 
 A view carries its set. A change is a view with two, the old one and the new (joint): its chain
 holds a majority of each, and whoever cannot tell whether it became active asks a majority of each.
@@ -9,15 +8,21 @@
 """
 
 import hashlib
-from collections import Counter
-from collections.abc import Collection, Iterable, Mapping, Sequence
+from collections.abc import Collection, Iterable
 from typing import Any, NamedTuple
 
-MOST = 64  # members, and ranks
+from umbermoor.gateway.effects import JsonValue
+
+MAX_MEMBERS = 64  # and ranks
 
 Seat = tuple[str, int]  # a member's name, and its rank: part of the epochs that it proposes
 
 
+def majority(seats: Collection[Seat]) -> int:
+    """How many of them are a majority."""
+    return len(seats) // 2 + 1
+
+
 class ReplicaSet(NamedTuple):
     """The set of a view, or the two sets of a change; `number` rises with each change."""
 
@@ -36,28 +41,38 @@
         """Those of the new set, sorted."""
         return tuple(sorted(name for name, _ in self.new))
 
-    def rank(self, who: str) -> int:
-        return dict((*self.old, *self.new))[who]
+    @property
+    def is_joint(self) -> bool:
+        """Whether a change is under way."""
+        return self.old != self.new
+
+    def rank(self, name: str) -> int:
+        """That member's rank."""
+        return dict((*self.old, *self.new))[name]
 
     def quorum(self, who: Collection[str]) -> bool:
         """Whether they hold a majority of both sets.
 
         >>> change = founded(["a", "b", "c"], 7).changed(add="d", remove="a")
-        >>> change.quorum({"b", "c"}), change.quorum({"a", "b"}), change.completed().quorum({"b", "d"})
-        (True, False, True)
+        >>> change.quorum({"b", "c"}), change.quorum({"a", "b"})
+        (True, False)
+        >>> change.completed().quorum({"b", "d"})
+        True
         """
         return all(
-            2 * sum(name in who for name, _ in seats) > len(seats) for seats in (self.old, self.new)
+            sum(name in who for name, _ in seats) >= majority(seats)
+            for seats in (self.old, self.new)
         )
 
     def blocks(self, who: Collection[str]) -> bool:
         """Whether every majority, of either set, has one of them.
 
-        >>> founded(["a", "b", "c"], 7).blocks({"a"}), founded(["a", "b", "c"], 7).blocks({"a", "b"})
+        >>> three = founded(["a", "b", "c"], 7)
+        >>> three.blocks({"a"}), three.blocks({"a", "b"})
         (False, True)
         """
         return all(
-            sum(name in who for name, _ in seats) > len(seats) - (len(seats) // 2 + 1)
+            sum(name in who for name, _ in seats) > len(seats) - majority(seats)
             for seats in (self.old, self.new)
         )
 
@@ -66,7 +81,7 @@
         return self._replace(old=self.new)
 
     def changed(self, add: str = "", remove: str = "") -> "ReplicaSet":
-        """The change of a settled set; a newcomer's rank was nobody's in the last changes.
+        """The change of a completed set; a newcomer's rank was nobody's in the last changes.
 
         >>> founded(["a", "b", "c"], 7).changed(add="d", remove="a").new
         (('b', 1), ('c', 2), ('d', 3))
@@ -74,14 +89,15 @@
         number = self.number + 1
         seats = [seat for seat in self.new if seat[0] != remove]
         if add:
-            used = {rank for _, rank in self.new}
-            free = next(
-                rank % MOST for rank in range(number, number + MOST + 1) if rank % MOST not in used
-            )
-            seats.append((add, free))
+            seats.append((add, self._free_rank(number)))
         return ReplicaSet(self.system, number, self.new, tuple(sorted(seats)))
 
-    def to_json(self) -> list[Any]:
+    def _free_rank(self, number: int) -> int:
+        used = {rank for _, rank in self.new}
+        ranks = (rank % MAX_MEMBERS for rank in range(number, number + MAX_MEMBERS + 1))
+        return next(rank for rank in ranks if rank not in used)
+
+    def to_json(self) -> list[JsonValue]:
         """As it is stored and sent."""
         return [
             self.system,
@@ -91,112 +107,39 @@
         ]
 
     @classmethod
-    def from_json(cls, told: Any) -> "ReplicaSet":
+    def from_json(cls, value: Any) -> "ReplicaSet":
         """What `to_json` gave, from JSON."""
-        system, number, old, new = told
+        system, number, old, new = value
         return cls(system, number, tuple(map(tuple, old)), tuple(map(tuple, new)))
 
 
 NO_MEMBERS = ReplicaSet(0, 0, (), ())
 
 
-def founded(names: Iterable[str], system: int = 0) -> ReplicaSet:
-    """The first set; without a system's number it is derived from the names (founded by an earlier
-    revision)."""
-    names = sorted(names)
-    if not system:
-        digest = hashlib.blake2b(",".join(names).encode(), digest_size=6).digest()
-        system = int.from_bytes(digest, "big") | 1
-    seats = tuple((name, rank) for rank, name in enumerate(names))
-    return ReplicaSet(system, 0, seats, seats)
+class EpochSet(NamedTuple):
+    """The replica set of the view of that epoch; 0: as founded."""
+
+    epoch: int
+    replica_set: ReplicaSet
 
+    def to_json(self) -> list[JsonValue]:
+        """As it is stored and sent."""
+        return [self.epoch, self.replica_set.to_json()]
+
+    @classmethod
+    def from_json(cls, value: Any) -> "EpochSet":
+        """What `to_json` gave, from JSON."""
+        return cls(value[0], ReplicaSet.from_json(value[1]))
 
-class Outlook(NamedTuple):
-    """What a change would leave."""
 
-    number: int
-    members: tuple[str, ...]
-    up: tuple[
-        str, ...
-    ]  # those of them that are in the chain, or were up to date enough to be taken in
-    bears: int  # of those that are up, how many may be lost at once
-    why: str  # why it is refused; "": it is not
-
-    def to_json(self) -> dict[str, Any]:
-        return {
-            "number": self.number,
-            "members": list(self.members),
-            "up": list(self.up),
-            "bears": self.bears,
-            **({"why": self.why} if self.why else {}),
-        }
-
-
-def crowded(before: Sequence[str], after: Sequence[str], zones: Mapping[str, str]) -> str:
-    """The zone that would hold a majority after a change though none did before; "": none. Unknown
-    zones count apart.
-
-    >>> zones = {"a": "north", "b": "east", "c": "west", "d": "east"}
-    >>> crowded("abc", "bcd", zones), crowded("abc", "acd", zones), crowded("bcd", "bd", zones)
-    ('east', '', '')
-    """
+def founded(names: Iterable[str], system: int = 0) -> ReplicaSet:
+    """The first set; without a system's number it is derived from the names.
 
-    def fullest(members: Sequence[str]) -> str:
-        counts = Counter(zone for who in members if (zone := zones.get(who)))
-        return next((zone for zone, count in counts.items() if 2 * count > len(members) > 1), "")
-
-    return "" if fullest(before) else fullest(after)
-
-
-def outlook(
-    present: ReplicaSet,
-    chain: Sequence[str],
-    ready: Collection[str],
-    add: str,
-    remove: str,
-    bear: int,
-) -> Outlook:
-    """What a change of that settled set would leave; `chain`: of its active view, `ready`:
-    learners.
-
-    >>> three = founded(["a", "b", "c"], 7)
-    >>> outlook(three, ["a", "b", "c"], ["d"], "d", "a", 1).why
-    ''
-    >>> outlook(three, ["a", "b", "c"], [], "", "a", 1).why
-    'would leave 2 members, 3 are needed to bear the loss of 1'
-    >>> outlook(three, ["a", "b"], ["d"], "d", "a", 1).why
-    'would leave 2 of 3 up with none to lose: bring back c, or replace it first'
-    >>> outlook(three, ["a", "b"], ["d"], "d", "c", 1).bears
-    1
+    So did an earlier revision, which drew none.
     """
-    members = present.members
-    if not add and not remove:
-        why = "nothing to change"
-    elif add and add in members:
-        why = f"{add} is a member"
-    elif remove and remove not in members:
-        why = f"{remove} is no member"
-    elif add and add not in ready:
-        why = f"{add} is not ready: no learner of this system that all of the chain hear, filled and well"
-    elif len(members) + bool(add) - bool(remove) > MOST:
-        why = f"would leave more than {MOST} members"
-    else:
-        why = ""
-    after = present.changed(add, remove) if not why else present
-    up = tuple(name for name in after.members if name in chain or name == add)
-    margin = len(up) - (len(after.members) // 2 + 1)
-    before = sum(name in chain for name in members) - (len(members) // 2 + 1)
-    counted = [name for name in chain if name in after.members and name != add]
-    if not why and len(after.members) < 2 * bear + 1 <= len(members):
-        why = f"would leave {len(after.members)} members, {2 * bear + 1} are needed to bear the loss of {bear}"
-    elif not why and margin < bear and (margin < before or remove in chain) and margin >= 0:
-        down = ", ".join(name for name in after.members if name not in up)
-        why = (
-            f"would leave {len(up)} of {len(after.members)} up with {margin or 'none'} to lose: "
-            f"bring back {down or 'the others'}, or replace it first"
-        )
-    elif not why and (margin < 0 or not after.quorum(counted)):
-        why = (
-            f"would leave {len(up)} of {len(after.members)} up, of which too few hold what is held"
-        )
-    return Outlook(after.number, after.members, up, max(0, margin), why)
+    ordered = sorted(names)
+    if not system:
+        digest = hashlib.blake2b(",".join(ordered).encode(), digest_size=6).digest()
+        system = int.from_bytes(digest, "big") | 1
+    seats = tuple((name, rank) for rank, name in enumerate(ordered))
+    return ReplicaSet(system, 0, seats, seats)
--- a/umbermoor/gateway/replication/status.py
+++ b/umbermoor/gateway/replication/status.py
@@ -2,8 +2,10 @@
 
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Any
 
+from umbermoor.gateway.effects import JsonObject
+from umbermoor.gateway.replication.context import Context
+from umbermoor.gateway.replication.health import is_degraded
 from umbermoor.gateway.replication.view import Version
 
 
@@ -14,7 +16,7 @@
     MIDDLE = "middle"
     TAIL = "tail"  # commits writes, and answers reads
     OUTSIDE = "out"  # a member that is not in the active chain
-    BLANK = "blank"  # its disk holds nothing yet: new, or lost
+    DISK_LOST = "blank"  # its disk holds nothing yet: new, or lost
     LEARNER = "learner"  # no member; it follows what is committed
 
 
@@ -32,7 +34,7 @@
     degraded: bool  # fewer losses can be tolerated now than configured
     learners: tuple[str, ...]  # heard lately
 
-    def to_json(self) -> dict[str, Any]:
+    def to_json(self) -> JsonObject:
         """As the operators' calls show it."""
         return {
             "epoch": self.epoch,
@@ -45,3 +47,32 @@
             "thin": self.degraded,
             "learners": list(self.learners),
         }
+
+
+def status_of(context: Context, uncommitted: int) -> ReplicaStatus:
+    """Where a replica stands, with so many writes under way."""
+    active, sets = context.views.active, context.sets.current
+    return ReplicaStatus(
+        epoch=active.epoch,
+        chain=active.chain,
+        role=_role_of(context),
+        version=context.map.version,
+        uncommitted=uncommitted,
+        members=sets.members,
+        set_number=sets.number,
+        degraded=is_degraded(context),
+        learners=tuple(sorted(context.learners.heard(context.now))),
+    )
+
+
+def _role_of(context: Context) -> Role:
+    views, lifecycle = context.views, context.lifecycle
+    if context.sets.names and not context.is_member:
+        return Role.LEARNER
+    if lifecycle.disk_lost or lifecycle.cold_start:
+        return Role.DISK_LOST
+    if not views.serving:
+        return Role.OUTSIDE
+    if views.predecessor is None:
+        return Role.HEAD
+    return Role.TAIL if views.successor is None else Role.MIDDLE
--- /dev/null
+++ b/umbermoor/gateway/replication/stored_records.py
@@ -0,0 +1,125 @@
+"""The records that a replica keeps on its disk: their keys and JSON, read and made in one place.
+
+Written together, all or none; `store` holds them. Docs: docs/state.md.
+"""
+
+import json
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from umbermoor.gateway.effects import JsonValue
+from umbermoor.gateway.replication.errors import InconsistentStateError
+from umbermoor.gateway.replication.replica_set import NO_MEMBERS, EpochSet, ReplicaSet, founded
+from umbermoor.gateway.replication.view import Version, View
+
+Records = dict[str, bytes | None]  # None removes
+
+MEMBERS = "members"  # the names of the replica set, both sets of a change
+SYSTEM = "system"  # the number drawn at the founding
+REPLICA_SETS = "sets"  # of the view accepted last; epoch and set of the newest one known active
+ZONES = "zones"  # of the other members, as last told
+PROMISE = "promise"  # the highest epoch promised
+VIEW = "view"  # accepted last
+VERSION = "version"  # of the map
+LEARNER_VERSION = "learner"  # of the map, where it is a learner's
+VALUE_PREFIX = "state/"  # and a key of the map
+
+
+def json_bytes(value: object) -> bytes:
+    """The compact JSON of a value. Raises TypeError, ValueError and RecursionError."""
+    return json.dumps(value, separators=(",", ":")).encode()
+
+
+@dataclass(frozen=True, slots=True)
+class StoredState:
+    """What was on disk when the process started."""
+
+    members: tuple[str, ...]  # (): neither founded nor filled
+    accepted_set: EpochSet
+    proven_set: EpochSet
+    zones: dict[str, str]
+    promise: int
+    view: View
+    last_sequence: int
+    values: dict[str, JsonValue]
+
+
+def load(records: Mapping[str, bytes]) -> StoredState:
+    """Read the records. Raises InconsistentStateError."""
+    members = tuple(json.loads(records.get(MEMBERS, b"[]")))
+    epoch, chain = json.loads(records.get(VIEW, b"[0,[]]"))
+    version = json.loads(records.get(VERSION, b"[0,0]"))
+    if version[0] != epoch:
+        raise InconsistentStateError(version[0], epoch)
+    first = founded(members, json.loads(records.get(SYSTEM, b"0"))) if members else NO_MEMBERS
+    sets = json.loads(records.get(REPLICA_SETS, b"null")) or [None, 0, None]
+    return StoredState(
+        members=members,
+        accepted_set=EpochSet(epoch, ReplicaSet.from_json(sets[0]) if sets[0] else first),
+        proven_set=EpochSet.from_json(sets[1:]) if sets[2] else EpochSet(0, first),
+        zones=json.loads(records.get(ZONES, b"{}")),
+        promise=json.loads(records.get(PROMISE, b"0")),
+        view=View(epoch, tuple(chain)),
+        last_sequence=version[1],
+        values={
+            key.removeprefix(VALUE_PREFIX): json.loads(value)
+            for key, value in records.items()
+            if key.startswith(VALUE_PREFIX)
+        },
+    )
+
+
+def value_record(key: str, value: JsonValue) -> Records:
+    """A value of the map; None removes it."""
+    return {VALUE_PREFIX + key: None if value is None else json_bytes(value)}
+
+
+def version_record(version: Version) -> Records:
+    """The map's version."""
+    return {VERSION: json_bytes(version)}
+
+
+def learner_version_record(version: Version) -> Records:
+    """The version of a learner's map."""
+    return {LEARNER_VERSION: json_bytes(version)}
+
+
+def promise_record(epoch: int) -> Records:
+    """The highest epoch promised."""
+    return {PROMISE: json_bytes(epoch)}
+
+
+def view_records(view: View) -> Records:
+    """A view that is accepted, and with it promised; its map begins at sequence number 0."""
+    return {
+        **promise_record(view.epoch),
+        VIEW: json_bytes(view),
+        **version_record((view.epoch, 0)),
+    }
+
+
+def founding_records(members: tuple[str, ...], system: int) -> Records:
+    """A system founded, with those members."""
+    return {MEMBERS: json_bytes(members), SYSTEM: json_bytes(system)}
+
+
+def no_founding_records() -> Records:
+    """A founding that came to nothing."""
+    return {MEMBERS: None, SYSTEM: None}
+
+
+def replica_set_records(
+    accepted: ReplicaSet, proven: EpochSet, names: tuple[str, ...], zones: Mapping[str, str]
+) -> Records:
+    """The replica sets known here."""
+    sets = [accepted.to_json(), proven.epoch, proven.replica_set.to_json()]
+    return {
+        REPLICA_SETS: json_bytes(sets),
+        MEMBERS: json_bytes(names),
+        **zones_record(zones),
+    }
+
+
+def zones_record(zones: Mapping[str, str]) -> Records:
+    """The zones of the other members."""
+    return {ZONES: json_bytes(zones)}
--- /dev/null
+++ b/umbermoor/gateway/replication/view_triggers.py
@@ -0,0 +1,195 @@
+"""Why a view is to be proposed, and how long that must hold before.
+
+The delays differ by rank and by chance, so that few propose at once. Times are microseconds.
+"""
+
+from enum import Enum, auto
+from typing import NamedTuple
+
+from umbermoor.gateway.replication.chain import Chain
+from umbermoor.gateway.replication.context import Context
+from umbermoor.gateway.replication.health import is_degraded
+from umbermoor.gateway.replication.peers import STEADY, Exclusions, Peer
+from umbermoor.gateway.replication.timing import (
+    HEARD_WITHIN,
+    MILLISECOND,
+    NO_CHAIN_HEARD,
+    SILENCE,
+    STARTUP_GRACE,
+    STEADY_WHILE_DEGRADED,
+)
+
+
+class Cause(Enum):
+    """Why a view is to be proposed."""
+
+    NONE = auto()
+    RESTARTED = auto()  # this replica is in the active chain, and was started since
+    FENCED = auto()  # it has promised a later epoch of which nothing came
+    UNSERVED = auto()  # the view that it accepted has not become active
+    STARTED = auto()  # it was started, and no chain is heard to serve
+    REMOVED = auto()  # one is in the chain that is no member any more
+    LEAVING = auto()  # one of the chain is about to end, in order
+    SILENT = auto()  # one of the chain is not heard
+    STALLED = auto()  # the successor acknowledges nothing
+    ENTRY = auto()  # one outside may be taken into the chain
+
+
+class Trigger(NamedTuple):
+    """A cause, and what follows from it."""
+
+    cause: Cause
+    delay: int = 0  # how long it must hold, in microseconds
+    excluded: frozenset[str] = frozenset()  # who is to be left out of the chain
+
+
+NO_TRIGGER = Trigger(Cause.NONE)
+
+
+class ViewTriggers:
+    """Watches whether the chain is as it should be."""
+
+    def __init__(self, context: Context, chain: Chain, exclusions: Exclusions) -> None:
+        self._context, self._chain, self._exclusions = context, chain, exclusions
+        self._cause = Cause.NONE
+        self._due_at = 0
+
+    def reset(self) -> None:
+        """A view is being proposed or was accepted: causes count from now on."""
+        self._cause = Cause.NONE
+
+    def check(self) -> Trigger | None:
+        """What a view is to be proposed for now; None: nothing."""
+        if not self._may_propose():
+            return None
+        now = self._context.now
+        trigger = self._find()
+        due_at = now + trigger.delay
+        is_same = trigger.cause is self._cause
+        self._due_at = min(self._due_at, due_at) if is_same else due_at
+        self._cause = trigger.cause
+        if trigger.cause is Cause.NONE or now < self._due_at or not self._reaches_quorum():
+            return None
+        return trigger
+
+    def _reaches_quorum(self) -> bool:
+        context = self._context
+        return context.sets.current.quorum(
+            [name for name in context.sets.names if context.in_contact(context.name, name)]
+        )
+
+    def _may_propose(self) -> bool:
+        """Whether its disk is healthy.
+
+        Or it is slow only, and so are too many for the others to go on without it.
+        """
+        context = self._context
+        if context.disk.healthy(context.now):
+            return True
+        healthy = [
+            name
+            for name, peer in context.peers.heard(context.now).items()
+            if peer.heartbeat.disk_healthy and not peer.heartbeat.disk_lost
+        ]
+        return context.disk.works(context.now) and not context.sets.current.quorum(healthy)
+
+    def _find(self) -> Trigger:
+        context = self._context
+        rank = context.sets.names.index(context.name)
+        stagger = rank * 50 * MILLISECOND + context.rng.randrange(50 * MILLISECOND)
+        if not context.views.serving:
+            return self._find_outside(stagger)
+        return self._find_in_chain(rank)
+
+    def _find_outside(self, stagger: int) -> Trigger:
+        """This replica is not in a chain that serves."""
+        context, views = self._context, self._context.views
+        is_in_active_chain = context.name in views.active.chain
+        if views.active.epoch > views.joined and context.hears_serving(HEARD_WITHIN):
+            return Trigger(Cause.RESTARTED, stagger) if is_in_active_chain else NO_TRIGGER
+        if views.joined and views.promise > max(views.joined, views.active.epoch):
+            return Trigger(Cause.FENCED, stagger)
+        if views.joined:
+            return Trigger(Cause.UNSERVED, SILENCE + stagger)
+        if is_in_active_chain or self._all_in_contact():
+            return Trigger(Cause.STARTED, stagger)
+        patience = NO_CHAIN_HEARD if views.active.epoch else STARTUP_GRACE
+        return Trigger(Cause.STARTED, patience + stagger)
+
+    def _all_in_contact(self) -> bool:
+        context = self._context
+        names = context.sets.names
+        return all(context.in_contact(first, second) for first in names for second in names)
+
+    def _find_in_chain(self, rank: int) -> Trigger:
+        """This replica is in the chain that serves."""
+        context, rng = self._context, self._context.rng
+        for name in context.views.accepted.chain:
+            trigger = self._find_about(name, rank)
+            if trigger is not NO_TRIGGER:
+                return trigger
+        if self._chain.is_stalled and context.disk.healthy(context.now):
+            successor = context.views.accepted.chain[context.views.place + 1]
+            return Trigger(Cause.STALLED, 0, frozenset((successor,)))
+        heard = context.peers.heard(context.now).items()
+        if any(self._may_enter(name, peer) for name, peer in heard):
+            delay = context.views.place * 250 * MILLISECOND + rng.randrange(100 * MILLISECOND)
+            return Trigger(Cause.ENTRY, delay)
+        return NO_TRIGGER
+
+    def _find_about(self, name: str, rank: int) -> Trigger:
+        """Whether the chain is to go on without that one of it."""
+        context = self._context
+        peer = context.peers.get(name)
+        if name not in context.sets.current.names:
+            return Trigger(Cause.REMOVED, rank * 50 * MILLISECOND)
+        if name == context.name:
+            return NO_TRIGGER
+        if peer and peer.heartbeat.leaving and self._can_do_without(name):
+            return Trigger(Cause.LEAVING, rank * 20 * MILLISECOND, frozenset((name,)))
+        if self._is_silent(peer) and self._is_dispensable(name):
+            delay = rank * 80 * MILLISECOND + context.rng.randrange(100 * MILLISECOND)
+            return Trigger(Cause.SILENT, delay, frozenset((name,)))
+        return NO_TRIGGER
+
+    def _is_silent(self, peer: Peer | None) -> bool:
+        """Whether it was not heard in the view, with a healthy disk, for too long."""
+        views = self._context.views
+        heard_at = peer.joined_at if peer and peer.joined == views.joined else 0
+        return self._context.now - max(views.serving_since, heard_at) > SILENCE
+
+    def _is_dispensable(self, name: str) -> bool:
+        """Whether it is not heard, or enough others have healthy disks."""
+        context = self._context
+        heard = context.peers.heard(context.now)
+        healthy = [
+            other for other, peer in heard.items() if other != name and peer.heartbeat.disk_healthy
+        ]
+        if context.disk.healthy(context.now):
+            healthy.append(context.name)
+        return name not in heard or context.sets.current.quorum(healthy)
+
+    def _can_do_without(self, leaver: str) -> bool:
+        """Whether the rest of the chain, as far as it is heard, is a majority."""
+        context = self._context
+        heard = context.peers.heard(context.now)
+        return context.sets.current.quorum(
+            [
+                name
+                for name in context.views.accepted.chain
+                if name != leaver and (name == context.name or name in heard)
+            ]
+        )
+
+    def _may_enter(self, name: str, peer: Peer) -> bool:
+        """Whether that one, outside, may be taken into the chain."""
+        context, heartbeat = self._context, peer.heartbeat
+        chain = context.views.accepted.chain
+        if name in chain or not heartbeat.disk_healthy or heartbeat.leaving or not peer.can_join:
+            return False
+        steady = STEADY_WHILE_DEGRADED if is_degraded(context) else STEADY
+        if context.now - peer.steady_since < steady:
+            return False
+        if self._exclusions.holds(name, context.now):
+            return False
+        return all(context.in_contact(name, member) for member in chain)
--- a/umbermoor/gateway/replication/write_queue.py
+++ b/umbermoor/gateway/replication/write_queue.py
@@ -1,96 +1,134 @@
-"""What waits to be synced, one write at a time, and what is due after it. No I/O: the host carries
-writes out.
+"""What waits to be synced, one write at a time, and what is due after it. No I/O.
 
 All that comes while a write is under way goes into the next, all or none. A refused write is tried
 again with what came after it, so the order on disk is the order of asking, and what waits is
 bounded by the keys and purposes there are. A disk whose writes take long, one after another, is not
-well either: in a chain every change waits for it. It is tried again with what a change writes, and
-has to be quick for a time that doubles each time it was slow again. Times are whole microseconds.
+healthy either: in a chain every change waits for it. It is tried again with what a change writes,
+and has to be quick for a time that doubles each time it was slow again. Times are whole
+microseconds.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from umbermoor.gateway.effects import Write
+from umbermoor.gateway.replication.stored_records import Records
+from umbermoor.gateway.replication.timing import MILLISECOND
 
-AGAIN = 200_000  # until a refused write is tried again
-HANGS = 400_000  # a write that takes longer: the disk is not well
-SLOW = 250_000  # so is one of which two writes after another take longer
-REST, LONGEST = (
-    2_000_000,
-    32_000_000,
-)  # it has to be quick for so long first, and for twice as long each time, at most
-PROBE = 1_000_000  # between two tries of a disk that was slow
+RETRY = 200 * MILLISECOND  # until a refused write is tried again
+HANGING = 400 * MILLISECOND  # a write that takes longer: the disk is not healthy
+SLOW = 250 * MILLISECOND  # so is one of which two writes after another take longer
+MIN_PROBATION = 2000 * MILLISECOND  # it has to be quick for so long first,
+MAX_PROBATION = 32_000 * MILLISECOND  # and for twice as long each time, up to this
+PROBE_INTERVAL = 1000 * MILLISECOND  # between two tries of a disk that was slow
+SLOW_WRITES = 2  # one after another
 
-Then = Callable[[], None]
+Callback = Callable[[], None]
+
+
+def do_nothing() -> None:
+    """As the callback of a write that nothing waits for."""
+
+
+@dataclass(slots=True)
+class Batch:
+    """Records to write at once, and what to call then, by purpose."""
+
+    puts: Records = field(default_factory=dict)
+    callbacks: dict[str, Callback] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class WriteQueue:
-    _wanted: dict[str, bytes | None] = field(default_factory=dict)
-    _thens: dict[str, Then] = field(default_factory=dict)
-    _flying: tuple[dict[str, bytes | None], dict[str, Then]] | None = None
+    """The writes of one disk, and whether it is healthy."""
+
+    _waiting: Batch = field(default_factory=Batch)
+    _in_flight: Batch | None = None
     _token: int = 0
-    _since: int | None = None  # when the oldest write that has not succeeded was first handed out
-    _again: int = 0
-    _refused: bool = False
-    _handed: int = 0  # when the write under way was handed out
-    _late: int = 0  # how many writes were slow, one after another
-    _slow_until: int = 0
-    _rest: int = REST
-    _probed: int = 0
-
-    def enqueue(self, puts: dict[str, bytes | None], purpose: str, then: Then) -> None:
-        """Sync `puts`, then call `then`; a later one of the same purpose stands for the earlier
-        too."""
-        self._wanted.update(puts)
-        self._thens[purpose] = then
+    _failing_since: int | None = None  # when the oldest write not yet done was first handed out
+    _retry_at: int = 0
+    _is_refused: bool = False
+    _started_at: int = 0  # of the write in flight
+    _slow_writes: int = 0  # one after another
+    _on_probation_until: int = 0
+    _probation: int = MIN_PROBATION
+    _probed_at: int = 0
+
+    @property
+    def is_writing(self) -> bool:
+        """Whether a write is in flight."""
+        return self._in_flight is not None
+
+    @property
+    def on_probation_until(self) -> int:
+        """Until when a disk that was slow has to be quick."""
+        return self._on_probation_until
+
+    def enqueue(self, puts: Records, purpose: str, callback: Callback) -> None:
+        """Sync `puts`, then call `callback`; a later one of that purpose replaces an earlier."""
+        self._waiting.puts.update(puts)
+        self._waiting.callbacks[purpose] = callback
 
     def start(self, now: int) -> Write | None:
         """The next write, if there is one to hand out."""
-        if self._flying or not self._thens or now < self._again:
+        if self._in_flight or not self._waiting.callbacks or now < self._retry_at:
             return None
-        self._flying = self._wanted, self._thens
-        self._wanted, self._thens = {}, {}
+        self._in_flight, self._waiting = self._waiting, Batch()
         self._token += 1
-        self._since = now if self._since is None else self._since
-        self._handed = now
-        return Write(self._token, dict(self._flying[0]))
+        if self._failing_since is None:
+            self._failing_since = now
+        self._started_at = now
+        return Write(self._token, dict(self._in_flight.puts))
 
-    def written(self, now: int, token: int) -> list[Then]:
-        """What is due now; nothing if that write is not the one under way."""
-        if not self._flying or token != self._token:
+    def written(self, now: int, token: int) -> list[Callback]:
+        """That write is synced: what is due now; nothing if it is not the one in flight."""
+        if not self._in_flight or token != self._token:
             return []
-        self._judge(now, now - self._handed)
-        thens = list(self._flying[1].values())
-        self._flying, self._since, self._refused = None, None, False
-        return thens
+        self._note_duration(now, now - self._started_at)
+        callbacks = list(self._in_flight.callbacks.values())
+        self._in_flight, self._failing_since, self._is_refused = None, None, False
+        return callbacks
 
     def write_failed(self, now: int, token: int) -> None:
-        if self._flying and token == self._token:
-            puts, thens = self._flying
-            self._wanted, self._thens = {**puts, **self._wanted}, {**thens, **self._thens}
-            self._flying, self._refused, self._again = None, True, now + AGAIN
-
-    def _judge(self, now: int, took: int) -> None:
-        self._late = self._late + 1 if took > SLOW else 0
-        if self._late < 2:
+        """The disk refused that write: it goes before what came after it."""
+        if not self._in_flight or token != self._token:
             return
-        if now >= self._slow_until:  # anew: sooner after the last time than that one lasted, or not
-            again = self._slow_until and now - self._slow_until < 4 * self._rest
-            self._rest = min(2 * self._rest, LONGEST) if again else REST
-        self._slow_until = now + self._rest
+        failed, later = self._in_flight, self._waiting
+        self._waiting = Batch(
+            {**failed.puts, **later.puts}, {**failed.callbacks, **later.callbacks}
+        )
+        self._in_flight, self._is_refused, self._retry_at = None, True, now + RETRY
 
-    def to_be_probed(self, now: int) -> bool:
+    def _note_duration(self, now: int, duration: int) -> None:
+        self._slow_writes = self._slow_writes + 1 if duration > SLOW else 0
+        if self._slow_writes < SLOW_WRITES:
+            return
+        if now >= self._on_probation_until:
+            self._probation = self._next_probation(now)
+        self._on_probation_until = now + self._probation
+
+    def _next_probation(self, now: int) -> int:
+        """Longer where it is slow again sooner after the last time than that one lasted."""
+        since = now - self._on_probation_until
+        if self._on_probation_until and since < 4 * self._probation:
+            return min(2 * self._probation, MAX_PROBATION)
+        return MIN_PROBATION
+
+    def begin_probe(self, now: int) -> bool:
         """Whether it was slow, nothing is written, and it is time to see whether it still is."""
-        if now >= self._slow_until or self._flying or self._thens or now - self._probed < PROBE:
+        is_idle = not self._in_flight and not self._waiting.callbacks
+        if now >= self._on_probation_until or not is_idle:
+            return False
+        if now - self._probed_at < PROBE_INTERVAL:
             return False
-        self._probed = now
+        self._probed_at = now
         return True
 
     def works(self, now: int) -> bool:
         """Whether it takes writes, be it slowly."""
-        return not self._refused and (self._since is None or now - self._since < HANGS)
+        is_hanging = self._failing_since is not None and now - self._failing_since >= HANGING
+        return not self._is_refused and not is_hanging
 
     def healthy(self, now: int) -> bool:
-        return now >= self._slow_until and self.works(now)
+        """Whether it takes writes, and has been quick for as long as it has to."""
+        return now >= self._on_probation_until and self.works(now)
--- a/umbermoor/gateway/simulation/register.py
+++ b/umbermoor/gateway/simulation/register.py
@@ -14,7 +14,8 @@
 from typing import Any
 
 from umbermoor.gateway.effects import CallResult, Decision, Outcome, Send, Status, Write
-from umbermoor.gateway.replication.replica import Decider, Replica
+from umbermoor.gateway.replication.head import Decider
+from umbermoor.gateway.replication.replica import Replica
 
 MS = 1000
 TICK = 50 * MS
@@ -336,8 +337,13 @@
         """Have it propose a view for no reason, if it may propose at all."""
         machine = self.machines[name]
         member = machine.member
-        if member and member._counts() and member._promise and not member._attempt:
-            member._propose(frozenset())
+        if (
+            member
+            and member.context.counts
+            and member.context.views.promise
+            and not member.view_change.attempt
+        ):
+            member.view_change.propose()
             self._do(machine, member.tick(self.now))
 
     def settle(self) -> None:
