--- a/umbermoor/membership/asking.py
+++ b/umbermoor/front/membership/dns_queries.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from umbermoor.backoff import Again
-from umbermoor.membership import answers
-from umbermoor.membership.answers import Cut, Failed, NotOurs, NotThere, Target, There
+from umbermoor.backoff import Backoff
+from umbermoor.front.membership import dns_messages
+from umbermoor.front.membership.dns_messages import Cut, Failed, NotOurs, NotThere, Target, There
 
 SECOND = 1_000_000
 WAIT_LEAST, WAIT_MOST = SECOND // 5, 2 * SECOND  # for one answer
@@ -73,11 +73,11 @@
     _found: There | None = None  # whose hosts' addresses are still asked for
     _hosts: list[str] = field(default_factory=list)
     _tried: list[Server] = field(default_factory=list)
-    _again: Again = field(init=False)
+    _backoff: Backoff = field(init=False)
     why: str = ""
 
     def __post_init__(self) -> None:
-        self._again = Again(AGAIN_FIRST, AGAIN_MOST, self.chance)
+        self._backoff = Backoff(AGAIN_FIRST, AGAIN_MOST, self.chance)
 
     def due(self, now: int) -> Ask | None:
         """What is to be sent now."""
@@ -97,7 +97,7 @@
         out = self.out
         if out is None or out.ask is not ask:
             return None
-        read = answers.read(data, out.name, ask.id, out.kind)
+        read = dns_messages.read(data, out.name, ask.id, out.kind)
         if isinstance(read, NotOurs):
             return None
         took = now - out.sent
@@ -136,7 +136,7 @@
 
     def _send(self, now: int, server: Server, name: str, kind: str, tcp: bool) -> Ask:
         id = int(self.chance() * 65536)
-        ask = Ask(server.address, id, answers.question(name, id, kind), tcp)
+        ask = Ask(server.address, id, dns_messages.question(name, id, kind), tcp)
         self.out = _Out(ask, server, now, name, kind)
         return ask
 
@@ -157,7 +157,7 @@
         """No server answered."""
         self._tried.clear()
         self._hosts, self._found = [], None
-        self.next_round = now + round(self._again.pause())
+        self.next_round = now + round(self._backoff.next_delay())
 
     def _service(self, now: int, read: There | NotThere) -> There | NotThere | Ask:
         self._tried.clear()
@@ -172,7 +172,7 @@
         self._hosts.pop(0)
         self.addresses[out.name] = read.targets[0].addresses if isinstance(read, There) else ()
         found = self._found
-        self._found = found._replace(ttl=max(answers.TTL_LEAST, min(found.ttl, read.ttl)))
+        self._found = found._replace(ttl=max(dns_messages.TTL_LEAST, min(found.ttl, read.ttl)))
         if self._hosts:
             return self._ask(now, False)
         targets = tuple(
@@ -186,7 +186,7 @@
         return self._settled(now, done)
 
     def _settled(self, now: int, read: There | NotThere) -> There | NotThere:
-        self._again.well()
+        self._backoff.reset()
         part = REFRESH_PART + REFRESH_SPREAD * self.chance()
         self.next_round = now + max(SECOND // 10, round(read.ttl * SECOND * part))
         return read
--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -728,7 +728,7 @@
             await asyncio.sleep(TICK)
 
 
-async def serve(papers: NodeSettings, path: str = "") -> None:
+async def serve(settings: NodeSettings, path: str = "") -> None:
     """Runs a barograph until it is told to end. Of its settings nothing is read again: members stay
     as founded."""
-    await Core(papers, random.Random()).serve()
+    await Core(settings, random.Random()).serve()
