--- a/umbermoor/gateway/replication/acceptor.py
+++ b/umbermoor/gateway/replication/acceptor.py
@@ -2,7 +2,7 @@
 
 Source: Lamport, Paxos Made Simple (2001). Both count only once they are on disk. One whose disk was
 lost gives a promise that does not count, and accepts nothing up to what it may have promised:
-docs/control.md, docs/state.md.
+docs/replication.md.
 """
 
 from collections.abc import Mapping
--- a/umbermoor/gateway/replication/bootstrap.py
+++ b/umbermoor/gateway/replication/bootstrap.py
@@ -2,7 +2,7 @@
 
 It has each of them write down who the members are, and proposes the first view once all have. A
 founder that hears of a promise belongs to a system that was founded before, when its disk was
-another; what it has founded is void: docs/state.md. Times are microseconds.
+another; what it has founded is void: docs/storage.md. Times are microseconds.
 """
 
 from umbermoor.gateway.replication.context import Context
--- a/umbermoor/gateway/replication/change_plan.py
+++ b/umbermoor/gateway/replication/change_plan.py
@@ -1,7 +1,7 @@
 """What a change of the replica set would leave, and what refuses it.
 
 A change must leave as many members, and as many of them up, as the configured losses need, unless
-it makes things better; no change may put a majority into one zone: docs/members.md.
+it makes things better; no change may put a majority into one zone: docs/replication.md.
 """
 
 from collections import Counter
--- a/umbermoor/gateway/replication/head.py
+++ b/umbermoor/gateway/replication/head.py
@@ -1,7 +1,7 @@
 """The head's part: it decides conditional writes, and orders those that it accepts.
 
 A write that changes nothing is answered once the writes that its decision stands upon are
-committed, and a majority has confirmed that no later view is in force: docs/control.md.
+committed, and a majority has confirmed that no later view is in force: docs/consistency.md.
 """
 
 from collections.abc import Callable, Mapping
--- a/umbermoor/gateway/replication/leases.py
+++ b/umbermoor/gateway/replication/leases.py
@@ -3,7 +3,7 @@
 Every heartbeat echoes the last one that came from the addressed. That one was sent before the
 answer, so what the answer tells of promises holds of its sending, and ages from there. Times of one
 clock in one process alone are compared; a process that saw its own clock leap forgets all. Source:
-Gray and Cheriton, Leases (1989); the argument: docs/control.md. Times are whole microseconds.
+Gray and Cheriton, Leases (1989); the argument: docs/consistency.md. Times are whole microseconds.
 """
 
 from collections import deque
--- a/umbermoor/gateway/replication/lifecycle.py
+++ b/umbermoor/gateway/replication/lifecycle.py
@@ -1,7 +1,7 @@
 """How a replica starts: cold, with its disk, or after its disk was lost.
 
 A cold replica belongs to a system that is yet to be founded. One whose disk was lost counts for
-nothing until it is given the state, as its promises can no longer be known: docs/state.md.
+nothing until it is given the state, as its promises can no longer be known: docs/storage.md.
 """
 
 from umbermoor.gateway.replication.stored_records import no_founding_records
--- a/umbermoor/gateway/replication/reads.py
+++ b/umbermoor/gateway/replication/reads.py
@@ -1,6 +1,6 @@
 """Reads at the tail, and the quorum rounds that they and repeated decisions wait for.
 
-Source: read index, see `quorum_rounds`; docs/control.md.
+Source: read index, see `quorum_rounds`; docs/consistency.md.
 """
 
 from collections.abc import Collection
--- a/umbermoor/gateway/replication/reconfiguration.py
+++ b/umbermoor/gateway/replication/reconfiguration.py
@@ -1,6 +1,6 @@
 """Changes of the replica set, ordered by an operator or by the head itself for a lost member.
 
-Source: joint consensus, see `replica_set`; what may be refused and why: docs/members.md. Times are
+Source: joint consensus, see `replica_set`; what may be refused and why: docs/replication.md. Times are
 microseconds.
 """
 
@@ -177,7 +177,7 @@
 
         The head does it where the platform has put another in that place: a machine that counts, in
         the same zone, without a disk, started when the chain had long heard nothing of the member:
-        docs/members.md.
+        docs/replication.md.
         """
         context = self._context
         member = self._find_missing()
--- a/umbermoor/gateway/replication/set_state.py
+++ b/umbermoor/gateway/replication/set_state.py
@@ -1,6 +1,6 @@
 """Which replica sets this replica knows: of the view accepted last, and of the newest one active.
 
-Source: joint consensus, see `replica_set`; docs/members.md.
+Source: joint consensus, see `replica_set`; docs/replication.md.
 """
 
 from collections.abc import Callable, Mapping
--- a/umbermoor/gateway/replication/state_transfer.py
+++ b/umbermoor/gateway/replication/state_transfer.py
@@ -1,7 +1,7 @@
 """How a replica gets the state that it lacks.
 
 One whose disk was lost asks what was promised before it may be given a view's state; learners and
-those outside the chain fetch what is committed: docs/state.md, docs/members.md.
+those outside the chain fetch what is committed: docs/replication.md.
 """
 
 from collections.abc import Mapping
--- a/umbermoor/gateway/replication/stored_records.py
+++ b/umbermoor/gateway/replication/stored_records.py
@@ -1,6 +1,6 @@
 """The records that a replica keeps on its disk: their keys and JSON, read and made in one place.
 
-Written together, all or none; `store` holds them. Docs: docs/state.md.
+Written together, all or none; `store` holds them. Docs: docs/storage.md.
 """
 
 import json
--- a/umbermoor/gateway/replication/timing.py
+++ b/umbermoor/gateway/replication/timing.py
@@ -2,7 +2,7 @@
 
 What keeps the protocol safe stands on two relations between them: `COLLECT_PROMISES` is shorter
 than `DISK_LOSS_QUARANTINE` (the promise of a disk that was lost meanwhile must not count), and a
-lease is shorter than both: docs/control.md.
+lease is shorter than both: docs/consistency.md.
 """
 
 MILLISECOND = 1000
--- a/umbermoor/gateway/replication/view_change.py
+++ b/umbermoor/gateway/replication/view_change.py
@@ -4,7 +4,7 @@
 that nobody else proposes, the state of the highest version among them is taken over, and the view
 is active once every member of the new chain has accepted it. Source: Lamport, Paxos Made Simple
 (2001), with the whole chain in place of an accepting majority; van Renesse and Schneider, Chain
-Replication (2004). The argument: docs/control.md, docs/members.md. Times are microseconds.
+Replication (2004). The argument: docs/replication.md. Times are microseconds.
 """
 
 from umbermoor.gateway.replication.acceptor import Acceptor
@@ -264,7 +264,7 @@
         """Whose majorities are needed: those of the set of the newest view that any tells of.
 
         Every view that may have become active was accepted by a majority of the sets that are
-        asked, so one of those who promise tells of it: docs/members.md.
+        asked, so one of those who promise tells of it: docs/replication.md.
         """
         if not message.accepted_set or not message.proven_set:
             return  # of an earlier revision, in which the set never changes
