--- a/umbermoor/gateway/replication/timing.py
+++ b/umbermoor/gateway/replication/timing.py
@@ -1,8 +1,8 @@
 """Time spans of the replication protocol, in whole microseconds of one monotonic clock.
 
-What keeps the protocol safe stands on two relations between them: `COLLECT_PROMISES` is shorter
-than `DISK_LOSS_QUARANTINE` (the promise of a disk that was lost meanwhile must not count), and a
-lease is shorter than both: docs/consistency.md.
+One relation between them keeps the protocol safe: `COLLECT_PROMISES` is shorter than
+`DISK_LOSS_QUARANTINE`, as the promise of a disk that was lost meanwhile must not count. All others
+are for liveness: docs/consistency.md, "Which promises rest on time". Leases: `leases`.
 """
 
 MILLISECOND = 1000
