--- a/umbermoor/gateway/server/client_connection.py
+++ b/umbermoor/gateway/server/client_connection.py
@@ -12,7 +12,7 @@
 from umbermoor.gateway.balancing.attempt_outcomes import SINGLE_VALUE_HEADERS
 from umbermoor.gateway.routing.route_table import ClientLimits
 from umbermoor.gateway.server.http_messages import response_bytes
-from umbermoor.gateway.server.peer_transport import quicken
+from umbermoor.gateway.server.peer_transport import tune_socket
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Request
 
@@ -148,7 +148,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begins, where there are not too many."""
         self.transport = cast(asyncio.Transport, transport)
-        quicken(transport)
+        tune_socket(transport)
         clients = self.clients
         if len(clients.connections) >= MAX_CONNECTIONS:
             self.transport.abort()
--- a/umbermoor/gateway/server/connections.py
+++ b/umbermoor/gateway/server/connections.py
@@ -20,7 +20,7 @@
     is_reusable,
 )
 from umbermoor.gateway.balancing.instance import Instance
-from umbermoor.gateway.server.peer_transport import quicken
+from umbermoor.gateway.server.peer_transport import tune_socket
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Response
 
@@ -150,7 +150,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begins."""
         self.transport = cast(asyncio.Transport, transport)
-        quicken(transport)
+        tune_socket(transport)
 
     @property
     def stage(self) -> AttemptStage:
--- a/umbermoor/gateway/server/controller_link.py
+++ b/umbermoor/gateway/server/controller_link.py
@@ -10,9 +10,8 @@
 
 from umbermoor.gateway.balancing.instances import Instances
 from umbermoor.gateway.config.node_settings import NodeSettings
-from umbermoor.gateway.distribution.deltas import applied, digest_of
-from umbermoor.gateway.distribution.reader import Heard
-from umbermoor.gateway.distribution.reader import Reader as UpdateReader
+from umbermoor.gateway.distribution.deltas import apply_delta, text_digest
+from umbermoor.gateway.distribution.subscriber import Subscriber, Update
 from umbermoor.gateway.membership.failure_detector import Sonde
 from umbermoor.gateway.rollout.front import Trials
 from umbermoor.gateway.rollout.plan import ROLLOUT
@@ -20,7 +19,7 @@
 from umbermoor.gateway.server.client_connection import ClientConnections
 from umbermoor.gateway.server.connections import ConnectionPool
 from umbermoor.gateway.server.events import event
-from umbermoor.gateway.server.peer_transport import Line, Post
+from umbermoor.gateway.server.peer_transport import PeerConnection, PeerTransport
 from umbermoor.gateway.server.request_handler import RequestHandler
 
 SECOND_US = 1_000_000
@@ -37,7 +36,7 @@
     """Takes over what the controllers tell.
 
     Attributes:
-        reader: What was heard, and whom to ask next.
+        subscriber: What was heard, and whom to ask next.
         peers: The transport of messages to and from controllers.
         configuration_text: The configuration in force, as the operator sent it; "" before any.
     """
@@ -54,9 +53,11 @@
         pool: ConnectionPool,
         clients: ClientConnections,
     ) -> None:
-        self.reader = UpdateReader(controller_addresses(settings))
-        self.reader.salt = salt
-        self.peers = Post(settings.ip, settings.port_range[0], self.receive, self.disconnected)
+        self.subscriber = Subscriber(controller_addresses(settings))
+        self.subscriber.salt = salt
+        self.peers = PeerTransport(
+            settings.ip, settings.port_range[0], self.receive, self.disconnected
+        )
         self.configuration_text = ""
         self._instances = instances
         self._rollouts = rollouts
@@ -70,80 +71,80 @@
     def tick(self, now: int) -> None:
         """Sends the pulls that are due, and reports of rollouts."""
         self._notice_pause(now)
-        for address in self.reader.due(now):
-            self.peers.send(address, self.reader.pull(now, address))
-        if self.reader.head and (reports := self._rollouts.tick(now)):
-            self.peers.send(self.reader.head, {"kind": "reports", "reports": reports})
+        for address in self.subscriber.due_pulls(now):
+            self.peers.send(address, self.subscriber.make_pull(now, address))
+        if self.subscriber.head and (reports := self._rollouts.tick(now)):
+            self.peers.send(self.subscriber.head, {"kind": "reports", "reports": reports})
 
     def forget_instances(self, now: int) -> None:
         """Drops instances that no controller has known for long."""
-        for instance_id in self.reader.forget(now):
+        for instance_id in self.subscriber.forget_departed(now):
             self._instances.forget(instance_id)
 
     def is_current(self) -> bool:
         """Whether what is in force is as new as a quorum of controllers knew after the start."""
         return (
             self._requests.routes is not None
-            and self.reader.offered <= self.reader.revision
-            and self.reader.firm_since(self._started_at)
+            and self.subscriber.newest_revision <= self.subscriber.revision
+            and self.subscriber.confirmed_since(self._started_at)
         )
 
     def apply_settings(self, settings: NodeSettings) -> None:
         """Takes over what the settings file says now."""
         for address in controller_addresses(settings):
-            self.reader.meet(address)
+            self.subscriber.add_seed(address)
 
     def _notice_pause(self, now: int) -> None:
         """Finds out that this process stood still: messages may come before the next tick."""
         if now - self._ticked_at > MAX_TICK_GAP_US:
-            self.reader.stood_still()
+            self.subscriber.mark_stalled()
         self._ticked_at = now
 
-    def disconnected(self, line: Line) -> None:
+    def disconnected(self, connection: PeerConnection) -> None:
         """A connection to a peer is gone."""
-        if line.peer in self.reader.sources:
-            self.reader.failed(self._requests.now(), line.peer)
+        if connection.peer in self.subscriber.sources:
+            self.subscriber.pull_failed(self._requests.now(), connection.peer)
 
-    def receive(self, line: Line, message: dict[str, Any]) -> None:
+    def receive(self, connection: PeerConnection, message: dict[str, Any]) -> None:
         """A message came."""
         kind = message.get("kind")
         if kind == "news":
-            self._take_update(self._requests.now(), line.peer or "", message)
-        elif kind == "body" and line.peer in self.reader.sources:
+            self._take_update(self._requests.now(), connection.peer or "", message)
+        elif kind == "body" and connection.peer in self.subscriber.sources:
             self.take_configuration(message)
 
     def _take_update(self, now: int, controller: str, message: dict[str, Any]) -> None:
         self._notice_pause(now)
-        heard = self.reader.news(now, controller, message)
-        if heard is None:
+        update = self.subscriber.receive_update(now, controller, message)
+        if update is None:
             return
-        for instance in self._instances.update(now, heard.machines):
+        for instance in self._instances.update(now, update.instances):
             self._pool.close_idle(instance)
-        self._take_rollouts(now, heard)
-        self._list_instances(now, heard)
+        self._take_rollouts(now, update)
+        self._list_instances(now, update)
         proxies = [ip for ip in message.get("fronts", ()) if isinstance(ip, str)]
         self._detector.heard_of(now, proxies)
-        if heard.want:
-            self.peers.send(controller, self.reader.pull(now, controller))
+        if update.wants_body:
+            self.peers.send(controller, self.subscriber.make_pull(now, controller))
 
-    def _take_rollouts(self, now: int, heard: Heard) -> None:
-        if heard.firm:
+    def _take_rollouts(self, now: int, update: Update) -> None:
+        if update.confirmed:
             self._rollouts.heard(now)
-        for key, record in heard.register.items():
+        for key, record in update.records.items():
             if not key.startswith(ROLLOUT):
                 continue
             service = key[len(ROLLOUT) :]
-            self._rollouts.order(now, service, record, heard.firm)
+            self._rollouts.order(now, service, record, update.confirmed)
             stage = record["state"], record["target"], record["stage"]
             if self._logged_stages.get(key) != stage:
                 self._logged_stages[key] = stage
                 state, target, number = stage
                 event("rollout", service=service, state=state, target=target, stage=number)
 
-    def _list_instances(self, now: int, heard: Heard) -> None:
+    def _list_instances(self, now: int, update: Update) -> None:
         """Tells the rollouts of services whose instances changed."""
         for service in self._instances.changed_services:
-            if heard.firm and ROLLOUT + service not in self.reader.register:
+            if update.confirmed and ROLLOUT + service not in self.subscriber.records:
                 self._rollouts.order(now, service, None)
             judged = [
                 (instance.id, instance.entry.revision, instance.listed_at)
@@ -161,7 +162,7 @@
             text = self._apply_delta(delta)
             if text is None:
                 event("configuration_delta_invalid", reason="it does not come out")
-                self.reader.unusable()
+                self.subscriber.discard_base()
                 return
         try:
             body = json.loads(text)  # type: ignore[arg-type]  # no text is a TypeError
@@ -181,22 +182,22 @@
             digest, _, _ = delta
         except (TypeError, ValueError):
             return False
-        return digest == self.reader.base != ""
+        return digest == self.subscriber.base_digest != ""
 
     def _apply_delta(self, delta: Any) -> str | None:
         """The text that a delta makes of the one in force; None where it fits none."""
         try:
             digest, base, changes = delta
-            if base != self.reader.base or not base:
+            if base != self.subscriber.base_digest or not base:
                 return None
-            return applied(self.configuration_text, changes, digest)
+            return apply_delta(self.configuration_text, changes, digest)
         except (TypeError, ValueError):
             return None
 
     def _put_in_force(self, routes: RouteTable, text: Any) -> None:
         self._requests.routes = routes
         self.configuration_text = text
-        self.reader.base = digest_of(text)
-        self.reader.revision = max(self.reader.revision, routes.revision)
+        self.subscriber.base_digest = text_digest(text)
+        self.subscriber.revision = max(self.subscriber.revision, routes.revision)
         self._clients.apply_limits(routes.client_limits)
         event("configuration_applied", revision=routes.revision_text, source="update")
