--- a/umbermoor/gateway/server/datagrams.py
+++ b/umbermoor/gateway/server/datagrams.py
@@ -1,63 +1,84 @@
-"""Datagrams between fronts: the sonde's host, on the front's own address and port.
-
-Usage, in a host with `papers` and a wall-clock start:
-
-    sonde = Sonde(papers.ip, time.time_ns() // 1000, random.Random())
-    datagrams = await listen(sonde, papers.ip, papers.ports[0], self.now)  # OSError where the port
-is taken
-    ...; sonde.heard_of(self.now(), ips); sonde.count(); datagrams.leave(); datagrams.close()
+"""The failure detector's host: a UDP socket on the proxy's own address and port, and a clock.
+
+Usage, in a proxy:
+
+    detector = FailureDetector(address, time.time_ns() // 1000, random.Random())
+    membership = await listen(detector, address, port, now)  # OSError where the port is taken
+    ...
+    detector.discovered(now(), addresses)
+    detector.member_count()
+    ...
+    membership.leave()
+    membership.close()
 """
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
+from typing import Any, cast
+
+from umbermoor.gateway.membership.failure_detector import FailureDetector
+from umbermoor.gateway.membership.messages import Datagram
 
-from umbermoor.gateway.membership.failure_detector import Out, Sonde
+TICK_INTERVAL_SECONDS = 0.1
+MAX_DATAGRAMS_PER_TICK = 400
+"""Taken in between two ticks; the rest of a flood is dropped unread."""
+MAX_SEND_BUFFER_BYTES = 64 << 10
+"""While more waits to be sent, datagrams are dropped."""
 
-TICK = 0.1  # s
-MOST = 400  # datagrams taken in between two ticks; the rest of a flood is dropped unread
-BACKLOG = 64 << 10  # bytes that may wait to be sent
 
+class MembershipEndpoint(asyncio.DatagramProtocol):
+    """Carries datagrams to and from a failure detector, and calls its clock.
 
-class Datagrams(asyncio.DatagramProtocol):
-    """Carries datagrams to a sonde and from it, and calls its clock."""
+    Args:
+        detector: the failure detector.
+        port: the UDP port of all proxies.
+        now: the clock, in whole microseconds; it never goes back.
+    """
 
-    def __init__(self, sonde: Sonde, port: int, now: Callable[[], int]) -> None:
-        """`now`: whole microseconds, never back."""
-        self.sonde, self.port, self.now = sonde, port, now
+    def __init__(self, detector: FailureDetector, port: int, now: Callable[[], int]) -> None:
+        self.detector, self.port, self.now = detector, port, now
         self.transport: asyncio.DatagramTransport | None = None
         self.dropped = 0
-        self._taken = 0
+        self._received_since_tick = 0
         self._timer: asyncio.TimerHandle | None = None
 
-    def connection_made(self, transport) -> None:
-        self.transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The socket is open: the ticks begin."""
+        self.transport = cast(asyncio.DatagramTransport, transport)
         self._tick()
 
-    def datagram_received(self, data: bytes, addr) -> None:
-        if self._taken >= MOST or addr[1] != self.port:
+    def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Passes a datagram on, unless it comes from another port or in a flood."""
+        source, port = addr
+        if self._received_since_tick >= MAX_DATAGRAMS_PER_TICK or port != self.port:
             self.dropped += 1
             return
-        self._taken += 1
-        self._send(self.sonde.datagram(self.now(), addr[0], data))
+        self._received_since_tick += 1
+        self._send(self.detector.receive(self.now(), source, data))
 
     def error_received(self, exc: OSError) -> None:
-        """Nobody listens there, or it cannot be reached: the sonde finds out by itself."""
+        """A peer cannot be reached: nothing to do, the detector finds out by itself."""
 
     def _tick(self) -> None:
-        self._taken = 0
-        self._timer = asyncio.get_running_loop().call_later(TICK, self._tick)
-        self._send(self.sonde.tick(self.now()))
-
-    def _send(self, out: Out) -> None:
-        for ip, data in out:
-            if self.transport is not None and self.transport.get_write_buffer_size() < BACKLOG:
-                self.transport.sendto(data, (ip, self.port))
+        self._received_since_tick = 0
+        self._timer = asyncio.get_running_loop().call_later(TICK_INTERVAL_SECONDS, self._tick)
+        self._send(self.detector.tick(self.now()))
+
+    def _send(self, datagrams: Iterable[Datagram]) -> None:
+        for address, data in datagrams:
+            if self.transport is None:
+                return
+            # typeshed leaves this method of asyncio's datagram transports out
+            waiting = self.transport.get_write_buffer_size()  # type: ignore[attr-defined]
+            if waiting < MAX_SEND_BUFFER_BYTES:
+                self.transport.sendto(data, (address, self.port))
 
     def leave(self) -> None:
-        """Tells the others that this front ends; ticks go on until `close`."""
-        self._send(self.sonde.leave(self.now()))
+        """Tells the others that this proxy ends; ticks go on until `close`."""
+        self._send(self.detector.leave(self.now()))
 
     def close(self) -> None:
+        """Stops the ticks and closes the socket."""
         if self._timer is not None:
             self._timer.cancel()
         if self.transport is not None:
@@ -65,9 +86,15 @@
             self.transport = None
 
 
-async def listen(sonde: Sonde, ip: str, port: int, now: Callable[[], int]) -> Datagrams:
-    """Opens (ip, port) for the sonde and starts its clock. OSError where it cannot be bound."""
-    _, protocol = await asyncio.get_running_loop().create_datagram_endpoint(
-        lambda: Datagrams(sonde, port, now), local_addr=(ip, port)
+async def listen(
+    detector: FailureDetector, address: str, port: int, now: Callable[[], int]
+) -> MembershipEndpoint:
+    """Opens the UDP socket (address, port) for the detector and starts its clock.
+
+    Raises:
+        OSError: the socket cannot be bound.
+    """
+    _, endpoint = await asyncio.get_running_loop().create_datagram_endpoint(
+        lambda: MembershipEndpoint(detector, port, now), local_addr=(address, port)
     )
-    return protocol
+    return endpoint
--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -18,7 +18,7 @@
 from umbermoor.gateway.config.node_settings import Papers, read_papers
 from umbermoor.gateway.distribution.deltas import applied, digest_of
 from umbermoor.gateway.distribution.reader import Reader as Pulls
-from umbermoor.gateway.membership.failure_detector import Sonde
+from umbermoor.gateway.membership.failure_detector import FailureDetector
 from umbermoor.gateway.rollout.front import Trials
 from umbermoor.gateway.rollout.plan import ROLLOUT
 from umbermoor.gateway.routing.route_table import Route, Routes
@@ -65,7 +65,7 @@
     def __init__(self, papers: Papers, chance: random.Random, path: str = "") -> None:
         """`path` of the settings file, to be read again when it changes; "" never."""
         self.papers, self.chance, self.path, self.changed = papers, chance, path, _changed(path)
-        self.sonde = Sonde(papers.ip, time.time_ns() // 1000, chance)
+        self.failure_detector = FailureDetector(papers.ip, time.time_ns() // 1000, chance)
         self.text = ""  # of the configuration in force, as the operator sent it
         self.stages: dict[str, tuple] = {}  # of roll-outs, as last logged
         self.clock = time.monotonic
@@ -327,7 +327,7 @@
                     ],
                 )
             self.plants.changed.clear()
-            self.sonde.heard_of(
+            self.failure_detector.discovered(
                 now, [one for one in message.get("fronts", ()) if isinstance(one, str)]
             )
             if heard.want:
@@ -390,8 +390,8 @@
         loop.add_signal_handler(signal.SIGTERM, self.leave)
         loop.add_signal_handler(signal.SIGHUP, self.read_again)
         await self.post.listen()
-        sounding = await datagrams.listen(
-            self.sonde, self.papers.ip, self.papers.ports[0], self.now
+        membership = await datagrams.listen(
+            self.failure_detector, self.papers.ip, self.papers.ports[0], self.now
         )
         host, port = self.papers.listen["ready"]
         await loop.create_server(
@@ -409,10 +409,10 @@
         ):  # a broken invariant: it ends with status 1, and is started again in a clean state
             over.cancel()
             ticking.result()
-        sounding.leave()
+        membership.leave()
         await self.part(server)
         ticking.cancel()
-        sounding.close()
+        membership.close()
         event("end", **self.counts)
 
     async def ticks(self) -> None:
@@ -443,7 +443,10 @@
                     self.plants.forget(id)
                 if _changed(self.path) != self.changed:
                     self.read_again()
-                slack, fronts = self.papers.margin("retrySlack", 0.0), self.sonde.count()
+                slack, fronts = (
+                    self.papers.margin("retrySlack", 0.0),
+                    self.failure_detector.member_count(),
+                )
                 for budget in self.budgets.values():
                     budget.shared(now, slack, fronts)
                 for line in list(self.lines):
