--- a/umbermoor/lifecycle/keeper.py
+++ b/umbermoor/front/lifecycle/drain_keeper.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from umbermoor.lifecycle.states import CLOSES, TABLE, UP, VOTES, Event, State
+from umbermoor.front.lifecycle.states import CLOSES, TABLE, UP, VOTES, Event, State
 
 SECOND = 1_000_000
 DEADLINE = 30 * SECOND  # of a drain that names none
@@ -36,7 +36,7 @@
     why: str
 
 
-class Keeper:
+class DrainKeeper:
     def __init__(self, now: int, room: int) -> None:
         """``room``: queries at once that the front can hold at the most."""
         self.state, self._room = State.STARTING, max(RAMP_LEAST, room)
--- a/umbermoor/gateway/local/gateway.py
+++ b/umbermoor/gateway/local/gateway.py
@@ -1,4 +1,4 @@
-"""A whole gateway on loopback: real barographs and vanes, stand-in machines, one request. Ends all
+"""A whole gateway on loopback: real controllers and proxies, stand-in machines, one request. Ends all
 that it started."""
 
 import asyncio
@@ -21,7 +21,7 @@
 
 import httpcore
 
-from umbermoor.gateway.cli.caller import Caller, Told
+from umbermoor.gateway.cli.control_client import ControlClient, ControlResponse
 from umbermoor.gateway.local.machines import Machine, Make
 from umbermoor.gateway.local.traffic import follow, trickle
 
@@ -77,11 +77,11 @@
 
     @property
     def cores(self) -> list[Node]:
-        return [one for one in self.nodes if one.program == "barograph"]
+        return [one for one in self.nodes if one.program == "controller"]
 
     @property
     def fronts(self) -> list[Node]:
-        return [one for one in self.nodes if one.program == "vane"]
+        return [one for one in self.nodes if one.program == "proxy"]
 
     @property
     def controls(self) -> list[str]:
@@ -96,22 +96,27 @@
         path.write_text(self.settings(node, cold))
         with open(self.folder / f"{node.name}.log", "ab") as log:
             node.process = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "umbermoor.gateway",
-                node.program,
+                *self.command(node),
                 stdin=DEVNULL,
                 stdout=log,
                 stderr=log,
-                env={**os.environ, "UMBERMOOR_SETTINGS": str(path)},
+                env={**os.environ, **self.environment(node), "UMBERMOOR_SETTINGS": str(path)},
                 start_new_session=True,
                 preexec_fn=_with_parent,
             )
         self.say(f"started {node.program} {node.name} on {node.ip}, pid {node.process.pid}")
 
+    def command(self, node: Node) -> list[str]:
+        """The command line of a node's process."""
+        return [sys.executable, "-m", "umbermoor.gateway", node.program]
+
+    def environment(self, node: Node) -> dict[str, str]:
+        """What a node's process has in its environment beside this one's."""
+        return {}
+
     def settings(self, node: Node, cold: bool) -> str:
         """A settings file as the platform writes them."""
-        core, ports = node.program == "barograph", self.ports
+        core, ports = node.program == "controller", self.ports
         listen = (
             {"control": ports.control} if core else {"front": ports.front, "ready": ports.ready}
         )
@@ -196,7 +201,7 @@
     async def stories(self) -> dict[str, dict[str, Any]]:
         """What each running core says of itself, by name."""
         running = [one for one in self.cores if one.process]
-        caller = Caller(())
+        caller = ControlClient(())
         told = await asyncio.gather(
             *(
                 asyncio.to_thread(caller.once, f"{one.ip}:{self.ports.control}", "GET", "/Story")
@@ -206,7 +211,7 @@
         return {
             one.name: json.loads(said.body)
             for one, said in zip(running, told)
-            if isinstance(said, Told) and said.done
+            if isinstance(said, ControlResponse) and said.done
         }
 
     async def one_view(self, least: int) -> list[str] | None:
@@ -259,16 +264,18 @@
             }
         ).encode()
         told = await asyncio.to_thread(
-            Caller(self.controls, PATIENCE).call, "POST", "/Config.Replace", body
+            ControlClient(self.controls, PATIENCE).call, "POST", "/Config.Replace", body
         )
-        if not isinstance(told, Told) or not told.done:
+        if not isinstance(told, ControlResponse) or not told.done:
             raise Late(f"configuration {revision:08x} was not taken: {told}")
         self.say(f"configuration {revision:08x} taken by {told.at}")
 
     async def read(self, revision: int) -> None:
         """Reads the configuration back."""
-        told = await asyncio.to_thread(Caller(self.controls, PATIENCE).call, "GET", "/Config.Read")
-        if not isinstance(told, Told) or not told.done:
+        told = await asyncio.to_thread(
+            ControlClient(self.controls, PATIENCE).call, "GET", "/Config.Read"
+        )
+        if not isinstance(told, ControlResponse) or not told.done:
             raise Late(f"the configuration was not read: {told}")
         held = json.loads(told.body)["revision"]
         self.say(f"configuration {held} read at {told.at}")
@@ -345,9 +352,9 @@
 
     async def play(self, stay: bool, kill_head: bool) -> None:
         for number, zone in enumerate(ZONES):
-            self.nodes.append(Node(f"core-{zone}", "barograph", f"{self.net}.{11 + number}", zone))
+            self.nodes.append(Node(f"core-{zone}", "controller", f"{self.net}.{11 + number}", zone))
         for number, zone in enumerate(FRONTS):
-            self.nodes.append(Node(f"front-{zone}", "vane", f"{self.net}.{21 + number}", zone))
+            self.nodes.append(Node(f"front-{zone}", "proxy", f"{self.net}.{21 + number}", zone))
         for node in self.nodes:
             await self.start(node, cold=True)
         chain = await self.chain(3)
--- a/umbermoor/gateway/membership/failure_detector.py
+++ b/umbermoor/gateway/membership/failure_detector.py
@@ -16,7 +16,7 @@
 has answered this proxy itself; each proxy pings a suspect itself before it removes it; a proxy that
 was stalled or cut off declares nobody dead for a while.
 
-Times are whole microseconds. `docs/sonde.md` weighs the alternatives.
+Times are whole microseconds. `docs/failure-detector.md` weighs the alternatives.
 """
 
 import random
--- a/umbermoor/gateway/server/datagrams.py
+++ b/umbermoor/gateway/server/datagrams.py
@@ -56,7 +56,7 @@
         self._received_since_tick += 1
         self._send(self.detector.receive(self.now(), source, data))
 
-    def error_received(self, exc: OSError) -> None:
+    def error_received(self, exc: Exception) -> None:
         """A peer cannot be reached: nothing to do, the detector finds out by itself."""
 
     def _tick(self) -> None:
