--- a/benchmarks/capacity/measures.py
+++ b/benchmarks/capacity/measures.py
@@ -929,7 +929,7 @@
     from umbermoor.gateway.discovery import registry as screen
     from umbermoor.gateway.distribution import deltas, subscriber
     from umbermoor.gateway.membership import member_table, probes
-    from umbermoor.gateway.replication import replica, requests, view
+    from umbermoor.gateway.replication import replica_set, requests, timing
     from umbermoor.gateway.rollout import core as anemometer
     from umbermoor.gateway.server import controller, peer_transport
 
@@ -944,11 +944,11 @@
         "fronts known to a front": member_table.MAX_MEMBERS,
         "probe period": probes.PROBE_INTERVAL,
         "fronts that report": anemometer.FRONTS,
-        "members": view.MOST,
+        "members": replica_set.MAX_MEMBERS,
         "pull kept": subscriber.LONG_POLL_TIMEOUT_US,
         "pulls apart": subscriber.PULL_INTERVAL_US,
-        "calls under way": requests.MOST,
-        "members' ping": replica.HEARTBEAT_INTERVAL,
+        "calls under way": requests.MAX_CALLS,
+        "members' ping": timing.HEARTBEAT_INTERVAL,
         "report renewed": 250_000,
         "tick": round(controller.TICK * SECOND),
         "told together": round(controller.BATCH * SECOND),
