--- a/umbermoor/gateway/balancing/instance.py
+++ b/umbermoor/gateway/balancing/instance.py
@@ -6,7 +6,7 @@
 
 from math import exp
 
-from umbermoor.gateway.discovery.registry import READY, Entry
+from umbermoor.gateway.discovery.registry import READY, InstanceRecord
 
 MILLISECOND_US = 1_000
 SECOND_US = 1_000_000
@@ -135,11 +135,11 @@
         "warm_at",
     )
 
-    def __init__(self, entry: Entry, now: int) -> None:
+    def __init__(self, entry: InstanceRecord, now: int) -> None:
         self.entry = entry
         self.id = entry.id
         self.listed_at = now
-        self.warm_at = now + entry.warm_us
+        self.warm_at = now + entry.warmup_us
         self.load = LoadEstimate()
         self.ejection = OutlierEjection()
         self.relative_service_time = 1.0
--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -28,9 +28,9 @@
 from umbermoor.gateway.balancing.retry_budget import RetryBudget
 from umbermoor.gateway.config.errors import ValidationError
 from umbermoor.gateway.config.node_settings import NodeSettings, read_node_settings
-from umbermoor.gateway.distribution.deltas import applied, digest_of
-from umbermoor.gateway.distribution.reader import Reader as Pulls
-from umbermoor.gateway.membership.failure_detector import Sonde
+from umbermoor.gateway.distribution.deltas import apply_delta, text_digest
+from umbermoor.gateway.distribution.subscriber import Subscriber
+from umbermoor.gateway.membership.failure_detector import FailureDetector
 from umbermoor.gateway.rollout.front import Trials
 from umbermoor.gateway.rollout.plan import ROLLOUT
 from umbermoor.gateway.routing.route_table import Route, RouteTable
@@ -38,7 +38,7 @@
 from umbermoor.gateway.server.client_connection import ClientLine, relieve, request_bytes
 from umbermoor.gateway.server.connections import Attempt, Pool
 from umbermoor.gateway.server.events import event, watch
-from umbermoor.gateway.server.peer_transport import Line, Post
+from umbermoor.gateway.server.peer_transport import PeerConnection, PeerTransport
 from umbermoor.gateway.server.readiness import ReadyLine
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Request, Response
@@ -82,16 +82,16 @@
     def __init__(self, settings: NodeSettings, chance: random.Random, path: str = "") -> None:
         """`path` of the settings file, to be read again when it changes; "" never."""
         self.settings, self.chance, self.path, self.changed = settings, chance, path, _changed(path)
-        self.sonde = Sonde(settings.ip, time.time_ns() // 1000, chance)
+        self.failure_detector = FailureDetector(settings.ip, time.time_ns() // 1000, chance)
         self.text = ""  # of the configuration in force, as the operator sent it
         self.stages: dict[str, tuple] = {}  # of roll-outs, as last logged
         self.clock = time.monotonic
         self.instances, self.trials, self.routes = Instances(settings.zone), Trials(), None
         self.buffers = Buffers(settings.memory_mb << 20)
         self.pool = Pool(self.buffers, self.clock, self.may)
-        self.pulls = Pulls([seed.rpartition(":")[0] for seed in settings.seeds])
+        self.pulls = Subscriber([seed.rpartition(":")[0] for seed in settings.seeds])
         self.pulls.salt = chance.getrandbits(32)
-        self.post = Post(settings.ip, settings.port_range[0], self.receive, self.lost)
+        self.post = PeerTransport(settings.ip, settings.port_range[0], self.receive, self.lost)
         self.lines: set[ClientLine] = set()
         self.going: dict[int, Going] = {}  # by id of its slot
         self.budgets: dict[str, RetryBudget] = {}
@@ -314,21 +314,21 @@
 
     # News
 
-    def receive(self, line: Line, message: dict[str, Any]) -> None:
+    def receive(self, line: PeerConnection, message: dict[str, Any]) -> None:
         kind, now = message.get("kind"), self.now()
         if kind == "news":
             self.look(now)
-            heard = self.pulls.news(now, line.peer, message)
+            heard = self.pulls.receive_update(now, line.peer, message)
             if heard is None:
                 return
-            for instance in self.instances.update(now, heard.machines):
+            for instance in self.instances.update(now, heard.instances):
                 self.pool.drop(instance)
-            if heard.firm:
+            if heard.confirmed:
                 self.trials.heard(now)
-            for key, record in heard.register.items():
+            for key, record in heard.records.items():
                 if key.startswith(ROLLOUT):
                     service = key[len(ROLLOUT) :]
-                    self.trials.order(now, service, record, heard.firm)
+                    self.trials.order(now, service, record, heard.confirmed)
                     stage = record["state"], record["target"], record["stage"]
                     if self.stages.get(key) != stage:
                         self.stages[key] = stage
@@ -340,7 +340,7 @@
                             stage=stage[2],
                         )
             for service in self.instances.changed_services:
-                if heard.firm and ROLLOUT + service not in self.pulls.register:
+                if heard.confirmed and ROLLOUT + service not in self.pulls.records:
                     self.trials.order(now, service, None)
                 self.trials.listed(
                     now,
@@ -351,11 +351,11 @@
                     ],
                 )
             self.instances.changed_services.clear()
-            self.sonde.heard_of(
+            self.failure_detector.discovered(
                 now, [one for one in message.get("fronts", ()) if isinstance(one, str)]
             )
-            if heard.want:
-                self.post.send(line.peer, self.pulls.pull(now, line.peer))
+            if heard.wants_body:
+                self.post.send(line.peer, self.pulls.make_pull(now, line.peer))
         elif kind == "body" and line.peer in self.pulls.sources:
             self.configured(message)
 
@@ -365,14 +365,18 @@
         if (change := message.get("delta")) is not None:
             try:
                 digest, base, made = change
-                if digest == self.pulls.base != "":  # it came from another member before
+                if digest == self.pulls.base_digest != "":  # it came from another member before
                     return
-                text = applied(self.text, made, digest) if base == self.pulls.base != "" else None
+                text = (
+                    apply_delta(self.text, made, digest)
+                    if base == self.pulls.base_digest != ""
+                    else None
+                )
             except (TypeError, ValueError):
                 text = None
             if text is None:
                 event("garbled", what="change of a configuration", why="it does not come out")
-                self.pulls.unusable()
+                self.pulls.discard_base()
                 return
         try:
             body = json.loads(text)
@@ -387,7 +391,7 @@
             event("garbled", what="configuration", why=error)
             return
         self.routes, self.text = routes, text
-        self.pulls.base = digest_of(text)
+        self.pulls.base_digest = text_digest(text)
         self.pulls.revision = max(self.pulls.revision, routes.revision)
         limits = routes.client_limits
         self.idle_s, self.head_s = (
@@ -398,9 +402,9 @@
         self.keep_s = max(1, round(limits.idle_timeout_us / SECOND) - 1)
         event("configured", revision=routes.revision_text, source="news")
 
-    def lost(self, line: Line) -> None:
+    def lost(self, line: PeerConnection) -> None:
         if line.peer in self.pulls.sources:
-            self.pulls.failed(self.now(), line.peer)
+            self.pulls.pull_failed(self.now(), line.peer)
 
     # Clocks
 
@@ -408,7 +412,7 @@
         """Finds out that time has passed in which this process did not run: messages may come
         before the next tick."""
         if now - self.ticked > STILL:
-            self.pulls.stood_still()
+            self.pulls.mark_stalled()
         self.ticked = now
 
     async def serve(self) -> None:
@@ -417,8 +421,8 @@
         loop.add_signal_handler(signal.SIGTERM, self.leave)
         loop.add_signal_handler(signal.SIGHUP, self.read_again)
         await self.post.listen()
-        sounding = await datagrams.listen(
-            self.sonde, self.settings.ip, self.settings.port_range[0], self.now
+        membership = await datagrams.listen(
+            self.failure_detector, self.settings.ip, self.settings.port_range[0], self.now
         )
         host, port = self.settings.listen["ready"]
         await loop.create_server(
@@ -436,10 +440,10 @@
         ):  # a broken invariant: it ends with status 1, and is started again in a clean state
             over.cancel()
             ticking.result()
-        sounding.leave()
+        membership.leave()
         await self.part(server)
         ticking.cancel()
-        sounding.close()
+        membership.close()
         event("end", **self.counts)
 
     async def ticks(self) -> None:
@@ -447,15 +451,15 @@
         while True:
             now = self.now()
             self.look(now)
-            for name in self.pulls.due(now):
-                self.post.send(name, self.pulls.pull(now, name))
+            for name in self.pulls.due_pulls(now):
+                self.post.send(name, self.pulls.make_pull(now, name))
             if self.pulls.head and (reports := self.trials.tick(now)):
                 self.post.send(self.pulls.head, {"kind": "reports", "reports": reports})
             if not self.ready:
                 self.ready = (
                     self.routes is not None
-                    and self.pulls.offered <= self.pulls.revision
-                    and self.pulls.firm_since(self.started)
+                    and self.pulls.newest_revision <= self.pulls.revision
+                    and self.pulls.confirmed_since(self.started)
                     and (bool(self.instances.by_id) or now - self.started > FIRST)
                 )
                 if self.ready:
@@ -468,11 +472,14 @@
             if clock - told >= 1:
                 told = clock
                 self.pool.sweep()
-                for id in self.pulls.forget(now):
+                for id in self.pulls.forget_departed(now):
                     self.instances.forget(id)
                 if _changed(self.path) != self.changed:
                     self.read_again()
-                slack, fronts = self.settings.margin("retrySlack", 0.0), self.sonde.count()
+                slack, fronts = (
+                    self.settings.margin("retrySlack", 0.0),
+                    self.failure_detector.member_count(),
+                )
                 for retry_budget in self.budgets.values():
                     retry_budget.share_slack(now, slack, fronts)
                 for line in list(self.lines):
@@ -493,7 +500,7 @@
         for retry_budget in self.budgets.values():
             retry_budget.set_ratio(settings.margin("retryRatio", 0.2))
         for seed in settings.seeds:
-            self.pulls.meet(seed.rpartition(":")[0])
+            self.pulls.add_seed(seed.rpartition(":")[0])
         event("settings", seeds=",".join(settings.seeds))
 
     def leave(self) -> None:
