--- a/tests/documentation_test.py
+++ b/tests/documentation_test.py
@@ -99,6 +99,18 @@
     assert missing == []
 
 
+def test_every_program_that_a_page_starts_is_there():
+    missing = []
+    for page in (page for page in texts() if page.suffix == ".md"):
+        for module in re.findall(
+            r"python3? -m ((?:umbermoor|benchmarks|tests)[\w.]*)", page.read_text()
+        ):
+            place = ROOT / module.replace(".", "/")
+            if not place.with_suffix(".py").exists() and not (place / "__main__.py").exists():
+                missing.append(f"{page.name}: {module}")
+    assert missing == []
+
+
 def test_every_page_is_in_the_index():
     index = (ROOT / "docs" / "README.md").read_text()
     pages = {page.name for page in (ROOT / "docs").glob("*.md")} - {"README.md"}
