--- a/umbermoor/gateway/cli/command.py
+++ b/umbermoor/gateway/cli/command.py
@@ -455,11 +455,11 @@
     folder
         Its dataDir.
     """
-    from umbermoor.gateway.replication.store import FAULTS, verify
+    from umbermoor.gateway.replication.store import STORE_ERRORS, verify
 
     try:
         records, size = verify(str(folder))
-    except FAULTS as error:
+    except STORE_ERRORS as error:
         return _complain(f"{folder}: {error}", Exit.REFUSED)
     except OSError as error:
         return _complain(f"{folder}: {error.strerror or error}", Exit.BAD)
--- a/umbermoor/gateway/effects.py
+++ b/umbermoor/gateway/effects.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple, TypeAlias
 
 # Values of operators and of other processes, as JSON holds them.
-JsonValue: TypeAlias = None | bool | int | float | str | list["JsonValue"] | dict[str, "JsonValue"]
+JsonValue: TypeAlias = bool | int | float | str | list["JsonValue"] | dict[str, "JsonValue"] | None
 JsonObject: TypeAlias = dict[str, JsonValue]
 
 
--- a/umbermoor/gateway/replication/anti_entropy.py
+++ b/umbermoor/gateway/replication/anti_entropy.py
@@ -1,34 +1,37 @@
-"""Whether members hold the same: digests of what is committed, compared where two are at one
-version. No I/O.
+"""Whether replicas hold the same: digests of what is committed, compared at one version. No I/O.
 
-At one version all members hold one map, so a difference is a fault of memory or of the program; it
-is told, not mended: who is wrong can't be said by two.
+At one version all replicas hold one map, so a difference is a fault of memory or of the program; it
+is told, not repaired: who is wrong can't be said by two.
 """
 
 import json
 from collections.abc import Mapping
 from hashlib import blake2b
-from typing import Any
 
-MOST = 64  # members that a difference is remembered of
+from umbermoor.gateway.effects import JsonObject, JsonValue
+from umbermoor.gateway.replication.view import Version
 
+MAX_DIFFERING = 64  # replicas that a difference is remembered of
+DIGEST_SIZE = 12  # bytes
+NO_VERSION: Version = (0, 0)
 
-def digest(committed: Mapping[str, Any]) -> str:
+
+def digest(committed: Mapping[str, JsonValue]) -> str:
+    """Of a map, whatever the order of its keys."""
     text = json.dumps(committed, sort_keys=True, separators=(",", ":"))
-    return blake2b(text.encode(errors="surrogatepass"), digest_size=12).hexdigest()
+    return blake2b(text.encode(errors="surrogatepass"), digest_size=DIGEST_SIZE).hexdigest()
 
 
 class DigestComparison:
-    """What a member tells of its map, and what it makes of what the others tell."""
+    """What a replica tells of its map, and what it makes of what the others tell."""
 
     def __init__(self) -> None:
         self.compared = 0
-        self.differing: dict[
-            str, tuple[int, int]
-        ] = {}  # by member: the version at which it last differed
-        self._own: tuple[tuple[int, int], str] = (0, 0), ""
+        self.differing: dict[str, Version] = {}  # by replica: the version at which it last differed
+        self._own: tuple[Version, str] = (NO_VERSION, "")
 
-    def message(self, version: tuple[int, int], committed: Mapping[str, Any]) -> dict[str, Any]:
+    def message(self, version: Version, committed: Mapping[str, JsonValue]) -> JsonObject:
+        """What to send to the others, as JSON."""
         return {
             "kind": "digest",
             "version": list(version),
@@ -38,28 +41,26 @@
     def differs(
         self,
         sender: str,
-        message: Mapping[str, Any],
-        version: tuple[int, int],
-        committed: Mapping[str, Any],
+        message: Mapping[str, JsonValue],
+        version: Version,
+        committed: Mapping[str, JsonValue],
     ) -> bool:
-        """Whether the sender holds another map at the version that is held here."""
-        if (
-            message.get("version") != list(version)
-            or not isinstance(message.get("digest"), str)
-            or version == (0, 0)
-        ):
+        """Whether it is news that the sender holds another map at the version that is held here."""
+        if message.get("version") != list(version) or version == NO_VERSION:
+            return False
+        if not isinstance(message.get("digest"), str):
             return False
         self.compared += 1
         if message["digest"] == self._digest(version, committed):
             self.differing.pop(sender, None)
             return False
-        new = sender not in self.differing
-        if new and len(self.differing) >= MOST:
+        is_new = sender not in self.differing
+        if is_new and len(self.differing) >= MAX_DIFFERING:
             return False
         self.differing[sender] = version
-        return new
+        return is_new
 
-    def _digest(self, version: tuple[int, int], committed: Mapping[str, Any]) -> str:
+    def _digest(self, version: Version, committed: Mapping[str, JsonValue]) -> str:
         if self._own[0] != version:
             self._own = version, digest(committed)
         return self._own[1]
--- a/umbermoor/gateway/replication/bootstrap.py
+++ b/umbermoor/gateway/replication/bootstrap.py
@@ -22,7 +22,7 @@
         self._found_sent_at = 0
 
     def found_if_ready(self) -> None:
-        """The founder, cold: found once enough cold replicas are heard, and no further ones come."""
+        """The founder, cold: found the system once enough replicas are heard, and no more come."""
         context = self._context
         if not context.lifecycle.cold_start or not context.identity.is_founder:
             return
--- a/umbermoor/gateway/replication/errors.py
+++ b/umbermoor/gateway/replication/errors.py
@@ -12,3 +12,15 @@
         super().__init__(f"a version of epoch {stored_epoch} was stored in view {view_epoch}")
         self.stored_epoch = stored_epoch
         self.view_epoch = view_epoch
+
+
+class DamagedStoreError(ReplicationError):
+    """What is stored does not hold together: it counts as lost."""
+
+
+class DamagedPagesError(DamagedStoreError):
+    """The file's pages are not what a commit left; says where."""
+
+
+class DamagedRecordsError(DamagedStoreError):
+    """The records are not what was written; says which."""
--- a/umbermoor/gateway/replication/heartbeats.py
+++ b/umbermoor/gateway/replication/heartbeats.py
@@ -201,9 +201,9 @@
         has_promised = heartbeat.promise and not heartbeat.disk_lost
         is_trusted = sender in sets.names and has_promised
         system = heartbeat.system
-        if context.lifecycle.disk_lost and is_trusted and system:
-            if system != sets.proven.replica_set.system:
-                sets.correct_system(system)
+        is_other = bool(system) and system != sets.proven.replica_set.system
+        if context.lifecycle.disk_lost and is_trusted and system and is_other:
+            sets.correct_system(system)
         if heartbeat.proven_set is None:
             return
         epoch, replica_set = heartbeat.proven_set
--- a/umbermoor/gateway/replication/pages.py
+++ b/umbermoor/gateway/replication/pages.py
@@ -9,80 +9,134 @@
 import struct
 from typing import BinaryIO, NamedTuple
 
+from umbermoor.gateway.replication.errors import DamagedPagesError
+
 MAGIC, DATA_VERSION = 0xBEEFC0DE, 1
-PAGE = 4096  # bytes of a page on most systems
-LARGEST = 1 << 34  # bytes of a map
-UNWRITTEN = 1 << 26  # bytes at the end of pages that a commit took and gave back, at most
-HEADER = 16  # bytes of a page's header
-BRANCH, LEAF, OVERFLOW, META = 0x01, 0x02, 0x04, 0x08
+PAGE_SIZE = 4096  # bytes, on most systems
+MIN_PAGE_SIZE, MAX_PAGE_SIZE = 512, 1 << 16
+MAX_MAP_SIZE = 1 << 34  # bytes
+MAX_UNWRITTEN = 1 << 26  # bytes at the end of pages that a commit took and gave back
+HEADER_SIZE = 16  # bytes of a page's header
+NODE_HEADER_SIZE = 8
+BRANCH, LEAF, OVERFLOW, META = 0x01, 0x02, 0x04, 0x08  # flags of a page
 INTEGER_KEY = 0x08  # the flag of the free pages' tree; the records' tree has none
 BIG_DATA = 0x01  # a node whose value lies on overflow pages
-NONE = (1 << 64) - 1  # the root of an empty tree
-DEEPEST = 16
-_META = struct.Struct("<IIQQ" + "IHHQQQQQ" * 2 + "QQ")
+NO_ROOT = (1 << 64) - 1  # of an empty tree
+MAX_DEPTH = 16
+META_BODY = struct.Struct("<IIQQ" + "IHHQQQQQ" * 2 + "QQ")
+COMMIT_SIZE = 8  # bytes at the end of a meta page's body
+FIRST_PAGE = 2  # behind the two meta pages
+
 
+class MetaPage(NamedTuple):
+    """What a commit left in one of the two meta pages."""
 
-class Meta(NamedTuple):
-    place: int  # in the file, bytes
+    offset: int  # in the file, bytes
     page_size: int
     roots: tuple[int, int]  # of the free pages' tree, and of the records'
     last_page: int
-    txn: int
+    txn: int  # number of the commit
+
+
+class _Node(NamedTuple):
+    """A node of a page: a key, with a child page or a value."""
+
+    offset: int  # in the page
+    low: int
+    high: int
+    flags: int
+    key_size: int
 
+    @property
+    def child(self) -> int:
+        """Of a branch: the page's number."""
+        return self.low | self.high << 16 | self.flags << 32
 
-class Torn(Exception):
-    """The file is not what a commit left; says where."""
+    @property
+    def value_size(self) -> int:
+        """Of a leaf, in bytes."""
+        return self.low | self.high << 16
 
+    @property
+    def value_offset(self) -> int:
+        """Of a leaf: in the page."""
+        return self.offset + NODE_HEADER_SIZE + self.key_size
 
-def read_metas(file: BinaryIO) -> tuple[Meta, Meta] | None:
-    """The two meta pages, the one in force first; None if nothing was ever committed. Raises
-    Torn."""
-    found = []
+
+def read_metas(file: BinaryIO) -> tuple[MetaPage, MetaPage] | None:
+    """The two meta pages, the one in force first; None if nothing was ever committed.
+
+    Raises DamagedPagesError.
+    """
+    metas: list[MetaPage] = []
     size = os.fstat(file.fileno()).st_size
     offset = 0
     for _ in range(2):
-        file.seek(offset)
-        page = file.read(HEADER + _META.size)
-        if len(page) < HEADER + _META.size or not int.from_bytes(page[10:12], "little") & META:
-            break
-        magic, version, _, map_size, *trees, last, txn = _META.unpack(page[HEADER:])
-        psize, free, main = trees[0], trees[7], trees[15]
-        if magic != MAGIC or version != DATA_VERSION or trees[1] != INTEGER_KEY or trees[9]:
-            break
-        if psize < 512 or psize > 1 << 16 or psize & (psize - 1) or map_size > LARGEST:
-            break
-        if last * psize > size + UNWRITTEN:
+        meta = _read_meta(file, offset, size)
+        if meta is None:
             break
-        found.append(Meta(offset, psize, (free, main), last, txn))
-        offset = psize
-    if len(found) == 2 and found[0].page_size == found[1].page_size:
-        first, second = sorted(found, key=lambda meta: -meta.txn)
-        return (first, second) if first.txn else None
-    if size <= 2 * PAGE and not any(meta.txn for meta in found):
+        metas.append(meta)
+        offset = meta.page_size
+    if len(metas) == 2 and metas[0].page_size == metas[1].page_size:
+        newest, older = sorted(metas, key=lambda meta: -meta.txn)
+        return (newest, older) if newest.txn else None
+    if size <= 2 * PAGE_SIZE and not any(meta.txn for meta in metas):
         return None  # its end came while it was made
-    raise Torn("a meta page is garbled")
+    raise DamagedPagesError("a meta page is garbled")
+
+
+def _read_meta(file: BinaryIO, offset: int, file_size: int) -> MetaPage | None:
+    """The meta page there; None if it is none."""
+    file.seek(offset)
+    page = file.read(HEADER_SIZE + META_BODY.size)
+    if len(page) < HEADER_SIZE + META_BODY.size:
+        return None
+    if not int.from_bytes(page[10:12], "little") & META:
+        return None
+    magic, version, _, map_size, *trees, last_page, txn = META_BODY.unpack(page[HEADER_SIZE:])
+    page_size, free_root, main_root = trees[0], trees[7], trees[15]
+    free_flags, main_flags = trees[1], trees[9]
+    if magic != MAGIC or version != DATA_VERSION or free_flags != INTEGER_KEY or main_flags:
+        return None
+    if not MIN_PAGE_SIZE <= page_size <= MAX_PAGE_SIZE or page_size & (page_size - 1):
+        return None
+    if map_size > MAX_MAP_SIZE or last_page * page_size > file_size + MAX_UNWRITTEN:
+        return None
+    return MetaPage(offset, page_size, (free_root, main_root), last_page, txn)
 
 
 def check(path: str) -> bool:
-    """Whether anything was ever committed to the file at `path`. Raises Torn, and OSError."""
+    """Whether anything was ever committed to the file at `path`.
+
+    Raises DamagedPagesError, and OSError.
+    """
     with open(path, "rb") as file:
         metas = read_metas(file)
         if metas:
-            _check(file, metas[0])
+            _check_trees(file, metas[0])
         return bool(metas)
 
 
-def set_aside(path: str) -> tuple[bytes, bytes] | None:
-    """The first record of the tree that is not in force, if that one hangs together: where the
-    number of the newest commit is spoilt or was not written, the tree in force is not the newest
-    one."""
+def commit_in_force(path: str) -> int:
+    """The number of the commit in force; 0: there is none."""
+    with open(path, "rb") as file:
+        metas = read_metas(file)
+    return metas[0].txn if metas else 0
+
+
+def first_record_of_other_tree(path: str) -> tuple[bytes, bytes] | None:
+    """The first record of the tree that is not in force, if that one hangs together.
+
+    Where the number of the newest commit is spoilt or was not written, the tree in force is not the
+    newest one.
+    """
     with open(path, "rb") as file:
         if not (metas := read_metas(file)):
             return None
         try:
-            _check(file, metas[1])
-            return _first(file, metas[1])
-        except Torn:
+            _check_trees(file, metas[1])
+            return _first_record(file, metas[1])
+        except DamagedPagesError:
             return None
 
 
@@ -90,93 +144,104 @@
     """Number the tree that is not in force `txn`, synced."""
     with open(path, "r+b") as file:
         if metas := read_metas(file):
-            file.seek(metas[1].place + HEADER + _META.size - 8)
-            file.write(txn.to_bytes(8, "little"))
+            file.seek(metas[1].offset + HEADER_SIZE + META_BODY.size - COMMIT_SIZE)
+            file.write(txn.to_bytes(COMMIT_SIZE, "little"))
             file.flush()
             os.fsync(file.fileno())
 
 
-def _check(file: BinaryIO, meta: Meta) -> None:
+def _check_trees(file: BinaryIO, meta: MetaPage) -> None:
     seen: set[int] = set()
     for root in meta.roots:
-        if root != NONE:
-            _walk(file, meta, root, 0, seen)
+        if root != NO_ROOT:
+            _check_tree(file, meta, root, 0, seen)
 
 
-def _first(file: BinaryIO, meta: Meta) -> tuple[bytes, bytes] | None:
-    """The first record, of a tree that was walked."""
+def _first_record(file: BinaryIO, meta: MetaPage) -> tuple[bytes, bytes] | None:
+    """The first record, of a tree that was checked."""
     number = meta.roots[1]
-    while number != NONE:
-        page = _page(file, meta, number, set())
+    while number != NO_ROOT:
+        page = _read_page(file, meta, number, set())
         flags, lower, _ = struct.unpack_from("<HHH", page, 10)
-        if lower == HEADER:
+        if lower == HEADER_SIZE:
             break
-        (at,) = struct.unpack_from("<H", page, HEADER)
-        low, high, node_flags, key_size = struct.unpack_from("<HHHH", page, at)
+        node = _read_node(page, 0)
         if flags & BRANCH:
-            number = low | high << 16 | node_flags << 32
+            number = node.child
             continue
-        behind = at + 8 + key_size
-        if node_flags & BIG_DATA:
+        if node.flags & BIG_DATA:
             break
-        return page[at + 8 : behind], page[behind : behind + (low | high << 16)]
+        key = page[node.offset + NODE_HEADER_SIZE : node.value_offset]
+        return key, page[node.value_offset : node.value_offset + node.value_size]
     return None
 
 
-def _page(file: BinaryIO, meta: Meta, number: int, seen: set[int], count: int = 1) -> bytes:
-    if not 2 <= number <= meta.last_page or number + count - 1 > meta.last_page:
-        raise Torn(f"page {number} is outside")
-    for one in range(number, number + count):
-        if one in seen:
-            raise Torn(f"page {one} is in use twice")
-        seen.add(one)
+def _read_page(
+    file: BinaryIO, meta: MetaPage, number: int, seen: set[int], count: int = 1
+) -> bytes:
+    """The first of `count` pages, each in use once only."""
+    if number < FIRST_PAGE or max(number, number + count - 1) > meta.last_page:
+        raise DamagedPagesError(f"page {number} is outside")
+    for used in range(number, number + count):
+        if used in seen:
+            raise DamagedPagesError(f"page {used} is in use twice")
+        seen.add(used)
     file.seek(number * meta.page_size)
     page = file.read(meta.page_size)
     if len(page) < meta.page_size:
-        raise Torn(f"page {number} is missing")
+        raise DamagedPagesError(f"page {number} is missing")
     if int.from_bytes(page[:8], "little") != number:
-        raise Torn(f"page {number} says it is another")
+        raise DamagedPagesError(f"page {number} says it is another")
     return page
 
 
-def _walk(file: BinaryIO, meta: Meta, number: int, depth: int, seen: set[int]) -> None:
-    if depth > DEEPEST:
-        raise Torn("the tree is too deep")
-    page = _page(file, meta, number, seen)
+def _read_node(page: bytes, index: int) -> _Node:
+    (offset,) = struct.unpack_from("<H", page, HEADER_SIZE + 2 * index)
+    return _Node(offset, *struct.unpack_from("<HHHH", page, offset))
+
+
+def _check_tree(file: BinaryIO, meta: MetaPage, number: int, depth: int, seen: set[int]) -> None:
+    if depth > MAX_DEPTH:
+        raise DamagedPagesError("the tree is too deep")
+    page = _read_page(file, meta, number, seen)
     flags, lower, upper = struct.unpack_from("<HHH", page, 10)
-    if (
-        flags & 0xFF not in (BRANCH, LEAF)
-        or not HEADER <= lower <= upper <= meta.page_size
-        or lower & 1
-    ):
-        raise Torn(f"page {number} has a garbled header")
-    for index in range((lower - HEADER) // 2):
-        (at,) = struct.unpack_from("<H", page, HEADER + 2 * index)
-        if not upper <= at <= meta.page_size - 8 or at & 1:
-            raise Torn(f"page {number} has a node outside")
-        low, high, node_flags, key_size = struct.unpack_from("<HHHH", page, at)
+    is_ordered = HEADER_SIZE <= lower <= upper <= meta.page_size
+    if flags & 0xFF not in (BRANCH, LEAF) or not is_ordered or lower & 1:
+        raise DamagedPagesError(f"page {number} has a garbled header")
+    for index in range((lower - HEADER_SIZE) // 2):
+        (offset,) = struct.unpack_from("<H", page, HEADER_SIZE + 2 * index)
+        if not upper <= offset <= meta.page_size - NODE_HEADER_SIZE or offset & 1:
+            raise DamagedPagesError(f"page {number} has a node outside")
+        node = _read_node(page, index)
         if flags & BRANCH:
-            if at + 8 + key_size > meta.page_size:
-                raise Torn(f"page {number} has a key beyond its end")
-            _walk(file, meta, low | high << 16 | node_flags << 32, depth + 1, seen)
-            continue
-        if node_flags & ~BIG_DATA:
-            raise Torn(f"page {number} has a node of an unknown kind")
-        big = node_flags & BIG_DATA
-        length = low | high << 16
-        if at + 8 + key_size + (8 if big else length) > meta.page_size:
-            raise Torn(f"page {number} has a value beyond its end")
-        if big:
-            (first,) = struct.unpack_from("<Q", page, at + 8 + key_size)
-            _overflow(file, meta, first, length, seen)
-
-
-def _overflow(file: BinaryIO, meta: Meta, first: int, length: int, seen: set[int]) -> None:
-    count = (HEADER - 1 + length) // meta.page_size + 1
-    page = _page(file, meta, first, seen, count)
-    flags, pages = struct.unpack_from("<HI", page, 10)
-    if not flags & OVERFLOW or pages < count:
-        raise Torn(f"page {first} is no value of that length")
+            if node.value_offset > meta.page_size:
+                raise DamagedPagesError(f"page {number} has a key beyond its end")
+            _check_tree(file, meta, node.child, depth + 1, seen)
+        else:
+            _check_leaf(file, meta, number, page, node, seen)
+
+
+def _check_leaf(
+    file: BinaryIO, meta: MetaPage, number: int, page: bytes, node: _Node, seen: set[int]
+) -> None:
+    if node.flags & ~BIG_DATA:
+        raise DamagedPagesError(f"page {number} has a node of an unknown kind")
+    is_big = node.flags & BIG_DATA
+    if node.value_offset + (8 if is_big else node.value_size) > meta.page_size:
+        raise DamagedPagesError(f"page {number} has a value beyond its end")
+    if is_big:
+        (first,) = struct.unpack_from("<Q", page, node.value_offset)
+        _check_overflow(file, meta, first, node.value_size, seen)
+
+
+def _check_overflow(
+    file: BinaryIO, meta: MetaPage, first: int, length: int, seen: set[int]
+) -> None:
+    count = (HEADER_SIZE - 1 + length) // meta.page_size + 1
+    page = _read_page(file, meta, first, seen, count)
+    flags, page_count = struct.unpack_from("<HI", page, 10)
+    if not flags & OVERFLOW or page_count < count:
+        raise DamagedPagesError(f"page {first} is no value of that length")
     file.seek(0, os.SEEK_END)
-    if file.tell() < first * meta.page_size + HEADER + length:
-        raise Torn(f"page {first} is cut short")
+    if file.tell() < first * meta.page_size + HEADER_SIZE + length:
+        raise DamagedPagesError(f"page {first} is cut short")
--- a/umbermoor/gateway/replication/peers.py
+++ b/umbermoor/gateway/replication/peers.py
@@ -45,7 +45,7 @@
         return is_restarted or is_back
 
     def note_epoch(self, now: int) -> None:
-        """Note which view it is in; a lower epoch is of an earlier incarnation, or newly started."""
+        """Note which view it is in; a lower epoch is that of an earlier incarnation."""
         if self.heartbeat.disk_healthy and self.heartbeat.joined >= self.joined:
             self.joined, self.joined_at = self.heartbeat.joined, now
 
--- a/umbermoor/gateway/replication/reconfiguration.py
+++ b/umbermoor/gateway/replication/reconfiguration.py
@@ -1,7 +1,7 @@
 """Changes of the replica set, ordered by an operator or by the head itself for a lost member.
 
-Source: joint consensus, see `replica_set`; what may be refused and why: docs/replication.md. Times are
-microseconds.
+Source: joint consensus, see `replica_set`; what may be refused and why: docs/replication.md. Times
+are microseconds.
 """
 
 from typing import NamedTuple
