--- a/umbermoor/gateway/server/controller_link.py
+++ b/umbermoor/gateway/server/controller_link.py
@@ -12,7 +12,7 @@
 from umbermoor.gateway.config.node_settings import NodeSettings
 from umbermoor.gateway.distribution.deltas import apply_delta, text_digest
 from umbermoor.gateway.distribution.subscriber import Subscriber, Update
-from umbermoor.gateway.membership.failure_detector import Sonde
+from umbermoor.gateway.membership.failure_detector import FailureDetector
 from umbermoor.gateway.rollout.front import Trials
 from umbermoor.gateway.rollout.plan import ROLLOUT
 from umbermoor.gateway.routing.route_table import RouteTable
@@ -48,7 +48,7 @@
         salt: int,
         instances: Instances,
         rollouts: Trials,
-        detector: Sonde,
+        detector: FailureDetector,
         requests: RequestHandler,
         pool: ConnectionPool,
         clients: ClientConnections,
@@ -123,7 +123,7 @@
         self._take_rollouts(now, update)
         self._list_instances(now, update)
         proxies = [ip for ip in message.get("fronts", ()) if isinstance(ip, str)]
-        self._detector.heard_of(now, proxies)
+        self._detector.discovered(now, proxies)
         if update.wants_body:
             self.peers.send(controller, self.subscriber.make_pull(now, controller))
 
--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -7,7 +7,7 @@
     `ConnectionPool`      connections to instances
     `Instances`, `Trials` which instance and which version a request goes to
     `ControllerLink`      what the controllers tell, and the configuration in force
-    `Sonde`, `Datagrams`  which other proxies run
+    `FailureDetector`     which other proxies run
     `Proxy`               sockets that listen, the settings file, ticks, readiness, draining
 """
 
@@ -22,7 +22,7 @@
 from umbermoor.gateway.balancing.instances import Instances
 from umbermoor.gateway.config.errors import ValidationError
 from umbermoor.gateway.config.node_settings import NodeSettings, read_node_settings
-from umbermoor.gateway.membership.failure_detector import Sonde
+from umbermoor.gateway.membership.failure_detector import FailureDetector
 from umbermoor.gateway.rollout.front import Trials
 from umbermoor.gateway.server import datagrams
 from umbermoor.gateway.server.client_connection import ClientConnections, abort_slow_readers
@@ -85,7 +85,7 @@
         self.settings = settings
         self.settings_path = settings_path
         self.clock = clock or time.monotonic
-        self.detector = Sonde(settings.ip, time.time_ns() // 1000, chance)
+        self.detector = FailureDetector(settings.ip, time.time_ns() // 1000, chance)
         salt = chance.getrandbits(32)
         self.buffers = Buffers(round(settings.memory_mb) << 20)
         self.instances = Instances(settings.zone)
@@ -181,7 +181,7 @@
         self.controllers.forget_instances(now)
         if _file_version(self.settings_path) != self._settings_version:
             self.reload_settings()
-        self.requests.share_retry_slack(now, self.detector.count())
+        self.requests.share_retry_slack(now, self.detector.member_count())
         self.clients.sweep()
         max_bytes = round(self.settings.memory_mb) << SLOW_READERS_MEMORY_SHIFT
         if aborted := abort_slow_readers(self.clients.connections, max_bytes):
