--- a/umbermoor/gateway/balancing/attempt_outcomes.py
+++ b/umbermoor/gateway/balancing/attempt_outcomes.py
@@ -173,7 +173,7 @@
         headers: Headers of the response, names in lower case.
         attempt_id: The X-Attempt-Id of the request on the connection.
         only_request: Whether the connection has carried no other request.
-        framed: Whether a length or chunks told where the response ends, and not the end of the
+        framed: Whether a length or chunks say where the response ends, and not the end of the
             connection alone.
     """
     response_id = headers.get("x-attempt-id")
--- a/umbermoor/gateway/balancing/instances.py
+++ b/umbermoor/gateway/balancing/instances.py
@@ -16,7 +16,7 @@
 
 
 class Instances:
-    """Instances by id and by service, as discovery last told.
+    """Instances by id and by service, as the last update of discovery has them.
 
     Attributes:
         zone: The zone of this proxy.
--- a/umbermoor/gateway/balancing/request.py
+++ b/umbermoor/gateway/balancing/request.py
@@ -1,8 +1,8 @@
 """The life of one request: inputs say what happened, `next_step` says what is to be done. No I/O.
 
 What it guards: a request that is not idempotent goes on to another instance only where it is proved
-not to have been executed; a rejection (503) is told only where that is proved of every instance it
-went to. Retries and hedged requests have their budget, which the caller asks.
+not to have been executed; a client gets a rejection (503) only where that is proved of every
+instance it went to. Retries and hedged requests have their budget, which the caller asks.
 
 The states of a request and its way through them are `TRANSITIONS`. Times are whole microseconds of
 the caller's steady clock.
@@ -23,7 +23,7 @@
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
 
-RETRY_AFTER_SOON_S = 0.05  # told to clients where an instance may be free at once
+RETRY_AFTER_SOON_S = 0.05  # where an instance may be free at once
 RETRY_AFTER_LATER_S = 0.25  # where none is listed, or all are overloaded
 RESPONSE_MARGIN_US = 15_000  # the last response of this proxy leaves so long before the deadline
 HEDGE_FRACTION = 0.45  # of the time left, after which a slow idempotent request is hedged
--- a/umbermoor/gateway/balancing/retry_budget.py
+++ b/umbermoor/gateway/balancing/retry_budget.py
@@ -98,3 +98,33 @@
             self.slack_share = SHARED_SLACK * slack / max(self._counted_proxies, min_proxies, 1)
         else:
             self.slack_share = 0.0
+
+
+class RetryBudgets:
+    """The retry budget of each service, made when its first request arrives."""
+
+    __slots__ = ("_budgets", "_ratio", "_window_us")
+
+    def __init__(self, ratio: float, window_us: int) -> None:
+        self._ratio = ratio
+        self._window_us = window_us
+        self._budgets: dict[str, RetryBudget] = {}
+
+    def of(self, service: str) -> RetryBudget:
+        """The budget of a service."""
+        budget = self._budgets.get(service)
+        if budget is None:
+            budget = self._budgets[service] = RetryBudget(self._ratio, self._window_us)
+        return budget
+
+    def set_bounds(self, ratio: float, window_us: int) -> None:
+        """Changes the ratio of all services, and the window of those that are new from now on."""
+        self._ratio = ratio
+        self._window_us = window_us
+        for budget in self._budgets.values():
+            budget.set_ratio(ratio)
+
+    def share_slack(self, now: int, slack: float, proxies: int) -> None:
+        """Divides the slack of each service among the proxies; see `RetryBudget.share_slack`."""
+        for budget in self._budgets.values():
+            budget.share_slack(now, slack, proxies)
--- a/umbermoor/gateway/server/controller_link.py
+++ b/umbermoor/gateway/server/controller_link.py
@@ -1,8 +1,8 @@
 """A proxy's link to the controllers: pulls their updates and puts them in force, sends reports.
 
-Updates bring instances, rollouts, other proxies, and that there is a newer configuration, whose body
-is then asked for. What comes in is best effort and may be from a stranger: it is checked here or
-where it is taken over.
+Updates bring instances, rollouts, other proxies, and that there is a newer configuration, whose
+body is then requested. Messages are best effort and may be from a stranger: each is validated here
+or where it is taken over.
 """
 
 import json
--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -3,9 +3,10 @@
 Who owns what:
 
     `ClientConnections`   connections of clients, and requests that wait for their turn there
-    `RequestHandler`      requests that are worked at, retry budgets; open this one first
+    `RequestHandler`      requests that are worked at; open this one first
     `ConnectionPool`      connections to instances
     `Instances`, `Trials` which instance and which version a request goes to
+    `RetryBudgets`        how many retries may be sent to each service
     `ControllerLink`      what the controllers tell, and the configuration in force
     `FailureDetector`     which other proxies run
     `Proxy`               sockets that listen, the settings file, ticks, readiness, draining
@@ -20,6 +21,7 @@
 from collections.abc import Callable
 
 from umbermoor.gateway.balancing.instances import Instances
+from umbermoor.gateway.balancing.retry_budget import RetryBudgets
 from umbermoor.gateway.config.errors import ValidationError
 from umbermoor.gateway.config.node_settings import NodeSettings, read_node_settings
 from umbermoor.gateway.membership.failure_detector import FailureDetector
@@ -37,12 +39,14 @@
 TICK_INTERVAL_S = 0.05
 SWEEP_INTERVAL_S = 1
 CLIENT_BACKLOG = 512  # connections that the kernel may hold until they are accepted
-# Ready without any instance known, where none was told in this time.
+# Ready without any instance known, where no update brought one in this time.
 NO_INSTANCES_GRACE_US = 3 * SECOND_US
 # After SIGTERM until idle connections are closed; the platform looks once a second.
 UNREADY_S = 2.6
-UNREADY_CHECK_S = 0.1
 DRAIN_CHECK_S = 0.05
+DEFAULT_RETRY_RATIO = 0.2
+DEFAULT_RETRY_WINDOW_S = 10
+DEFAULT_RETRY_SLACK = 0.0
 DEFAULT_GRACE_S = 6.0  # from SIGTERM to the end of the process
 END_RESERVE_S = 0.7  # of that, left for what comes after draining
 SLOW_READERS_MEMORY_SHIFT = 17  # MiB to bytes, and an eighth of them
@@ -57,6 +61,7 @@
         settings: The start settings; margins and seeds are taken over when the file changes.
         instances: Instances that requests may go to.
         rollouts: This proxy's part in rollouts.
+        retry_budgets: How many retries may be sent.
         requests: Carries requests.
         clients: Connections of clients.
         pool: Connections to instances.
@@ -90,7 +95,10 @@
         self.buffers = Buffers(round(settings.memory_mb) << 20)
         self.instances = Instances(settings.zone)
         self.rollouts = Trials()
-        self.requests = RequestHandler(settings, self.instances, self.rollouts, self.clock, chance)
+        self.retry_budgets = RetryBudgets(*_retry_bounds(settings))
+        self.requests = RequestHandler(
+            self.instances, self.rollouts, self.retry_budgets, self.clock, chance
+        )
         self.pool = pool or ConnectionPool(self.buffers, self.clock, self.requests.may_send)
         self.requests.pool = self.pool
         self.clients = ClientConnections(self.buffers, self.clock, self.requests)
@@ -118,7 +126,7 @@
     # Running
 
     async def serve(self) -> None:
-        """Serves until it is told to end; raises what a broken invariant raised."""
+        """Serves until SIGTERM; raises what a broken invariant raised."""
         loop = asyncio.get_running_loop()
         watch(loop)
         loop.add_signal_handler(signal.SIGTERM, self.drain)
@@ -181,7 +189,8 @@
         self.controllers.forget_instances(now)
         if _file_version(self.settings_path) != self._settings_version:
             self.reload_settings()
-        self.requests.share_retry_slack(now, self.detector.member_count())
+        slack = self.settings.margin("retrySlack", DEFAULT_RETRY_SLACK)
+        self.retry_budgets.share_slack(now, slack, self.detector.member_count())
         self.clients.sweep()
         max_bytes = round(self.settings.memory_mb) << SLOW_READERS_MEMORY_SHIFT
         if aborted := abort_slow_readers(self.clients.connections, max_bytes):
@@ -190,7 +199,7 @@
     def reload_settings(self) -> None:
         """Takes over margins and seeds of a settings file that changed.
 
-        What is wrong with it is logged, and the settings held stay in force.
+        What is wrong with it is logged, and the settings before stay in force.
         """
         self._settings_version = _file_version(self.settings_path)
         settings = read_node_settings(self.settings_path)
@@ -198,7 +207,7 @@
             event("settings_invalid", reason=settings)
             return
         self.settings = settings
-        self.requests.apply_settings(settings)
+        self.retry_budgets.set_bounds(*_retry_bounds(settings))
         self.controllers.apply_settings(settings)
         event("settings_reloaded", seeds=",".join(settings.seeds))
 
@@ -216,9 +225,7 @@
 
         Returns when every connection is closed, or the time of grace is over.
         """
-        listens_until = self.clock() + UNREADY_S
-        while self.clock() < listens_until:
-            await asyncio.sleep(UNREADY_CHECK_S)
+        await asyncio.sleep(UNREADY_S)
         server.close()
         grace_s = self.settings.margin("graceS", DEFAULT_GRACE_S)
         ends_at = self.clock() + grace_s - UNREADY_S - END_RESERVE_S
@@ -229,6 +236,12 @@
             await asyncio.sleep(DRAIN_CHECK_S)
 
 
+def _retry_bounds(settings: NodeSettings) -> tuple[float, int]:
+    """Retries to requests, and the window in microseconds within which that holds."""
+    ratio = settings.margin("retryRatio", DEFAULT_RETRY_RATIO)
+    return ratio, settings.margin_us("retryWindowS", DEFAULT_RETRY_WINDOW_S)
+
+
 def _file_version(path: str) -> tuple[int, int]:
     """What tells one state of a file from another: time and size."""
     try:
@@ -239,5 +252,5 @@
 
 
 async def serve(settings: NodeSettings, path: str = "") -> None:
-    """Runs a proxy until it is told to end."""
+    """Runs a proxy until SIGTERM."""
     await Proxy(settings, random.Random(), path).serve()
--- a/umbermoor/gateway/server/request_handler.py
+++ b/umbermoor/gateway/server/request_handler.py
@@ -34,8 +34,7 @@
     Step,
     Wait,
 )
-from umbermoor.gateway.balancing.retry_budget import RetryBudget
-from umbermoor.gateway.config.node_settings import NodeSettings
+from umbermoor.gateway.balancing.retry_budget import RetryBudgets
 from umbermoor.gateway.rollout.front import Trials
 from umbermoor.gateway.routing.route_table import Route, RouteTable
 from umbermoor.gateway.server.client_connection import ClientConnection, PendingRequest
@@ -56,9 +55,6 @@
 ATTEMPT_GRACE_S = 0.1
 HEDGE_AFTER_SERVICE_TIMES = 4
 DEFAULT_SERVICE_TIME_US = 100_000.0  # for hedging, before the first response of a service
-DEFAULT_RETRY_RATIO = 0.2
-DEFAULT_RETRY_WINDOW_S = 10
-DEFAULT_RETRY_SLACK = 0.0
 
 
 class ActiveRequest:
@@ -111,28 +107,26 @@
         routes: The routes in force; None before the first configuration.
         pool: Connections to instances, set by the proxy that builds both.
         active: Requests that are worked at.
-        retry_budgets: By service.
         outcome_counts: Attempts by how they ended.
         status_counts: Responses by status.
     """
 
     def __init__(
         self,
-        settings: NodeSettings,
         instances: Instances,
         rollouts: Trials,
+        retry_budgets: RetryBudgets,
         clock: Callable[[], float],
         random: Random,
     ) -> None:
-        self.settings = settings
         self.instances = instances
         self.rollouts = rollouts
+        self.retry_budgets = retry_budgets
         self.clock = clock
         self.random = random.random
         self.pool: ConnectionPool
         self.routes: RouteTable | None = None
         self.active: set[ActiveRequest] = set()
-        self.retry_budgets: dict[str, RetryBudget] = {}
         self.outcome_counts = dict.fromkeys(AttemptOutcome, 0)
         self.status_counts: dict[int, int] = {}
 
@@ -188,20 +182,10 @@
         active = ActiveRequest(connection, pending, request, route, lifecycle)
         pending.active = active
         self.active.add(active)
-        self.retry_budget(service).request_arrived(now)
+        self.retry_budgets.of(service).request_arrived(now)
         self.rollouts.asked(now, service)
         self._advance(active, now)
 
-    def retry_budget(self, service: str) -> RetryBudget:
-        """The retry budget of a service."""
-        budget = self.retry_budgets.get(service)
-        if budget is None:
-            settings = self.settings
-            ratio = settings.margin("retryRatio", DEFAULT_RETRY_RATIO)
-            window_us = settings.margin_us("retryWindowS", DEFAULT_RETRY_WINDOW_S)
-            budget = self.retry_budgets[service] = RetryBudget(ratio, window_us)
-        return budget
-
     # Attempts
 
     def _advance(self, active: ActiveRequest, now: int) -> None:
@@ -219,7 +203,7 @@
         """Sends the request to an instance, where budget and instances allow it."""
         lifecycle = active.lifecycle
         is_retry = lifecycle.is_retry()
-        budget = self.retry_budgets[lifecycle.service] if is_retry else None
+        budget = self.retry_budgets.of(lifecycle.service) if is_retry else None
         if budget is not None and budget.available(now) < 1:
             lifecycle.give_up_hedging()
             return False
@@ -390,20 +374,7 @@
             loop = asyncio.get_running_loop()
             loop.call_later(left_s + ATTEMPT_GRACE_S, self._give_up, active)
 
-    # Retry budgets
-
-    def apply_settings(self, settings: NodeSettings) -> None:
-        """Takes over what the settings file says now."""
-        self.settings = settings
-        ratio = settings.margin("retryRatio", DEFAULT_RETRY_RATIO)
-        for budget in self.retry_budgets.values():
-            budget.set_ratio(ratio)
-
-    def share_retry_slack(self, now: int, proxies: int) -> None:
-        """Divides the slack of retries among the proxies that are believed to run."""
-        slack = self.settings.margin("retrySlack", DEFAULT_RETRY_SLACK)
-        for budget in self.retry_budgets.values():
-            budget.share_slack(now, slack, proxies)
+    # Counts
 
     def counts(self) -> dict[str, int]:
         """Attempts by outcome and responses by status, those that there were."""
