--- a/tests/oncall_test.py
+++ b/tests/oncall_test.py
@@ -16,6 +16,7 @@
 COMMANDS = GATEWAY / "cli" / "command.py"
 NOT_SERVING = ("simulation", "local")  # packages whose events no operator sees
 CALL_DECORATORS = ("call", "api_call")
+RECORDS_OF_THE_PAST = ("measurements.md", "distance.md", "votes.md")
 GATEWAY_PREFIX = "python -m umbermoor.gateway "
 
 
@@ -250,6 +251,19 @@
     assert [name for name in named if not is_known(name.strip())] == []
 
 
+def test_events_that_other_pages_name_are_in_the_code():
+    """The tables of earlier names apart, which end the page that has them."""
+    missing = []
+    for page in sorted((ROOT / "docs").glob("*.md")):
+        if page.name in RECORDS_OF_THE_PAST:
+            continue
+        text = page.read_text().split("## Earlier names\n")[0]
+        for name in re.findall(r"`(event=\w+[^`]*)`", text):
+            if not is_event(name):
+                missing.append(f"{page.name}: {name}")
+    assert missing == []
+
+
 def event_rows() -> dict[str, set[str]]:
     """The page's table of events: name, keys."""
     lines = PAGE.read_text().splitlines()
