--- a/benchmarks/control_cuts.py
+++ b/benchmarks/control_cuts.py
@@ -6,7 +6,7 @@
 
 from cyclopts import App
 
-from tests.gateway.callers import CALLS, troubled
+from tests.gateway.operators import CALLS, troubled
 from umbermoor.gateway.simulation.register import MS
 
 app = App(help=__doc__)
--- a/benchmarks/member_storms.py
+++ b/benchmarks/member_storms.py
@@ -1,5 +1,5 @@
 """Storms of faults in which the register's members change again and again, in virtual time
-(tests/gateway/sets.py).
+(tests/gateway/replica_set_world.py).
 
     python -m benchmarks.member_storms FIRST LAST [--members N] [--changes N]
 
@@ -11,7 +11,7 @@
 import sys
 import time
 
-from tests.gateway.sets import storm_sets
+from tests.gateway.replica_set_world import storm_sets
 from umbermoor.gateway.simulation.register import Broken
 
 
--- a/benchmarks/second_loss.py
+++ b/benchmarks/second_loss.py
@@ -3,7 +3,7 @@
 
     python -m benchmarks.second_loss [--step MS] [--seeds N]
 
-In virtual time, three members and a spare (tests/gateway/sets.py). Thin: fewer losses can be borne
+In virtual time, three members and a spare (tests/gateway/replica_set_world.py). Thin: fewer losses can be borne
 than asked, as the members themselves tell. Second loss: another member loses power for good so long
 after the first event was over; it is lost if no chain serves within 3 s, and broken if anything
 that was acknowledged is not read afterwards. Closing: all lose power and another member its disk,
@@ -16,7 +16,7 @@
 import sys
 from collections.abc import Callable
 
-from tests.gateway.sets import Sets, founded_sets
+from tests.gateway.replica_set_world import Sets, founded_sets
 from umbermoor.gateway.effects import Status
 from umbermoor.gateway.simulation.register import MS
 
--- a/tests/pins/replica_storms.py
+++ b/tests/pins/replica_storms.py
@@ -8,8 +8,8 @@
 from typing import Any
 from unittest.mock import patch
 
-from tests.gateway.callers import storm as operators_storm
-from tests.gateway.sets import storm_sets
+from tests.gateway.operators import storm as operators_storm
+from tests.gateway.replica_set_world import storm_sets
 from tests.pins.trace import Trace
 from tests.pins.wire_forms import effect_form
 from umbermoor.gateway.simulation import register
