--- a/benchmarks/answers_ways.py
+++ b/benchmarks/answers_ways.py
@@ -4,7 +4,7 @@
 
 Plays, for each plan of clients and machines, all ways with up to two troubles (with --every, one in N of those with
 two), then for so many seconds of processor time ways whose moves are drawn, with bytes cut anywhere. Prints how many
-ways, how often each event was met, and the first broken rule with its way (tests.gateway.calls.play plays it again).
+ways, how often each event was met, and the first broken rule with its way (tests.gateway.request_interleavings.play plays it again).
 Status 1 where a rule was broken.
 """
 
@@ -13,7 +13,7 @@
 import time
 from collections import Counter
 
-from tests.gateway import calls
+from tests.gateway import request_interleavings
 
 PLANS = [
     (("safe", "unsafe"), 2),
@@ -52,7 +52,9 @@
     try:
         for order, many in PLANS[: int(given("--plans", "6"))]:
             at = time.process_time()
-            number, some = calls.explore(calls.ways(2, order, many, every), order, None, many)
+            number, some = request_interleavings.explore(
+                request_interleavings.interleavings(2, order, many, every), order, None, many
+            )
             met.update(some)
             print(
                 f"{' '.join(order)}, {many} machines: {number} ways in {time.process_time() - at:.0f} s",
@@ -63,11 +65,11 @@
         while time.process_time() < until:
             order, many = PLANS[seed % len(PLANS)]
             picks, cuts = drawn(seed)
-            count, some = calls.explore([picks], order, cutter(cuts), many)
+            count, some = request_interleavings.explore([picks], order, cutter(cuts), many)
             met.update(some)
             number, seed = number + count, seed + 1
         print(f"drawn: {number} ways, seeds up to {seed}")
-    except calls.Broken as broken:
+    except request_interleavings.RuleBroken as broken:
         print("BROKEN:", *broken.args)
         return 1
     finally:
