--- /dev/null
+++ b/tests/gateway/control/mutants.py
@@ -0,0 +1,254 @@
+"""Mutants of the control plane: programs with one fault, each with the invariants that find it.
+
+Mutation testing of the simulation itself: an invariant that no mutant violates may check nothing.
+`first_violation` plays schedules with a mutant until one of its invariants is violated.
+"""
+
+import asyncio
+import json
+from collections.abc import Callable, Iterable, Iterator
+from contextlib import AbstractContextManager, ExitStack, contextmanager
+from pathlib import Path
+from typing import Any, NamedTuple
+from unittest.mock import patch
+
+from umbermoor.gateway.api.calls import Reply, call, wrong
+from umbermoor.gateway.balancing.instances import Plants
+from umbermoor.gateway.discovery.registry import DRAINING
+from umbermoor.gateway.distribution.reader import Reader
+from umbermoor.gateway.replication.replica_set import Membership
+from umbermoor.gateway.rollout.core import Steps
+from umbermoor.gateway.server import controller as controller_program
+from umbermoor.gateway.server.controller import Core
+from umbermoor.gateway.server.proxy import Front
+from umbermoor.gateway.simulation.control_world import ControlWorld
+from umbermoor.gateway.simulation.schedule import Schedule, parse
+from umbermoor.gateway.simulation.violations import Invariant, InvariantViolation
+from umbermoor.gateway.simulation.virtual_disk import VirtualDisk
+
+DAYS = Path(__file__).parent / "days"  # schedules that broke an invariant once
+MUTANT_DAYS = DAYS / "mutants"  # for each mutant a schedule in which it is found
+
+_replace, _configured, _news, _take = Core.replace, Front.configured, Reader.news, Plants.take
+_tick = Steps.tick
+
+Patch = Callable[[], AbstractContextManager[Any]]
+
+
+class Mutant(NamedTuple):
+    """A fault put into the programs, and the invariants of which it breaks one."""
+
+    patch: Patch
+    invariants: set[Invariant]
+
+
+# Configurations
+
+
+def _handler(run: Any) -> Any:
+    return patch.object(Core, "replace", call("POST", "/Config.Replace")(run))
+
+
+async def _reject_repetition(self: Core, ask: Any) -> Reply:
+    held = self.member.committed.get("config")
+    if held is not None and held["text"].encode() == ask.body:
+        return wrong(409, "held already")
+    return await _replace(self, ask)
+
+
+async def _acknowledge_early(self: Core, ask: Any) -> Reply:
+    answer = await _replace(self, ask)
+    return Reply(200) if answer.status == 503 else answer
+
+
+async def _never_accept(self: Core, ask: Any) -> Reply:
+    return await _replace(self, ask) if b"00000001" in ask.body else wrong(503, "not now")
+
+
+async def _rewrite_content(self: Core, ask: Any) -> Reply:
+    try:
+        body = json.dumps(json.loads(ask.body), sort_keys=True).encode()
+    except ValueError:
+        body = ask.body
+    return await _replace(self, ask._replace(body=body))
+
+
+def _check_nothing(body: Any) -> Any:
+    return None
+    yield
+
+
+# Proxies
+
+
+def _take_any_configuration(self: Front, message: dict[str, Any]) -> None:
+    self.routes = None
+    _configured(self, message)
+
+
+def _believe_any_update(self: Reader, now: int, name: str, message: dict[str, Any]) -> Any:
+    """An update of a controller that is behind counts as the newest."""
+    heard = _news(self, now, name, message)
+    if heard is None or message["revision"] >= self.revision:
+        return heard
+    self.revision, self.offered = message["revision"] - 1, message["revision"]
+    return heard._replace(want=True)
+
+
+def _take_configuration_late(self: Front, message: dict[str, Any]) -> None:
+    asyncio.get_running_loop().call_later(4, _configured, self, message)
+
+
+def _keep_draining(self: Plants, now: int, entries: Any) -> Any:
+    """An instance that drains stays in use."""
+    return _take(self, now, [entry for entry in entries if entry.state != DRAINING])
+
+
+def _accept_stale_configurations() -> AbstractContextManager[Any]:
+    return _all(
+        patch.object(Front, "configured", _take_any_configuration),
+        patch.object(Reader, "news", _believe_any_update),
+    )
+
+
+# Rollouts and replication
+
+
+def _never_revert(self: Steps, now: int) -> Any:
+    return [
+        (service, record) for service, record in _tick(self, now) if record["state"] != "reverted"
+    ]
+
+
+def _minority_quorum() -> Any:
+    return patch.object(
+        Membership, "quorum", lambda self, who: 2 * len(set(who)) >= len(self.new) - 1
+    )
+
+
+@contextmanager
+def _lying_disk() -> Iterator[None]:
+    """It says synced, and what was written last is gone with the power."""
+    write, process_ended = VirtualDisk.write, VirtualDisk.process_ended
+    before: dict[int, dict[str, bytes]] = {}
+
+    def write_unsynced(self: VirtualDisk, puts: dict[str, bytes | None]) -> bool:
+        before[id(self)] = dict(self.records)
+        return write(self, puts)
+
+    def lose_unsynced(self: VirtualDisk, power_lost: bool) -> None:
+        process_ended(self, power_lost)
+        if power_lost and id(self) in before:
+            self.records = before.pop(id(self))
+
+    with (
+        patch.object(VirtualDisk, "write", write_unsynced),
+        patch.object(VirtualDisk, "process_ended", lose_unsynced),
+    ):
+        yield
+
+
+@contextmanager
+def _all(*patches: AbstractContextManager[Any]) -> Iterator[None]:
+    with ExitStack() as stack:
+        for one in patches:
+            stack.enter_context(one)
+        yield
+
+
+MUTANTS: dict[str, Mutant] = {
+    "a repeated order is rejected": Mutant(
+        lambda: _handler(_reject_repetition), {Invariant.ORDER_REJECTED}
+    ),
+    "orders are acknowledged before they are stored": Mutant(
+        lambda: _handler(_acknowledge_early),
+        {
+            Invariant.STALE_READ,
+            Invariant.NOT_CONVERGED,
+            Invariant.ACKNOWLEDGED_LOST,
+            Invariant.NOT_RECOVERED,
+            Invariant.NOT_STARTED,
+        },
+    ),
+    "some orders are never accepted": Mutant(
+        lambda: _handler(_never_accept), {Invariant.NOT_ACKNOWLEDGED}
+    ),
+    "a configuration is stored with other content": Mutant(
+        lambda: _handler(_rewrite_content), {Invariant.UNKNOWN_CONTENT, Invariant.NOT_RECOVERED}
+    ),
+    "configurations are not validated": Mutant(
+        lambda: patch.object(controller_program, "check_slowly", _check_nothing),
+        {Invariant.INVALID_ACCEPTED},
+    ),
+    "a proxy accepts stale configurations": Mutant(
+        _accept_stale_configurations, {Invariant.PROXY_WENT_BACK}
+    ),
+    "a proxy applies configurations late": Mutant(
+        lambda: patch.object(Front, "configured", _take_configuration_late),
+        {Invariant.NOT_CONVERGED, Invariant.NOT_STARTED},
+    ),
+    "draining instances stay in use": Mutant(
+        lambda: patch.object(Plants, "take", _keep_draining),
+        {Invariant.DRAINING_USED, Invariant.PROXY_WENT_BACK},
+    ),
+    "a bad version is not reverted": Mutant(
+        lambda: patch.object(Steps, "tick", _never_revert), {Invariant.ROLLOUT_EXPOSURE}
+    ),
+    "one member of three is a quorum": Mutant(
+        _minority_quorum,
+        {
+            Invariant.STATE_DIVERGED,
+            Invariant.STALE_READ,
+            Invariant.STATE_WENT_BACK,
+            Invariant.ACKNOWLEDGED_LOST,
+            Invariant.NOT_RECOVERED,
+            Invariant.NOT_CONVERGED,
+        },
+    ),
+    "disks lie about a sync": Mutant(
+        _lying_disk,
+        {
+            Invariant.STALE_READ,
+            Invariant.ACKNOWLEDGED_LOST,
+            Invariant.STATE_WENT_BACK,
+            Invariant.STATE_DIVERGED,
+            Invariant.NOT_RECOVERED,
+            Invariant.NOT_CONVERGED,
+            Invariant.PROCESS_EXITED,
+        },
+    ),
+    "a proxy is ready without a quorum": Mutant(
+        lambda: patch.object(Reader, "firm_since", lambda self, when: True),
+        {Invariant.READY_WHILE_STALE},
+    ),
+    "every member decides on rollouts": Mutant(
+        lambda: patch.object(Core, "head", lambda self: self.papers.ip),
+        {Invariant.STALE_LEADER},
+    ),
+}
+
+
+def mutant_schedules() -> dict[str, Schedule]:
+    """By mutant, the schedule in which it is found: the first line of its text names the mutant."""
+    texts = [path.read_text() for path in sorted(MUTANT_DAYS.glob("*.day"))]
+    return {text[2:].split(":")[0]: parse(text) for text in texts}
+
+
+def kept_schedules() -> list[Schedule]:
+    """Schedules in which the programs broke an invariant once."""
+    return [parse(path.read_text()) for path in sorted(DAYS.glob("*.day"))]
+
+
+def first_violation(
+    name: str, schedules: Iterable[Schedule]
+) -> tuple[Schedule, InvariantViolation] | None:
+    """The first of the schedules in which a mutant violates one of its invariants."""
+    mutant = MUTANTS[name]
+    for schedule in schedules:
+        with mutant.patch():
+            try:
+                ControlWorld(schedule).run()
+            except InvariantViolation as violation:
+                if violation.invariant in mutant.invariants:
+                    return schedule, violation
+    return None
--- /dev/null
+++ b/umbermoor/gateway/simulation/control_world.py
@@ -0,0 +1,208 @@
+"""The control world: a whole control plane in virtual time, played by a schedule.
+
+Controllers and proxies run their own programs on simulated hosts; operators, instances, clients and
+faults follow from the schedule. Everything follows from the seed: the same schedule plays the same
+events each time.
+"""
+
+import random
+from collections import Counter
+from collections.abc import Callable
+from functools import partial
+from typing import Any, NoReturn
+from unittest.mock import patch
+
+from umbermoor.gateway.server import controller as controller_program
+from umbermoor.gateway.server import proxy as proxy_program
+from umbermoor.gateway.simulation import observations
+from umbermoor.gateway.simulation.configurations import Configurations
+from umbermoor.gateway.simulation.disk_faults import DiskFaults
+from umbermoor.gateway.simulation.disturbances import Disturbances
+from umbermoor.gateway.simulation.instances import Instances
+from umbermoor.gateway.simulation.invariants import Invariants
+from umbermoor.gateway.simulation.network_faults import NetworkFaults
+from umbermoor.gateway.simulation.nodes import ControllerNode, ProxyNode
+from umbermoor.gateway.simulation.operators import Operators
+from umbermoor.gateway.simulation.process_faults import ProcessFaults
+from umbermoor.gateway.simulation.rollouts import Rollouts
+from umbermoor.gateway.simulation.schedule import Schedule, Step
+from umbermoor.gateway.simulation.traffic import Traffic
+from umbermoor.gateway.simulation.violations import Invariant, InvariantViolation
+from umbermoor.gateway.simulation.virtual_disk import DiskMode
+from umbermoor.gateway.simulation.virtual_network import VirtualHost, VirtualNetwork
+from umbermoor.gateway.simulation.virtual_time import MILLISECOND, SECOND, VirtualTime
+
+TRAFFIC_BEGINS_AT = 9 * SECOND
+FIRST_CONFIGURATION_AT = 3 * SECOND
+CALM = 16 * SECOND  # after all faults, before the last checks
+CHECK_INTERVAL = 50 * MILLISECOND
+START_SPREAD_MS = 300
+REQUESTS_AFTER, ROLLOUTS_FOLLOWED_AFTER = 20 * MILLISECOND, SECOND
+ANSWER_LOSS = 0.08  # of answers to operators, on days on which answers are lost
+CLOCK_DRIFT_PPM = 200  # at most
+SEEDS = 3  # controllers that others are told of at their start
+ZONES = 3
+FIRST_REVISION = 1
+
+LogEvent = Callable[..., None]  # gets the name of a log event, and its keys
+
+
+def _ignore(name: str, **keys: Any) -> None:
+    """Drop a log event."""
+
+
+def _fault_name(step: Step) -> str:
+    """The kind of a fault, and the shape of a partition."""
+    return f"{step.kind}_{step.text('how', 'both')}" if step.kind == "core_cut" else step.kind
+
+
+class ControlWorld:
+    """One play of a schedule.
+
+    Attributes:
+        faults: how many faults were injected, by kind of step.
+        counts: what else happened, by kind.
+        rng: draws what operators, instances and clients do.
+    """
+
+    def __init__(self, schedule: Schedule, log_event: LogEvent = _ignore) -> None:
+        """Set the world up; `log_event` gets what the programs log."""
+        seed = schedule.seed
+        self.schedule = schedule
+        self.time = VirtualTime()
+        self.rng = random.Random(f"play {seed}")
+        self.network = VirtualNetwork(self.time, random.Random(f"net {seed}"))
+        self.operator_ip = "10.9.0.1"
+        self.traffic_begins_at = TRAFFIC_BEGINS_AT
+        self.faults_end_at = TRAFFIC_BEGINS_AT + schedule.fault_phase_ms * MILLISECOND
+        self.faults: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()
+        self._log_event = log_event
+        setup_rng = random.Random(f"machines {seed}")
+        self.answer_loss = setup_rng.choice((0.0, ANSWER_LOSS))
+        self.controllers, self.proxies = self._make_nodes(setup_rng)
+        self.configurations = Configurations(seed, self.time)
+        self.disturbances = Disturbances(self)
+        self.invariants = Invariants(self)
+        self.instances = Instances(self)
+        self.rollouts = Rollouts(self)
+        self.operators = Operators(self)
+        self.traffic = Traffic(self)
+        self.process_faults = ProcessFaults(self)
+        self.network_faults = NetworkFaults(self)
+        self.disk_faults = DiskFaults(self)
+        self._actions = self.operators.steps | self.instances.steps | self.rollouts.steps
+        self._fault_actions = (
+            self.process_faults.steps | self.network_faults.steps | self.disk_faults.steps
+        )
+
+    def _make_nodes(
+        self, rng: random.Random
+    ) -> tuple[dict[str, ControllerNode], dict[str, ProxyNode]]:
+        controller_ips = [f"10.0.0.{n + 1}" for n in range(self.schedule.members)]
+        proxy_ips = [f"10.0.1.{n + 1}" for n in range(self.schedule.proxies)]
+        seeds = tuple(controller_ips[:SEEDS])
+        controllers = {
+            ip: ControllerNode(self, self._make_host(rng, ip), seeds, f"z{n % ZONES}")
+            for n, ip in enumerate(controller_ips)
+        }
+        proxies = {
+            ip: ProxyNode(self, self._make_host(rng, ip), seeds, f"z{n % ZONES}")
+            for n, ip in enumerate(proxy_ips)
+        }
+        return controllers, proxies
+
+    def _make_host(self, rng: random.Random, ip: str) -> VirtualHost:
+        rate = 1 + rng.uniform(-CLOCK_DRIFT_PPM, CLOCK_DRIFT_PPM) * 1e-6
+        return VirtualHost(self.network, ip, rate, rng.randrange(1, 10**9))
+
+    # The day
+
+    def run(self) -> "ControlWorld":
+        """Play it all; raises InvariantViolation."""
+        with (
+            patch.object(controller_program, "event", self._log_event),
+            patch.object(proxy_program, "event", self._log_event),
+        ):
+            self._play()
+        return self
+
+    def _play(self) -> None:
+        time = self.time
+        self._start_nodes()
+        time.after(FIRST_CONFIGURATION_AT, self._begin_operation)
+        for step in self.schedule.steps:
+            at = TRAFFIC_BEGINS_AT + max(0, step.at_ms) * MILLISECOND
+            time.at(at, partial(self._act, step))
+        time.after(CHECK_INTERVAL, self._check)
+        time.run(TRAFFIC_BEGINS_AT)
+        self.invariants.check_started()
+        time.run(self.faults_end_at)
+        self._end_faults()
+        time.run(self.faults_end_at + CALM)
+        self.invariants.check_recovered()
+
+    def _start_nodes(self) -> None:
+        for controller in self.controllers.values():
+            delay = self.rng.randrange(START_SPREAD_MS) * MILLISECOND
+            self.time.after(delay, partial(controller.start, cold=True))
+        for proxy in self.proxies.values():
+            self.time.after(self.rng.randrange(START_SPREAD_MS) * MILLISECOND, proxy.start)
+
+    def _begin_operation(self) -> None:
+        self.instances.start_first()
+        self.operators.send_configuration(FIRST_REVISION)
+        self.time.after(REQUESTS_AFTER, self.traffic.send_requests)
+        self.time.after(ROLLOUTS_FOLLOWED_AFTER, self.rollouts.follow)
+
+    def _check(self) -> None:
+        self.disturbances.observe()
+        self.invariants.check()
+        self.process_faults.restart_exited()
+        self.time.after(CHECK_INTERVAL, self._check)
+
+    def _act(self, step: Step) -> None:
+        """Do what a step says; a fault is counted unless it says that it did nothing."""
+        if step.kind in self._actions:
+            self._actions[step.kind](step)
+        elif step.kind in self._fault_actions:
+            if self._fault_actions[step.kind](step) is not False:
+                self.faults[_fault_name(step)] += 1
+        else:
+            raise ValueError(f"no such step: {step}")
+
+    def _end_faults(self) -> None:
+        """Take all faults away at once, and start what is stopped."""
+        self.network.heal()
+        self.answer_loss = 0.0
+        for node in self.controllers.values():
+            node.host.disk.mode = DiskMode.HEALTHY
+            if node.host.process is not None:
+                self.process_faults.thaw(node.host, timers_first=True)
+                node.host.process.callback_cost = 0
+            node.host.timer_clock.resume()
+            node.start()
+        for proxy in self.proxies.values():
+            if proxy.running:
+                self.process_faults.thaw(proxy.host, timers_first=True)
+            proxy.start()
+        for ip in self.network.hosts:
+            self.disturbances.disturbed(ip)
+
+    # What its parts ask of it
+
+    def fail(self, invariant: Invariant, detail: str) -> NoReturn:
+        """Raise InvariantViolation."""
+        raise InvariantViolation(invariant, detail, self.time.now)
+
+    def controller_name(self, number: int) -> str:
+        """The address of a controller; numbers wrap around."""
+        names = list(self.controllers)
+        return names[number % len(names)]
+
+    def newest_chain(self) -> tuple[str, ...]:
+        """The chain of the newest view that a controller knows; the first one alone if none."""
+        nodes = [node for node in self.controllers.values() if node.program is not None]
+        known = [status for status in map(observations.chain_status, nodes) if status.chain]
+        newest = max(known, key=lambda status: status.epoch, default=None)
+        return newest.chain if newest is not None else (self.controller_name(0),)
--- /dev/null
+++ b/umbermoor/gateway/simulation/proxy_invariants.py
@@ -0,0 +1,164 @@
+"""Invariants of proxies: no way back, instances that drain are left alone, changes arrive in time."""
+
+from collections import Counter
+from typing import TYPE_CHECKING
+
+from umbermoor.gateway.simulation import observations
+from umbermoor.gateway.simulation.order_invariants import ACKNOWLEDGEMENT_TIME
+from umbermoor.gateway.simulation.schedule import MARGINS, SERVICES
+from umbermoor.gateway.simulation.state_invariants import RolloutRecords
+from umbermoor.gateway.simulation.violations import Invariant
+from umbermoor.gateway.simulation.virtual_time import SECOND
+
+if TYPE_CHECKING:
+    from umbermoor.gateway.simulation.control_world import ControlWorld
+    from umbermoor.gateway.simulation.instances import SimulatedInstance
+    from umbermoor.gateway.simulation.nodes import ProxyNode
+
+CONTACT = round(MARGINS["contactS"] * SECOND)
+CONVERGENCE = round(MARGINS["convergenceS"] * SECOND)
+STRETCH = round(MARGINS["stretchS"] * SECOND)
+DRAIN = round(MARGINS["drainS"] * SECOND)
+ACKNOWLEDGED_LOOKED_AT = 60  # the newest acknowledged configurations
+
+
+class ProxyInvariants:
+    """What proxies have in force, each in its present incarnation."""
+
+    def __init__(
+        self, world: "ControlWorld", counts: Counter[str], records: RolloutRecords
+    ) -> None:
+        self.in_force: dict[str, int] = {}  # configuration's revision by proxy
+        self._world = world
+        self._counts = counts
+        self._records = records
+        self._was_ready: set[str] = set()
+        self._departing: dict[str, set[str]] = {}  # by proxy: instances known to drain or be gone
+        self._told_before_start: dict[str, int] = {}  # by proxy: the newest revision told of
+
+    def started(self, ip: str) -> None:
+        """A proxy starts anew, and knows nothing."""
+        self.in_force[ip], self._departing[ip] = 0, set()
+        self._was_ready.discard(ip)
+        self._told_before_start[ip] = self._world.configurations.newest_told
+
+    def check(self) -> None:
+        """Look at all proxies that run."""
+        for ip, node in self._world.proxies.items():
+            process = node.host.process
+            if node.program is not None and process is not None and not process.frozen:
+                self._check_configuration(ip, node)
+                self._check_ready(ip, node)
+                self._check_convergence(ip)
+                self._check_instances(ip, node)
+                self._check_rollouts(node)
+
+    def _check_configuration(self, ip: str, node: "ProxyNode") -> None:
+        revision, before = observations.configuration_in_force(node), self.in_force[ip]
+        if revision < before:
+            self._world.fail(
+                Invariant.PROXY_WENT_BACK,
+                f"{ip} went back from configuration {before} to {revision}",
+            )
+        if revision != before:
+            self.in_force[ip] = revision
+            names = observations.route_names(node)
+            self._world.configurations.routes_in_force(revision, names, ip)
+
+    def _check_ready(self, ip: str, node: "ProxyNode") -> None:
+        if not node.ready or ip in self._was_ready:
+            return
+        self._was_ready.add(ip)
+        self._counts["ready"] += 1
+        revision, told = self.in_force[ip], self._told_before_start[ip]
+        if revision < told:
+            self._world.fail(
+                Invariant.READY_WHILE_STALE,
+                f"{ip} is ready with {revision}, though {told} was acknowledged before it started",
+            )
+
+    def _check_convergence(self, ip: str) -> None:
+        disturbances, revision = self._world.disturbances, self.in_force[ip]
+        due = self._acknowledged_before(CONVERGENCE)
+        if revision >= due:
+            return
+        if disturbances.proxy_in_touch(ip):
+            self._world.fail(
+                Invariant.NOT_CONVERGED,
+                f"{ip} has {revision} in force, {due} was acknowledged over convergenceS ago",
+            )
+        span = CONVERGENCE + STRETCH
+        long_due = self._acknowledged_before(span)
+        if revision < long_due and disturbances.quorum_throughout(ip, span + CONTACT):
+            self._world.fail(
+                Invariant.NOT_CONVERGED,
+                f"{ip} has {revision} in force, {long_due} was acknowledged over stretchS ago",
+            )
+
+    def _acknowledged_before(self, span: int) -> int:
+        """The newest revision acknowledged more than `span` ago; 0 for none."""
+        now = self._world.time.now
+        newest = self._world.configurations.acknowledged[-ACKNOWLEDGED_LOOKED_AT:]
+        return max((revision for at, revision in newest if now - at > span), default=0)
+
+    def _check_instances(self, ip: str, node: "ProxyNode") -> None:
+        departing = self._departing[ip]
+        departing.update(observations.departing_instances(node))
+        for instance in self._world.instances.all:
+            if observations.lists_instance(node, instance.id):
+                if instance.id in departing:
+                    self._world.fail(
+                        Invariant.PROXY_WENT_BACK,
+                        f"{ip} lists {instance.id} again, which it knew to leave",
+                    )
+                self.check_usable(ip, instance, "is listed")
+
+    def check_usable(self, ip: str, instance: "SimulatedInstance", use: str) -> None:
+        """An instance is used by a proxy: not for longer than it may after its draining."""
+        known_at, disturbances = instance.draining_acknowledged_at, self._world.disturbances
+        if known_at is None or not disturbances.proxy_in_touch(ip):
+            return
+        used_for = self._world.time.now - known_at
+        limit = DRAIN if instance.drained_while_settled else DRAIN + STRETCH
+        if used_for > limit and not instance.ended:
+            self._world.fail(
+                Invariant.DRAINING_USED,
+                f"{instance.id} {use} by {ip} {used_for / SECOND:.2f} s after its draining was "
+                "acknowledged",
+            )
+
+    def _check_rollouts(self, node: "ProxyNode") -> None:
+        for service, record in observations.rollout_records(node):
+            if service in SERVICES:
+                self._records.seen(service, record)
+
+
+class InstanceInvariants:
+    """What instances are answered: that they drain is acknowledged in time."""
+
+    def __init__(self, world: "ControlWorld", counts: Counter[str]) -> None:
+        self._world = world
+        self._counts = counts
+
+    def draining_acknowledged(self, instance: "SimulatedInstance", controller: str) -> None:
+        """An instance is told that it is known to drain."""
+        disturbances = self._world.disturbances
+        instance.drained_while_settled = disturbances.controller_in_touch(controller)
+        self._counts["drained"] += 1
+
+    def leave_acknowledged(self) -> None:
+        """An instance is told that it is known to have left."""
+        self._counts["left"] += 1
+
+    def check(self) -> None:
+        """Look at all instances."""
+        now, settled_since = self._world.time.now, self._world.invariants.orders.settled_since()
+        for instance in self._world.instances.all:
+            asked_at = instance.draining_at
+            if asked_at is None or not instance.waits_for_drain:
+                continue
+            if now - max(asked_at, settled_since) > ACKNOWLEDGEMENT_TIME:
+                self._world.fail(
+                    Invariant.NOT_ACKNOWLEDGED,
+                    f"{instance.id} drains unheard since {asked_at / SECOND:.3f} s",
+                )
--- /dev/null
+++ b/umbermoor/gateway/simulation/rollouts.py
@@ -0,0 +1,154 @@
+"""Rollouts of a day: operators order them, and the platform follows how they go."""
+
+import json
+import random
+from dataclasses import dataclass, field
+from functools import partial
+from typing import TYPE_CHECKING
+
+from umbermoor.gateway.simulation.instances import SimulatedInstance
+from umbermoor.gateway.simulation.operator_call import OperatorCall
+from umbermoor.gateway.simulation.order_invariants import RUNNING
+from umbermoor.gateway.simulation.schedule import Step
+from umbermoor.gateway.simulation.virtual_time import MILLISECOND, SECOND
+
+if TYPE_CHECKING:
+    from umbermoor.gateway.simulation.control_world import ControlWorld
+
+FOLLOW_INTERVAL = SECOND
+READ_DEADLINE = 4 * SECOND
+ORDER_DEADLINE, RACED_ORDER_DEADLINE = 30 * SECOND, 2 * SECOND
+REVERTED_DRAIN_AFTER = 2 * SECOND
+SETTLED = "settled"
+
+
+@dataclass
+class RolloutInProgress:
+    """The rollout that the instances of a service follow."""
+
+    target: str
+    good: bool
+    ramp_s: int
+    ordered_at: int
+    old_instances: list[SimulatedInstance] = field(default_factory=list)
+    acknowledged: bool = False
+    over: bool = False
+
+
+class Rollouts:
+    """The rollout of each service, and the steps that order and read them."""
+
+    def __init__(self, world: "ControlWorld") -> None:
+        self._world = world
+        self._current: dict[str, RolloutInProgress] = {}  # by service
+        self.steps = {"rollout": self._step_rollout, "rollout_read": self._step_read}
+
+    def current(self, service: str) -> RolloutInProgress | None:
+        """The rollout of a service that was ordered last, over or not."""
+        return self._current.get(service)
+
+    def ordered(self, service: str) -> bool:
+        """Whether any rollout of the service was ordered."""
+        return service in self._current
+
+    def follow(self) -> None:
+        """Have the platform look how rollouts go, from now on."""
+        for service, rollout in self._current.items():
+            if rollout.acknowledged and not rollout.over:
+                self._read(service)
+        self._world.time.after(FOLLOW_INTERVAL, self.follow)
+
+    # Orders
+
+    def _step_rollout(self, step: Step) -> None:
+        service, target = step.text("service"), step.text("target")
+        current = self._current.get(service)
+        if current is not None and not current.over:
+            return  # one at a time, as operators do
+        rival = step.text("against")
+        self._order(step, service, target, bool(rival))
+        if rival:  # another operator orders another version of it at the same moment
+            self._order(step, service, rival, True)
+
+    def _order(self, step: Step, service: str, target: str, raced: bool) -> None:
+        world, ramp_s = self._world, step.number("ramp")
+        old_instances = world.instances.running(service)
+        rollout = RolloutInProgress(
+            target, bool(step.number("good")), ramp_s, world.time.now, old_instances
+        )
+        self._current.setdefault(service, rollout)
+        if not raced or self._current[service].over:
+            self._current[service] = rollout
+        world.counts["rollout"] += 1
+        world.instances.start_version(service, target)
+        request = {"service": service, "target": target, "rampS": ramp_s}
+        body = json.dumps(request).encode()
+        order = world.invariants.orders.rollout_ordered(service, target, body)
+        order.raced = raced
+        world.operators.sent(order)
+
+        def answered(status: int, _: bytes) -> None:
+            world.invariants.orders.order_answered(order, status)
+            if status == 200 and not (self._current[service].acknowledged and raced):
+                self._current[service] = rollout
+                rollout.acknowledged = True
+
+        deadline = RACED_ORDER_DEADLINE if raced else ORDER_DEADLINE
+        OperatorCall(world, "POST", "/Rollouts.Begin", body, answered, deadline=deadline)
+
+    # Reads
+
+    def _step_read(self, step: Step) -> None:
+        for service in self._current:
+            self._read(service)
+
+    def _read(self, service: str) -> None:
+        orders = self._world.invariants.orders
+        read = orders.rollout_read_begins(service)
+        self._world.counts["rollout_read"] += 1
+
+        def answered(status: int, body: bytes) -> None:
+            orders.rollout_read(read, status, body)
+            rollout = self._current[service]
+            if status == 200 and not rollout.over:
+                record = json.loads(body)
+                if record["target"] == rollout.target and record["state"] != RUNNING:
+                    self._ended(service, rollout, record["state"])
+
+        OperatorCall(
+            self._world,
+            "GET",
+            f"/Rollouts.Read/{service}",
+            b"",
+            answered,
+            deadline=READ_DEADLINE,
+            answers_may_be_lost=False,
+        )
+
+    def _ended(self, service: str, rollout: RolloutInProgress, state: str) -> None:
+        """The platform learns that a rollout ended: the instances that lost are taken away."""
+        rollout.over = True
+        self._world.counts[state] += 1
+        if state == SETTLED:
+            for instance in rollout.old_instances:
+                instance.crash()
+        else:
+            for instance in self._world.instances.all:
+                if instance.version == rollout.target:
+                    self._world.time.after(REVERTED_DRAIN_AFTER, partial(instance.drain, 0))
+        self._order_next(service, rollout.target)
+
+    def _order_next(self, service: str, target: str) -> None:
+        """An operator who waited for its end may order the next one at once."""
+        world = self._world
+        rng = random.Random(f"next {world.schedule.seed} {target}")
+        if rng.random() >= 0.5 or world.time.now >= world.faults_end_at:
+            return
+        arguments = {
+            "service": service,
+            "target": f"{target}n",
+            "ramp": "6",
+            "good": str(rng.randrange(2)),
+        }
+        step = Step(0, "rollout", tuple(arguments.items()))
+        world.time.after(rng.randrange(300) * MILLISECOND, lambda: self._step_rollout(step))
--- /dev/null
+++ b/umbermoor/gateway/simulation/shrinking.py
@@ -0,0 +1,35 @@
+"""Shrinks a schedule that breaks an invariant to the steps that matter.
+
+Delta debugging without the complement step: ever smaller runs of steps are dropped for as long as
+the invariant is still broken. Source: Zeller and Hildebrandt, Simplifying and Isolating
+Failure-Inducing Input (2002).
+"""
+
+from collections.abc import Callable
+
+from umbermoor.gateway.simulation.schedule import Schedule
+
+DEFAULT_TRIALS = 400
+
+
+def shrink(
+    schedule: Schedule,
+    still_fails: Callable[[Schedule], bool],
+    max_trials: int = DEFAULT_TRIALS,
+) -> Schedule:
+    """The schedule with as few steps as `still_fails` needs; plays `max_trials` days at most."""
+    steps, trials = list(schedule.steps), 0
+    run_length = max(1, len(steps) // 2)
+    while run_length and trials < max_trials:
+        start, dropped_any = 0, False
+        while start < len(steps) and trials < max_trials:
+            fewer = steps[:start] + steps[start + run_length :]
+            trials += 1
+            if still_fails(schedule.with_steps(fewer)):
+                steps, dropped_any = fewer, True
+            else:
+                start += run_length
+        if run_length == 1 and not dropped_any:
+            break
+        run_length = run_length // 2 if run_length > 1 else 1
+    return schedule.with_steps(steps)
--- /dev/null
+++ b/umbermoor/gateway/simulation/traffic.py
@@ -0,0 +1,126 @@
+"""Requests of clients, and the instances that answer them."""
+
+from typing import TYPE_CHECKING, Any
+
+from umbermoor.gateway.balancing.attempt_outcomes import Fate
+from umbermoor.gateway.simulation.configurations import HOST
+from umbermoor.gateway.simulation.schedule import SERVICES
+from umbermoor.gateway.simulation.violations import Invariant
+from umbermoor.gateway.simulation.virtual_process import VirtualProcess
+from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.http1.reader import Request, Response
+
+if TYPE_CHECKING:
+    from umbermoor.gateway.simulation.control_world import ControlWorld
+    from umbermoor.gateway.simulation.instances import SimulatedInstance
+    from umbermoor.gateway.simulation.nodes import ProxyNode
+
+REQUEST_INTERVAL = 40 * MILLISECOND  # of a service under a rollout, at each proxy
+SHARE_AFTER_ROLLOUT = 0.1  # of them that are sent once it is over
+SHARE_WITHOUT_ROLLOUT = 0.05
+BAD_ANSWERS = 0.5  # the share of a bad version's answers that are errors
+REFUSAL_TIME = 2 * MILLISECOND
+SHORTEST_ANSWER_MS, LONGEST_ANSWER_MS = 20, 60
+REQUEST_BUDGET_MS = 1500
+
+
+class _Client:
+    """A client's connection: what it is answered is noted, and nothing follows from it."""
+
+    @staticmethod
+    def told(slot: list[Any], status: int, body: bytes, headers: dict[str, str]) -> None:
+        """Take the answer to a request, as a connection of the proxy's server does."""
+        slot[1] = status
+
+
+class _Connections:
+    """A proxy's connections to instances, with the interface of the proxy's pool."""
+
+    def __init__(self, traffic: "Traffic", proxy: str) -> None:
+        self._traffic = traffic
+        self._proxy = proxy
+
+    def start(self, plant: Any, attempt: Any, once: bool) -> None:
+        """Send an attempt to an instance."""
+        self._traffic.request_sent(self._proxy, plant.entry, attempt)
+
+    def drop(self, plant: Any) -> None:
+        """Nothing to close."""
+
+    def sweep(self) -> None:
+        """Nothing to close."""
+
+
+class Traffic:
+    """Requests at every proxy that takes them; instances answer at once, or not at all."""
+
+    def __init__(self, world: "ControlWorld") -> None:
+        self._world = world
+
+    def connections_of(self, proxy: str) -> Any:
+        """What stands in for the connection pool of a proxy."""
+        return _Connections(self, proxy)
+
+    def send_requests(self) -> None:
+        """Send requests from now on: many for services under a rollout, few for the others."""
+        for node in self._world.proxies.values():
+            process = node.host.process
+            if process is None or not node.ready:
+                continue
+            for service in SERVICES:
+                if self._is_due(service):
+                    self._send(node, process, service)
+        self._world.time.after(REQUEST_INTERVAL, self.send_requests)
+
+    def _is_due(self, service: str) -> bool:
+        rollout, rng = self._world.rollouts.current(service), self._world.rng
+        if rollout is not None and (not rollout.over or rng.random() < SHARE_AFTER_ROLLOUT):
+            return True
+        return rng.random() < SHARE_WITHOUT_ROLLOUT
+
+    def _send(self, node: "ProxyNode", process: VirtualProcess, service: str) -> None:
+        counts, program = self._world.counts, node.program
+        assert program is not None
+        counts["request"] += 1
+        headers = {
+            "host": HOST,
+            "x-attempt-id": f"{counts['request']:016x}",
+            "x-time-remaining": str(REQUEST_BUDGET_MS),
+        }
+        request = Request("GET", f"/{service}/x", headers, b"", True)
+        client: Any = _Client
+        process.run(lambda: program.came(client, [request, None, True], request))
+
+    def request_sent(self, proxy: str, entry: Any, attempt: Any) -> None:
+        """A proxy sends an attempt to an instance, as it is registered."""
+        world = self._world
+        process = world.proxies[proxy].host.process
+        assert process is not None
+        instance = self._check_target(proxy, entry)
+        if instance.ended:
+            world.time.after(REFUSAL_TIME, lambda: process.run(lambda: attempt.end(Fate.UNSENT)))
+            return
+        status = 500 if self._answers_badly(proxy, instance) else 200
+        response = Response(status, {"x-server-seal": "seal"}, b"ok", True)
+        took = world.rng.randrange(SHORTEST_ANSWER_MS, LONGEST_ANSWER_MS) * MILLISECOND
+        world.time.after(took, lambda: process.run(lambda: attempt.end(Fate.WHOLE, response)))
+
+    def _check_target(self, proxy: str, entry: Any) -> "SimulatedInstance":
+        world = self._world
+        instance = world.instances.find(entry.id)
+        if instance is None or instance.service != entry.service:
+            world.fail(Invariant.MISROUTED, f"{proxy} sends to {entry}")
+        world.invariants.proxies.check_usable(proxy, instance, "is sent a request")
+        rollout = world.rollouts.current(instance.service)
+        world.invariants.exposure.request_sent(proxy, instance, rollout)
+        return instance
+
+    def _answers_badly(self, proxy: str, instance: "SimulatedInstance") -> bool:
+        world = self._world
+        rollout = world.rollouts.current(instance.service)
+        if rollout is None or rollout.good or instance.version != rollout.target:
+            return False
+        if world.rng.random() >= BAD_ANSWERS:
+            return False
+        world.invariants.exposure.answered_badly(proxy, instance.service, rollout.target)
+        return True
