--- a/umbermoor/gateway/simulation/virtual_transport.py
+++ b/umbermoor/gateway/simulation/virtual_transport.py
@@ -42,7 +42,7 @@
         # In flight: until when it must be acknowledged, and the bytes; None is a FIN.
         self._in_flight: deque[tuple[int, bytes | None]] = deque()
         self._first_delivered = False  # the first in flight arrived, and is not yet acknowledged
-        process.transports.add(self)
+        process.transports[self] = None
 
     # The interface of a transport
 
@@ -141,7 +141,7 @@
 
     def disconnect(self, error: Exception | None) -> None:
         """Tell the protocol that the connection ended, and why."""
-        self.process.transports.discard(self)
+        self.process.transports.pop(self, None)
         if self.protocol is not None:  # else its process never heard of the connection
             self.process.run(lambda: self.protocol.connection_lost(error))
 
@@ -155,7 +155,7 @@
         if self.gone:
             return
         self._forget()
-        self.process.transports.discard(self)
+        self.process.transports.pop(self, None)
         peer = self.peer
         if not reset_peer or peer is None:
             return
