--- a/umbermoor/__main__.py
+++ b/umbermoor/__main__.py
@@ -33,14 +33,14 @@
 from docopt import docopt
 
 from umbermoor import VERSION
+from umbermoor.front.configuration import ConfigurationError, read_configuration
 from umbermoor.logs import start_log
-from umbermoor.station import Misplaced, read_station
 
 EXTRAS = {
     "lab": "umbermoor.lab.command",
-    "capture": "umbermoor.capture.command",
+    "capture": "umbermoor.front.capture.command",
     "plan": "umbermoor.planner.command",
-    "ctl": "umbermoor.lifecycle.command",
+    "ctl": "umbermoor.front.lifecycle.command",
 }
 
 
@@ -67,13 +67,13 @@
     if given["version"]:
         print(f"umbermoor {VERSION}")
         return 0
-    read = partial(read_station, os.environ, given["--config"])
+    read = partial(read_configuration, os.environ, given["--config"])
     try:
         station = read()
         if given["--log"] not in ("DEBUG", "INFO", "WARNING", "ERROR"):
-            raise Misplaced(f"--log: no such level: {given['--log']}")
+            raise ConfigurationError(f"--log: no such level: {given['--log']}")
         house = _house(given["--sheet"])
-    except Misplaced as fault:
+    except ConfigurationError as fault:
         print(f"umbermoor: {fault}", file=sys.stderr)
         return 2
     if given["check"]:
@@ -82,7 +82,7 @@
             f"{len(station.profiles)} profiles, {station.charter.fronts} fronts, {station.sockets} sockets"
         )
         return 0
-    from umbermoor.node.service import serve  # only here: the others need no reactor
+    from umbermoor.front.server.service import serve  # only here: the others need no reactor
 
     start_log(given["--log"], house.logs.form if house else "pairs")
     return serve(station, read, house)
@@ -94,15 +94,15 @@
     if path is None:
         return None
     try:
-        from umbermoor.house import Misread, read_house
+        from umbermoor.front.own_settings import SheetError, read_own_settings
     except ModuleNotFoundError as error:
-        raise Misplaced(
+        raise ConfigurationError(
             f"--sheet: {error.name} is not installed: pip install -e '.[sheets]'"
         ) from None
     try:
-        return read_house(path)
-    except Misread as fault:
-        raise Misplaced(str(fault)) from None
+        return read_own_settings(path)
+    except SheetError as fault:
+        raise ConfigurationError(str(fault)) from None
 
 
 if __name__ == "__main__":
--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -10,14 +10,26 @@
 import time
 from typing import Any
 
-from umbermoor.gateway.balancing.attempt_outcomes import UNRUN, Event, Fate
-from umbermoor.gateway.balancing.instances import Plant, Plants
-from umbermoor.gateway.balancing.request import ANSWER_MARGIN, Exchange, Relay, Told, Wait
-from umbermoor.gateway.balancing.retry_budget import Budget
+from umbermoor.gateway.balancing.attempt_outcomes import (
+    NOT_EXECUTED,
+    AttemptOutcome,
+    ConnectionEvent,
+)
+from umbermoor.gateway.balancing.instance import Instance
+from umbermoor.gateway.balancing.instances import Instances
+from umbermoor.gateway.balancing.request import (
+    RESPONSE_MARGIN_US,
+    Relay,
+    RequestLifecycle,
+    RequestState,
+    Respond,
+    Wait,
+)
+from umbermoor.gateway.balancing.retry_budget import RetryBudget
 from umbermoor.gateway.config.errors import ValidationError
 from umbermoor.gateway.config.node_settings import NodeSettings, read_node_settings
-from umbermoor.gateway.distribution.deltas import applied, digest_of
-from umbermoor.gateway.distribution.reader import Reader as Pulls
+from umbermoor.gateway.distribution.deltas import apply_delta, text_digest
+from umbermoor.gateway.distribution.subscriber import Subscriber
 from umbermoor.gateway.membership.failure_detector import Sonde
 from umbermoor.gateway.rollout.front import Trials
 from umbermoor.gateway.rollout.plan import ROLLOUT
@@ -26,7 +38,7 @@
 from umbermoor.gateway.server.client_connection import ClientLine, relieve, request_bytes
 from umbermoor.gateway.server.connections import Attempt, Pool
 from umbermoor.gateway.server.events import event, watch
-from umbermoor.gateway.server.peer_transport import Line, Post
+from umbermoor.gateway.server.peer_transport import PeerConnection, PeerTransport
 from umbermoor.gateway.server.readiness import ReadyLine
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Request, Response
@@ -44,17 +56,22 @@
 class Going:
     """A request under way: what the state machine does not hold."""
 
-    __slots__ = "exchange", "line", "number", "out", "request", "route", "slot", "timer"
+    __slots__ = "lifecycle", "line", "number", "out", "request", "route", "slot", "timer"
 
     def __init__(
-        self, line: ClientLine, slot: list, request: Request, route: Route, exchange: Exchange
+        self,
+        line: ClientLine,
+        slot: list,
+        request: Request,
+        route: Route,
+        lifecycle: RequestLifecycle,
     ) -> None:
-        self.line, self.slot, self.request, self.route, self.exchange = (
+        self.line, self.slot, self.request, self.route, self.lifecycle = (
             line,
             slot,
             request,
             route,
-            exchange,
+            lifecycle,
         )
         self.timer: asyncio.TimerHandle | None = None
         self.number = 0
@@ -69,15 +86,15 @@
         self.text = ""  # of the configuration in force, as the operator sent it
         self.stages: dict[str, tuple] = {}  # of roll-outs, as last logged
         self.clock = time.monotonic
-        self.plants, self.trials, self.routes = Plants(settings.zone), Trials(), None
+        self.instances, self.trials, self.routes = Instances(settings.zone), Trials(), None
         self.buffers = Buffers(settings.memory_mb << 20)
         self.pool = Pool(self.buffers, self.clock, self.may)
-        self.pulls = Pulls([seed.rpartition(":")[0] for seed in settings.seeds])
+        self.pulls = Subscriber([seed.rpartition(":")[0] for seed in settings.seeds])
         self.pulls.salt = chance.getrandbits(32)
-        self.post = Post(settings.ip, settings.port_range[0], self.receive, self.lost)
+        self.post = PeerTransport(settings.ip, settings.port_range[0], self.receive, self.lost)
         self.lines: set[ClientLine] = set()
         self.going: dict[int, Going] = {}  # by id of its slot
-        self.budgets: dict[str, Budget] = {}
+        self.budgets: dict[str, RetryBudget] = {}
         self.leaving, self.ready, self.started = False, False, self.now()
         self.ticked = self.started
         self.keep_s, self.idle_s, self.head_s, self.body_most = 10, 15.0, 3.0, BODY_MOST
@@ -105,11 +122,11 @@
         told = request.headers.get("x-time-remaining", "")
         left = int(told) * 1000 - WAY if told.isdecimal() and len(told) < 9 else route.timeout_us
         service = route.service_for(self.chance.random())
-        exchange = Exchange(
-            service, route.idempotent, route.max_attempts, now, now + min(left, route.timeout_us)
+        lifecycle = RequestLifecycle(
+            service, route.idempotent, route.max_attempts, now + min(left, route.timeout_us)
         )
-        going = self.going[id(slot)] = Going(line, slot, request, route, exchange)
-        self.budget(service).request(now)
+        going = self.going[id(slot)] = Going(line, slot, request, route, lifecycle)
+        self.retry_budget(service).request_arrived(now)
         self.trials.asked(now, service)
         self.go(going)
 
@@ -120,43 +137,43 @@
         )
         return route is None or route.idempotent
 
-    def may(self, plant: Plant) -> bool:
+    def may(self, instance: Instance) -> bool:
         """The gate right before every send."""
         now = self.now()
-        return self.plants.may(now, plant) and self.trials.allowed(
-            now, plant.entry.service, plant.entry.revision
+        return self.instances.is_listed(instance) and self.trials.allowed(
+            now, instance.entry.service, instance.entry.revision
         )
 
-    def budget(self, service: str) -> Budget:
+    def retry_budget(self, service: str) -> RetryBudget:
         held = self.budgets.get(service)
         if held is None:
             margin = self.settings.margin
-            held = self.budgets[service] = Budget(
+            held = self.budgets[service] = RetryBudget(
                 margin("retryRatio", 0.2), self.settings.margin_us("retryWindowS", 10)
             )
         return held
 
     def go(self, going: Going) -> None:
         """Carries out what the request's state machine wants next."""
-        now, exchange = self.now(), going.exchange
-        while exchange.answer is None and exchange.may_go_on(now):
-            second = exchange.sends > 0
-            budget = self.budget(exchange.service)
-            if second and budget.left(now) < 1:
-                exchange.hedge_at = exchange.due
+        now, lifecycle = self.now(), going.lifecycle
+        while lifecycle.may_attempt(now):
+            second = lifecycle.is_retry()
+            retry_budget = self.retry_budget(lifecycle.service)
+            if second and retry_budget.available(now) < 1:
+                lifecycle.give_up_hedging()
                 break
-            plant = self.choose(now, exchange, second)
-            if plant is None or (plant.id in exchange.tried and exchange.out):
-                exchange.hedge_at = exchange.due
+            instance = self.choose(now, lifecycle, second)
+            if instance is None or (instance.id in lifecycle.tried and lifecycle.in_flight):
+                lifecycle.give_up_hedging()
                 break
             if second:
-                budget.spend(now)
-            self.hand(now, going, plant)
-        if going.out and now >= exchange.due - ANSWER_MARGIN:
+                retry_budget.try_spend(now)
+            self.hand(now, going, instance)
+        if going.out and now >= lifecycle.deadline - RESPONSE_MARGIN_US:
             self.take_back(going)
-            if exchange.closed:
+            if lifecycle.state is RequestState.FINISHED:
                 return
-        step = exchange.rest(now)
+        step = lifecycle.next_step(now)
         if going.timer is not None:
             going.timer.cancel()
             going.timer = None
@@ -165,94 +182,101 @@
                 max(0, step.until - now) / SECOND, self.go, going
             )
         elif isinstance(step, Relay):
-            response: Response = step.answer
+            response: Response = step.response
             self.finish(going, response.status, response.body, response.headers)
-        elif isinstance(step, Told):
+        elif isinstance(step, Respond):
             self.finish(
                 going,
                 step.status,
                 b"",
-                {} if step.retry_after is None else {"retry-after": f"{step.retry_after:g}"},
+                {} if step.retry_after_s is None else {"retry-after": f"{step.retry_after_s:g}"},
             )
 
-    def choose(self, now: int, exchange: Exchange, second: bool) -> Plant | None:
+    def choose(self, now: int, lifecycle: RequestLifecycle, second: bool) -> Instance | None:
         """The version's turn by the roll-out's share, then the machine within it."""
-        trials, service, chance = self.trials, exchange.service, self.chance.random
+        trials, service, chance = self.trials, lifecycle.service, self.chance.random
         side = trials.side(now, service, chance(), second)
         if side is None:
             return None
-        wait = exchange.due - now
+        wait = lifecycle.deadline - now
         only = trials.machines(now, service) if side == trials.target(service) else ()
-        plant = self.plants.choose(now, service, side, only, exchange.tried, chance, wait)
+        instance = self.instances.choose(now, service, side, only, lifecycle.tried, chance, wait)
         return (
-            plant
-            or (only and self.plants.choose(now, service, side, (), exchange.tried, chance, wait))
+            instance
+            or (
+                only
+                and self.instances.choose(now, service, side, (), lifecycle.tried, chance, wait)
+            )
             or None
         )
 
-    def hand(self, now: int, going: Going, plant: Plant) -> None:
-        exchange = going.exchange
+    def hand(self, now: int, going: Going, instance: Instance) -> None:
+        lifecycle = going.lifecycle
         going.number += 1
-        number, anew = going.number, plant.id in exchange.tried
-        usual = self.plants.usual.get(exchange.service, 100_000.0)
-        exchange.attempt(now, number, plant, round(4 * usual * plant.pace))
-        self.plants.sent(now, plant)
-        self.trials.sent(now, exchange.service, plant.entry.revision)
-        data = request_bytes(going.request, plant.id, max(1, (exchange.due - now) // 1000))
+        number, anew = going.number, instance.id in lifecycle.tried
+        usual = self.instances.service_time_us(lifecycle.service, 100_000.0)
+        lifecycle.attempt_started(
+            now, number, instance, round(4 * usual * instance.relative_service_time)
+        )
+        instance.attempt_started(now)
+        self.trials.sent(now, lifecycle.service, instance.entry.revision)
+        data = request_bytes(going.request, instance.id, max(1, (lifecycle.deadline - now) // 1000))
         attempt = Attempt(
             data,
             going.request.headers.get("x-attempt-id", ""),
-            lambda fate, response: self.attempt_ended(going, number, plant, now, fate, response),
+            lambda outcome, response: self.attempt_ended(
+                going, number, instance, now, outcome, response
+            ),
             going.request.method == "HEAD",
             anew,
         )
         going.out[number] = attempt
-        self.pool.start(plant, attempt, not exchange.safe)
+        self.pool.start(instance, attempt, not lifecycle.idempotent)
 
     def attempt_ended(
         self,
         going: Going,
         number: int,
-        plant: Plant,
+        instance: Instance,
         sent: int,
-        fate: Fate,
+        outcome: AttemptOutcome,
         response: Response | None,
     ) -> None:
-        now, plants = self.now(), self.plants
+        now, instances = self.now(), self.instances
         going.out.pop(number, None)
-        plants.back(plant)
+        instance.attempt_ended()
         if response is not None and (load := response.headers.get("x-load-level")):
-            plants.load_told(now, plant, load)
+            instance.load_reported(now, load)
         status = response.status if response is not None else 0
-        if fate is Fate.WHOLE and status < 500:
-            plants.answered(now, plant, now - sent)
-        elif fate is Fate.FULL:
-            plants.full(now, plant)
-        elif fate is Fate.WRONG:
-            plants.wrong(plant)
-            self.pool.drop(plant)
-        elif fate is Fate.WHOLE:
-            plant.heard = now
-        elif fate is not Fate.DROPPED:
-            plants.failed(now, plant, fate is Fate.UNSENT)
-        entry, unrun = plant.entry, fate in UNRUN
+        if outcome is AttemptOutcome.COMPLETE and status < 500:
+            instances.responded(now, instance, now - sent)
+        elif outcome is AttemptOutcome.REJECTED:
+            instance.rejected(now)
+        elif outcome is AttemptOutcome.MISDIRECTED:
+            instances.misdirected(instance)
+            self.pool.drop(instance)
+        elif outcome is AttemptOutcome.COMPLETE:
+            instance.last_response_at = now
+        elif outcome is not AttemptOutcome.CANCELLED:
+            instance.ejection.failure(now, outcome is AttemptOutcome.CONNECT_FAILED)
+        entry, unrun = instance.entry, outcome in NOT_EXECUTED
         self.trials.ended(
             now,
             entry.service,
             entry.revision,
-            plant.id,
-            plant.listed,
+            instance.id,
+            instance.listed_at,
             now - sent <= going.route.latency_target_us,
-            fate is not Fate.WHOLE or status >= 500,
+            outcome is not AttemptOutcome.COMPLETE or status >= 500,
             number > 1 or unrun,
         )
-        self.counts[fate.value] = self.counts.get(fate.value, 0) + 1
-        going.exchange.ended(number, fate, response, status)
-        if not going.exchange.closed:
+        self.counts[outcome.value] = self.counts.get(outcome.value, 0) + 1
+        going.lifecycle.attempt_ended(number, outcome, response)
+        if going.lifecycle.state is not RequestState.FINISHED:
             self.go(going)
 
     def finish(self, going: Going, status: int, body: bytes, headers: dict[str, str]) -> None:
-        going.exchange.closed = True
+        going.lifecycle.finish()
         if going.timer is not None:
             going.timer.cancel()
         self.going.pop(id(going.slot), None)
@@ -267,44 +291,44 @@
         if going.out:
             self.take_back(going)
         if going.out:
-            left = max(0, going.exchange.due - self.now()) / SECOND + OVERTIME
+            left = max(0, going.lifecycle.deadline - self.now()) / SECOND + OVERTIME
             asyncio.get_running_loop().call_later(left, self.give_up, going)
 
     def take_back(self, going: Going) -> None:
         """Attempts of which nothing was written end here: they are proved not to run."""
         for attempt in list(going.out.values()):
-            attempt.meet(Event.UNWANTED)
+            attempt.meet(ConnectionEvent.CANCELLED)
 
     def give_up(self, going: Going) -> None:
         for attempt in list(going.out.values()):
-            attempt.meet(Event.OVER)
+            attempt.meet(ConnectionEvent.DEADLINE_EXCEEDED)
 
     def client_left(self, slot: list) -> None:
         """Its connection is gone: what it asked is not sent anywhere else."""
         going = self.going.pop(id(slot), None)
         if going is not None:
-            going.exchange.closed = True
+            going.lifecycle.finish()
             if going.timer is not None:
                 going.timer.cancel()
             self.leave_out(going)
 
     # News
 
-    def receive(self, line: Line, message: dict[str, Any]) -> None:
+    def receive(self, line: PeerConnection, message: dict[str, Any]) -> None:
         kind, now = message.get("kind"), self.now()
         if kind == "news":
             self.look(now)
-            heard = self.pulls.news(now, line.peer, message)
+            heard = self.pulls.receive_update(now, line.peer, message)
             if heard is None:
                 return
-            for plant in self.plants.take(now, heard.machines):
-                self.pool.drop(plant)
-            if heard.firm:
+            for instance in self.instances.update(now, heard.instances):
+                self.pool.drop(instance)
+            if heard.confirmed:
                 self.trials.heard(now)
-            for key, record in heard.register.items():
+            for key, record in heard.records.items():
                 if key.startswith(ROLLOUT):
                     service = key[len(ROLLOUT) :]
-                    self.trials.order(now, service, record, heard.firm)
+                    self.trials.order(now, service, record, heard.confirmed)
                     stage = record["state"], record["target"], record["stage"]
                     if self.stages.get(key) != stage:
                         self.stages[key] = stage
@@ -315,23 +339,23 @@
                             target=stage[1],
                             stage=stage[2],
                         )
-            for service in self.plants.changed:
-                if heard.firm and ROLLOUT + service not in self.pulls.register:
+            for service in self.instances.changed_services:
+                if heard.confirmed and ROLLOUT + service not in self.pulls.records:
                     self.trials.order(now, service, None)
                 self.trials.listed(
                     now,
                     service,
                     [
-                        (one.id, one.entry.revision, one.listed)
-                        for one in self.plants.judged(service)
+                        (one.id, one.entry.revision, one.listed_at)
+                        for one in self.instances.judged_by_rollout(service)
                     ],
                 )
-            self.plants.changed.clear()
+            self.instances.changed_services.clear()
             self.sonde.heard_of(
                 now, [one for one in message.get("fronts", ()) if isinstance(one, str)]
             )
-            if heard.want:
-                self.post.send(line.peer, self.pulls.pull(now, line.peer))
+            if heard.wants_body:
+                self.post.send(line.peer, self.pulls.make_pull(now, line.peer))
         elif kind == "body" and line.peer in self.pulls.sources:
             self.configured(message)
 
@@ -341,14 +365,18 @@
         if (change := message.get("delta")) is not None:
             try:
                 digest, base, made = change
-                if digest == self.pulls.base != "":  # it came from another member before
+                if digest == self.pulls.base_digest != "":  # it came from another member before
                     return
-                text = applied(self.text, made, digest) if base == self.pulls.base != "" else None
+                text = (
+                    apply_delta(self.text, made, digest)
+                    if base == self.pulls.base_digest != ""
+                    else None
+                )
             except (TypeError, ValueError):
                 text = None
             if text is None:
                 event("garbled", what="change of a configuration", why="it does not come out")
-                self.pulls.unusable()
+                self.pulls.discard_base()
                 return
         try:
             body = json.loads(text)
@@ -363,7 +391,7 @@
             event("garbled", what="configuration", why=error)
             return
         self.routes, self.text = routes, text
-        self.pulls.base = digest_of(text)
+        self.pulls.base_digest = text_digest(text)
         self.pulls.revision = max(self.pulls.revision, routes.revision)
         limits = routes.client_limits
         self.idle_s, self.head_s = (
@@ -374,9 +402,9 @@
         self.keep_s = max(1, round(limits.idle_timeout_us / SECOND) - 1)
         event("configured", revision=routes.revision_text, source="news")
 
-    def lost(self, line: Line) -> None:
+    def lost(self, line: PeerConnection) -> None:
         if line.peer in self.pulls.sources:
-            self.pulls.failed(self.now(), line.peer)
+            self.pulls.pull_failed(self.now(), line.peer)
 
     # Clocks
 
@@ -384,7 +412,7 @@
         """Finds out that time has passed in which this process did not run: messages may come
         before the next tick."""
         if now - self.ticked > STILL:
-            self.pulls.stood_still()
+            self.pulls.mark_stalled()
         self.ticked = now
 
     async def serve(self) -> None:
@@ -423,32 +451,34 @@
         while True:
             now = self.now()
             self.look(now)
-            for name in self.pulls.due(now):
-                self.post.send(name, self.pulls.pull(now, name))
+            for name in self.pulls.due_pulls(now):
+                self.post.send(name, self.pulls.make_pull(now, name))
             if self.pulls.head and (reports := self.trials.tick(now)):
                 self.post.send(self.pulls.head, {"kind": "reports", "reports": reports})
             if not self.ready:
                 self.ready = (
                     self.routes is not None
-                    and self.pulls.offered <= self.pulls.revision
-                    and self.pulls.firm_since(self.started)
-                    and (bool(self.plants.by_id) or now - self.started > FIRST)
+                    and self.pulls.newest_revision <= self.pulls.revision
+                    and self.pulls.confirmed_since(self.started)
+                    and (bool(self.instances.by_id) or now - self.started > FIRST)
                 )
                 if self.ready:
                     event(
-                        "ready", machines=len(self.plants.by_id), revision=self.routes.revision_text
+                        "ready",
+                        machines=len(self.instances.by_id),
+                        revision=self.routes.revision_text,
                     )
             clock = self.clock()
             if clock - told >= 1:
                 told = clock
                 self.pool.sweep()
-                for id in self.pulls.forget(now):
-                    self.plants.forget(id)
+                for id in self.pulls.forget_departed(now):
+                    self.instances.forget(id)
                 if _changed(self.path) != self.changed:
                     self.read_again()
                 slack, fronts = self.settings.margin("retrySlack", 0.0), self.sonde.count()
-                for budget in self.budgets.values():
-                    budget.shared(now, slack, fronts)
+                for retry_budget in self.budgets.values():
+                    retry_budget.share_slack(now, slack, fronts)
                 for line in list(self.lines):
                     line.sweep(clock, self.head_s, self.idle_s)
                 if broken := relieve(self.lines, self.settings.memory_mb << 17):
@@ -464,10 +494,10 @@
             event("garbled", what="settings", why=settings)
             return
         self.settings = settings
-        for budget in self.budgets.values():
-            budget.set_ratio(settings.margin("retryRatio", 0.2))
+        for retry_budget in self.budgets.values():
+            retry_budget.set_ratio(settings.margin("retryRatio", 0.2))
         for seed in settings.seeds:
-            self.pulls.meet(seed.rpartition(":")[0])
+            self.pulls.add_seed(seed.rpartition(":")[0])
         event("settings", seeds=",".join(settings.seeds))
 
     def leave(self) -> None:
--- a/umbermoor/gateway/simulation/nodes.py
+++ b/umbermoor/gateway/simulation/nodes.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 from unittest.mock import patch
 
-from umbermoor.gateway.api.calls import Desk
+from umbermoor.gateway.api.http_api import HttpApi
 from umbermoor.gateway.config.node_settings import NodeSettings
 from umbermoor.gateway.server import controller as controller_program
 from umbermoor.gateway.server import proxy as proxy_program
@@ -81,7 +81,7 @@
     ) -> None:
         super().__init__(world, host, seeds, zone)
         self.program: SimulatedController | None = None  # None: not running
-        self._api: Desk | None = None
+        self._api: HttpApi | None = None
 
     def start(self, cold: bool = False) -> None:
         """Start the program unless it runs; `cold`: as a member of a new system."""
@@ -96,7 +96,7 @@
         def begin() -> None:
             with patch.object(controller_program, "Store", lambda *_: self.host.disk):
                 program.__init__(settings, rng)  # type: ignore[misc]
-            self.program, self._api = program, Desk(program)
+            self.program, self._api = program, HttpApi(program)
             process.create_task(program.post.listen())
             self._watch(process, process.create_task(program.ticks()))
 
