--- a/umbermoor/gateway/simulation/traffic.py
+++ b/umbermoor/gateway/simulation/traffic.py
@@ -24,7 +24,7 @@
 REQUEST_BUDGET_MS = 1500
 
 
-class _Client:
+class SimulatedClient:
     """A client's connection: what it is answered is noted, and nothing follows from it."""
 
     @staticmethod
@@ -88,7 +88,7 @@
             "x-time-remaining": str(REQUEST_BUDGET_MS),
         }
         request = Request("GET", f"/{service}/x", headers, b"", True)
-        client: Any = _Client
+        client: Any = SimulatedClient
         process.run(lambda: program.came(client, [request, None, True], request))
 
     def request_sent(self, proxy: str, entry: Any, attempt: Any) -> None:
--- a/umbermoor/gateway/simulation/virtual_transport.py
+++ b/umbermoor/gateway/simulation/virtual_transport.py
@@ -37,7 +37,7 @@
         self.protocol: Any = None
         self.gone = False  # this side knows nothing of the connection any more
         self._network = network
-        self._peer_ip = peer_ip
+        self.peer_ip = peer_ip
         self._closing = False
         # In flight: until when it must be acknowledged, and the bytes; None is a FIN.
         self._in_flight: deque[tuple[int, bytes | None]] = deque()
@@ -48,7 +48,7 @@
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:  # noqa: D102
         if name == "peername":
-            return self._peer_ip, 1
+            return self.peer_ip, 1
         return _VirtualSocket() if name == "socket" else default
 
     def is_closing(self) -> bool:  # noqa: D102
@@ -78,7 +78,7 @@
         time = self._network.time
         self._in_flight.append((time.now + USER_TIMEOUT, data))
         if len(self._in_flight) == 1:
-            time.after(self._network.delay(self.process.host.ip, self._peer_ip), self._deliver)
+            time.after(self._network.delay(self.process.host.ip, self.peer_ip), self._deliver)
         time.after(USER_TIMEOUT, self._check_user_timeout)
 
     def _check_user_timeout(self) -> None:
@@ -95,29 +95,29 @@
         network, here = self._network, self.process.host.ip
         if not self._in_flight or (self.process.dead and self.gone):
             return
-        peer_host = network.hosts.get(self._peer_ip)
-        if peer_host is None or not peer_host.powered or network.is_cut(here, self._peer_ip):
+        peer_host = network.hosts.get(self.peer_ip)
+        if peer_host is None or not peer_host.powered or network.is_cut(here, self.peer_ip):
             network.time.after(RETRANSMIT_INTERVAL, self._deliver)
             return
         deadline, data = self._in_flight[0]
         peer = self.peer
         if peer is None or peer.gone or peer.process.dead:
             self._in_flight.clear()
-            if not self.gone and not network.is_cut(self._peer_ip, here):
+            if not self.gone and not network.is_cut(self.peer_ip, here):
                 self.gone = True
                 self.disconnect(ConnectionResetError("reset by peer"))
             return
         if not self._first_delivered:
             self._first_delivered = True
             peer.receive(data)
-        if network.is_cut(self._peer_ip, here):  # it arrived, but the acknowledgement is lost
+        if network.is_cut(self.peer_ip, here):  # it arrived, but the acknowledgement is lost
             network.time.after(RETRANSMIT_INTERVAL, self._deliver)
             return
         self._in_flight.popleft()
         self._first_delivered = False
         if self._in_flight:
             sent_just_now = network.time.now < self._in_flight[0][0] - USER_TIMEOUT + MILLISECOND
-            delay = network.delay(here, self._peer_ip) if sent_just_now else PIPELINED_DELAY
+            delay = network.delay(here, self.peer_ip) if sent_just_now else PIPELINED_DELAY
             network.time.after(delay, self._deliver)
 
     def receive(self, data: bytes | None) -> None:
@@ -159,7 +159,7 @@
         peer = self.peer
         if not reset_peer or peer is None:
             return
-        here, there = self.process.host.ip, self._peer_ip
+        here, there = self.process.host.ip, self.peer_ip
 
         def reset_arrives() -> None:
             if not peer.gone and not peer.process.dead and not self._network.is_cut(here, there):
