--- a/tests/documentation_test.py
+++ b/tests/documentation_test.py
@@ -8,6 +8,7 @@
 ROOT = Path(__file__).parent.parent
 PAGES = sorted([*ROOT.glob("*.md"), *(ROOT / "docs").rglob("*.md")])
 ARCHITECTURE = ROOT / "docs" / "ARCHITECTURE.md"
+GLOSSARY = ROOT / "docs" / "glossary.md"
 ROOTS = ROOT / "umbermoor" / "gateway", ROOT  # what the page's file names are relative to
 STORE_RECORDS = "state/"  # what the page names with a slash, and is no file
 
@@ -84,6 +85,15 @@
     assert missing == []
 
 
+def test_every_class_that_the_glossary_names_is_there():
+    section = GLOSSARY.read_text().split("## Earlier names of classes\n")[1].split("\n## ")[0]
+    rows = [line.strip("|").split("|") for line in section.splitlines() if line.startswith("| `")]
+    named = [name for row in rows for name in re.findall(r"`(\w+)`", row[1])]
+    assert len(named) > 25
+    found = set().union(*(definitions(path) for path in (ROOT / "umbermoor").rglob("*.py")))
+    assert [name for name in named if name not in found] == []
+
+
 def test_every_file_that_a_page_names_is_there():
     """A name with a folder is relative to the root, umbermoor/, umbermoor/gateway/ or the page's folder; one without
     is that of some file in the tree."""
@@ -99,6 +109,13 @@
     assert missing == []
 
 
+def test_the_changelog_has_the_tables_of_earlier_names():
+    """Staff search by them: the same in the operators' page and in the CHANGELOG."""
+    tables = (ROOT / "docs" / "gateway.md").read_text().split("## Earlier names\n")[1]
+    first = tables.index("| earlier | now | what |")
+    assert tables[first:].strip() in (ROOT / "CHANGELOG.md").read_text()
+
+
 def test_every_program_that_a_page_starts_is_there():
     missing = []
     for page in (page for page in texts() if page.suffix == ".md"):
