--- a/umbermoor/gateway/simulation/control_world.py
+++ b/umbermoor/gateway/simulation/control_world.py
@@ -13,6 +13,7 @@
 from unittest.mock import patch
 
 from umbermoor.gateway.server import controller as controller_program
+from umbermoor.gateway.server import controller_link
 from umbermoor.gateway.server import proxy as proxy_program
 from umbermoor.gateway.simulation import observations
 from umbermoor.gateway.simulation.configurations import Configurations
@@ -123,6 +124,7 @@
         with (
             patch.object(controller_program, "event", self._log_event),
             patch.object(proxy_program, "event", self._log_event),
+            patch.object(controller_link, "event", self._log_event),
         ):
             self._play()
         return self
--- a/umbermoor/gateway/simulation/nodes.py
+++ b/umbermoor/gateway/simulation/nodes.py
@@ -173,26 +173,26 @@
         self, world: "ControlWorld", host: VirtualHost, seeds: tuple[str, ...], zone: str
     ) -> None:
         super().__init__(world, host, seeds, zone)
-        self.program: proxy_program.Front | None = None  # None: not running
+        self.program: proxy_program.Proxy | None = None  # None: not running
 
     @property
     def ready(self) -> bool:
         """Whether it takes requests."""
-        return self.program is not None and bool(self.program.ready)
+        return self.program is not None and bool(self.program.is_ready)
 
     def start(self) -> None:
         """Start the program unless it runs."""
         if self.running:
             return
         process, settings, rng = self._start_process(), self._settings(), self._program_rng()
+        connections = self.world.traffic.connections_of(self.host.ip)
 
         def begin() -> None:
             with patch.object(proxy_program, "time", self.host.timer_clock):
-                program = proxy_program.Front(settings, rng)
-            program.pool = self.world.traffic.connections_of(self.host.ip)
+                program = proxy_program.Proxy(settings, rng, pool=connections)
             self.program = program
-            process.create_task(program.post.listen())
-            self._watch(process, process.create_task(program.ticks()))
+            process.create_task(program.controllers.peers.listen())
+            self._watch(process, process.create_task(program.run_ticks()))
 
         process.run(begin)
         self.world.invariants.proxies.started(self.host.ip)
@@ -223,4 +223,4 @@
         """SIGTERM: answer what is in flight, and take no more."""
         process, program = self.host.process, self.program
         if process is not None and program is not None:
-            process.run(program.leave)
+            process.run(program.drain)
--- a/umbermoor/gateway/simulation/traffic.py
+++ b/umbermoor/gateway/simulation/traffic.py
@@ -3,6 +3,7 @@
 from typing import TYPE_CHECKING, Any
 
 from umbermoor.gateway.balancing.attempt_outcomes import AttemptOutcome
+from umbermoor.gateway.server.client_connection import PendingRequest
 from umbermoor.gateway.simulation.configurations import HOST
 from umbermoor.gateway.simulation.schedule import SERVICES
 from umbermoor.gateway.simulation.violations import Invariant
@@ -28,9 +29,9 @@
     """A client's connection: what it is answered is noted, and nothing follows from it."""
 
     @staticmethod
-    def told(slot: list[Any], status: int, body: bytes, headers: dict[str, str]) -> None:
+    def respond(pending: PendingRequest, status: int, body: bytes, headers: dict[str, str]) -> None:
         """Take the answer to a request, as a connection of the proxy's server does."""
-        slot[1] = status
+        pending.response = status, body, headers
 
 
 class _Connections:
@@ -40,11 +41,11 @@
         self._traffic = traffic
         self._proxy = proxy
 
-    def start(self, instance: Any, attempt: Any, once: bool) -> None:
+    def send(self, instance: Any, attempt: Any, idempotent: bool) -> None:
         """Send an attempt to an instance."""
         self._traffic.request_sent(self._proxy, instance.entry, attempt)
 
-    def drop(self, instance: Any) -> None:
+    def close_idle(self, instance: Any) -> None:
         """Nothing to close."""
 
     def sweep(self) -> None:
@@ -89,7 +90,7 @@
         }
         request = Request("GET", f"/{service}/x", headers, b"", True)
         client: Any = SimulatedClient
-        process.run(lambda: program.came(client, [request, None, True], request))
+        process.run(lambda: program.requests.handle(client, PendingRequest(request), request))
 
     def request_sent(self, proxy: str, entry: Any, attempt: Any) -> None:
         """A proxy sends an attempt to an instance, as it is registered."""
