--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -30,7 +30,7 @@
 from umbermoor.gateway.config.node_settings import NodeSettings, read_node_settings
 from umbermoor.gateway.distribution.deltas import apply_delta, text_digest
 from umbermoor.gateway.distribution.subscriber import Subscriber
-from umbermoor.gateway.membership.failure_detector import Sonde
+from umbermoor.gateway.membership.failure_detector import FailureDetector
 from umbermoor.gateway.rollout.front import Trials
 from umbermoor.gateway.rollout.plan import ROLLOUT
 from umbermoor.gateway.routing.route_table import Route, RouteTable
@@ -82,7 +82,7 @@
     def __init__(self, settings: NodeSettings, chance: random.Random, path: str = "") -> None:
         """`path` of the settings file, to be read again when it changes; "" never."""
         self.settings, self.chance, self.path, self.changed = settings, chance, path, _changed(path)
-        self.sonde = Sonde(settings.ip, time.time_ns() // 1000, chance)
+        self.failure_detector = FailureDetector(settings.ip, time.time_ns() // 1000, chance)
         self.text = ""  # of the configuration in force, as the operator sent it
         self.stages: dict[str, tuple] = {}  # of roll-outs, as last logged
         self.clock = time.monotonic
@@ -351,7 +351,7 @@
                     ],
                 )
             self.instances.changed_services.clear()
-            self.sonde.heard_of(
+            self.failure_detector.discovered(
                 now, [one for one in message.get("fronts", ()) if isinstance(one, str)]
             )
             if heard.wants_body:
@@ -421,8 +421,8 @@
         loop.add_signal_handler(signal.SIGTERM, self.leave)
         loop.add_signal_handler(signal.SIGHUP, self.read_again)
         await self.post.listen()
-        sounding = await datagrams.listen(
-            self.sonde, self.settings.ip, self.settings.port_range[0], self.now
+        membership = await datagrams.listen(
+            self.failure_detector, self.settings.ip, self.settings.port_range[0], self.now
         )
         host, port = self.settings.listen["ready"]
         await loop.create_server(
@@ -440,10 +440,10 @@
         ):  # a broken invariant: it ends with status 1, and is started again in a clean state
             over.cancel()
             ticking.result()
-        sounding.leave()
+        membership.leave()
         await self.part(server)
         ticking.cancel()
-        sounding.close()
+        membership.close()
         event("end", **self.counts)
 
     async def ticks(self) -> None:
@@ -476,7 +476,10 @@
                     self.instances.forget(id)
                 if _changed(self.path) != self.changed:
                     self.read_again()
-                slack, fronts = self.settings.margin("retrySlack", 0.0), self.sonde.count()
+                slack, fronts = (
+                    self.settings.margin("retrySlack", 0.0),
+                    self.failure_detector.member_count(),
+                )
                 for retry_budget in self.budgets.values():
                     retry_budget.share_slack(now, slack, fronts)
                 for line in list(self.lines):
