--- a/umbermoor/gateway/replication/context.py
+++ b/umbermoor/gateway/replication/context.py
@@ -47,6 +47,7 @@
         rng: random.Random,
     ) -> None:
         self.identity, self.rng = identity, rng
+        self.name = identity.name  # asked for at each message: no property
         self.clock = Clock()
         self.outbox = Outbox(identity.name)
         self.disk = WriteQueue()
@@ -75,11 +76,6 @@
         """Microseconds, as of the present input."""
         return self.clock.now
 
-    @property
-    def name(self) -> str:
-        """This replica's name."""
-        return self.identity.name
-
     @property
     def is_member(self) -> bool:
         """Whether it is a member: no learner, no stranger, nor one that was taken out."""
--- a/umbermoor/gateway/replication/messages.py
+++ b/umbermoor/gateway/replication/messages.py
@@ -36,9 +36,11 @@
     sequence: int
 
 
-@dataclass(frozen=True, slots=True)
-class Heartbeat:
-    """What a replica tells of itself; optional fields are None where they are not told."""
+class Heartbeat(NamedTuple):
+    """What a replica tells of itself; optional fields are None where they are not told.
+
+    A named tuple, which is made faster than a frozen dataclass: one is for each peer each time.
+    """
 
     incarnation: int  # drawn when the process started
     sequence: int  # rises within an incarnation
--- a/umbermoor/gateway/replication/replica.py
+++ b/umbermoor/gateway/replication/replica.py
@@ -314,6 +314,11 @@
         """What is written under that key here, committed or not; None if nothing is."""
         return self.context.map.values.get(key)
 
+    @property
+    def head_name(self) -> str:
+        """The head of the newest view known to be active; "" if none is."""
+        return next(iter(self.context.views.active.chain), "")
+
     def status(self) -> ReplicaStatus:
         """Where this replica stands, for operators."""
         return status_of(self.context, self.chain.uncommitted)
--- a/umbermoor/gateway/replication/replica_set.py
+++ b/umbermoor/gateway/replication/replica_set.py
@@ -60,10 +60,13 @@
         True
         """
         return all(
-            sum(name in who for name, _ in seats) >= majority(seats)
-            for seats in (self.old, self.new)
+            sum(name in who for name, _ in seats) >= majority(seats) for seats in self._sets()
         )
 
+    def _sets(self) -> tuple[tuple[Seat, ...], ...]:
+        """The sets of which a majority each is needed; the same one is not counted twice."""
+        return (self.old, self.new) if self.is_joint else (self.new,)
+
     def blocks(self, who: Collection[str]) -> bool:
         """Whether every majority, of either set, has one of them.
 
--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -540,7 +540,7 @@
 
     def head(self) -> str:
         """The member where puts enter, as far as it is known here."""
-        return next(iter(self.member.status().chain), "")
+        return self.member.head_name
 
     def save(self, now: int) -> None:
         """Keeps the list of machines, so that a restart of all members begins with them. Lost, it
