--- a/benchmarks/capacity/taker.py
+++ b/benchmarks/capacity/taker.py
@@ -10,7 +10,7 @@
 
 from benchmarks.capacity.measures import PERIOD
 from umbermoor.gateway.discovery.registry import InstanceRegistry, record_from_heartbeat
-from umbermoor.gateway.server.client_connection import answer_bytes
+from umbermoor.gateway.server.http_messages import response_bytes
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Reader, Request
 
@@ -30,9 +30,9 @@
                     asked.target.rpartition("/")[2], json.loads(asked.body)
                 )
                 REGISTRY.take(round(time.monotonic() * 1e6), entry)
-                self.transport.write(answer_bytes(200, b"", {}, 15))
+                self.transport.write(response_bytes(200, b"", {}, 15))
             else:
-                self.transport.write(answer_bytes(200, b"", {}, 15))
+                self.transport.write(response_bytes(200, b"", {}, 15))
 
 
 async def main(ip: str, port: int) -> None:
