--- a/umbermoor/__main__.py
+++ b/umbermoor/__main__.py
@@ -34,7 +34,7 @@
 
 from umbermoor import VERSION
 from umbermoor.front.configuration import ConfigurationError, read_configuration
-from umbermoor.logs import start_log
+from umbermoor.logs import configure_logging
 
 EXTRAS = {
     "lab": "umbermoor.lab.command",
@@ -84,7 +84,7 @@
         return 0
     from umbermoor.front.server.service import serve  # only here: the others need no reactor
 
-    start_log(given["--log"], house.logs.form if house else "pairs")
+    configure_logging(given["--log"], house.logs.form if house else "pairs")
     return serve(station, read, house)
 
 
--- a/umbermoor/front/http2/session.py
+++ b/umbermoor/front/http2/session.py
@@ -20,11 +20,11 @@
 
 from umbermoor.front.http2.frames import END_HEADERS, Goaway, Kind, Splitter, Wrong
 from umbermoor.front.http2.stream_outcomes import End, Failed, Stand
-from umbermoor.http1.buffers import BODY_MOST, Buffers, Run
+from umbermoor.http1.buffers import MAX_BODY_BYTES, Buffers, ByteQueue
 from umbermoor.http1.reader import Response
 
 NO_LAST = 0x7FFFFFFF  # a GOAWAY with this only says that the end is near
-STREAM_WINDOW = BODY_MOST  # an answer fits: no stream waits for us
+STREAM_WINDOW = MAX_BODY_BYTES  # an answer fits: no stream waits for us
 CONNECTION_WINDOW = 1 << 20  # so that one slow body does not stall the others
 ASSUMED_STREAMS = 100  # until the peer says how many; RFC 9113 asks for no less
 LAST_STREAM = (1 << 31) - 1
@@ -67,7 +67,7 @@
     def __init__(self, call: Call, buffers: Buffers) -> None:
         self.call, self.rest = call, call.body
         self.status, self.headers = 0, {}
-        self.run = Run(buffers)
+        self.run = ByteQueue(buffers)
         self.interim = 0
         self.closed = False  # on our side: END_STREAM was handed on
 
@@ -297,7 +297,7 @@
                 call.stand = (
                     max(call.stand, Stand.ANSWERING) if call.stand >= Stand.WHOLE else call.stand
                 )
-                if stream.run.size + len(event.data) > BODY_MOST or not stream.run.add(
+                if stream.run.size + len(event.data) > MAX_BODY_BYTES or not stream.run.append(
                     memoryview(event.data)
                 ):
                     self._spoilt(number)
@@ -324,7 +324,7 @@
         stream.status, stream.headers = int(status), headers
 
     def _answered(self, number: int, stream: _Stream) -> None:
-        call, body = stream.call, stream.run.part(0, stream.run.size)
+        call, body = stream.call, stream.run.copy(0, stream.run.size)
         whole = stream.closed and call.stand >= Stand.WHOLE
         length = stream.headers.get("content-length")
         if not whole or not stream.status or (length is not None and length != str(len(body))):
@@ -349,7 +349,7 @@
 
     def _forget(self, number: int) -> None:
         stream = self._streams.pop(number)
-        stream.run.drop(stream.run.size)
+        stream.run.discard(stream.run.size)
         if self._written is stream:
             self._written = None
 
--- a/umbermoor/front/server/admin_endpoint.py
+++ b/umbermoor/front/server/admin_endpoint.py
@@ -47,9 +47,9 @@
                 return
             said = self._door.answer(read)
             self.transport.write(
-                write_response(said.status, said.body, read.keep, {"Content-Type": said.kind})
+                write_response(said.status, said.body, read.keep_alive, {"Content-Type": said.kind})
             )
-            if not read.keep:
+            if not read.keep_alive:
                 self.transport.loseConnection()
                 return
             self._wait()
--- a/umbermoor/front/server/clients.py
+++ b/umbermoor/front/server/clients.py
@@ -212,7 +212,7 @@
         return (
             self._working is None
             and not self._waiting
-            and not self._reader.midway
+            and not self._reader.mid_message
             and not self._closing
         )
 
@@ -290,7 +290,7 @@
         while self._waiting and self._working is None and not (self._closing or self._full):
             read, came = self._waiting.popleft()
             if isinstance(read, Fault):
-                note(log, "bad request", logging.DEBUG, status=read.status, why=read.text)
+                note(log, "bad request", logging.DEBUG, status=read.status, why=read.reason)
                 self._answer(Answer(read.status), False)
                 continue
             if not self._counted:  # over the budget: nothing is taken
@@ -301,13 +301,13 @@
                 continue
             found = self._clients.read(read, came)
             if isinstance(found, Answer):
-                self._answer(found, read.keep)
+                self._answer(found, read.keep_alive)
                 continue
             if not self._clients.admits():
-                self._answer(Answer(503, headers={"Retry-After": "1"}), read.keep)
+                self._answer(Answer(503, headers={"Retry-After": "1"}), read.keep_alive)
                 continue
             self._working = working = self._clients.ask(found)
-            working.addCallbacks(self._answered, self._faulted, callbackArgs=(read.keep,))
+            working.addCallbacks(self._answered, self._faulted, callbackArgs=(read.keep_alive,))
 
     def _answered(self, answer: Answer, keep: bool) -> None:
         self._working = None
@@ -350,7 +350,7 @@
         self._timer = self._clients.reactor.callLater(LINGER, self.transport.abortConnection)
 
     def _await_rest(self) -> None:
-        if self._timer is None and self._reader.midway and self._working is None:
+        if self._timer is None and self._reader.mid_message and self._working is None:
             self._timer = self._clients.reactor.callLater(READ_WITHIN, self._too_slow)
 
     def _too_slow(self, looked: bool = False) -> None:
@@ -360,7 +360,7 @@
                 self.unread and not looked
             ):  # threat: after a long turn its time is up before what came is read
                 self._timer = self._clients.reactor.callLater(READ_LEAST, self._too_slow, True)
-            elif self._reader.midway:
+            elif self._reader.mid_message:
                 self._answer(Answer(408), False)
             else:
                 self.close()
--- a/umbermoor/front/server/connections.py
+++ b/umbermoor/front/server/connections.py
@@ -13,7 +13,7 @@
 
 from umbermoor.front.server.outcomes import Cause, Failed, Outcome, Progress
 from umbermoor.http1.buffers import Buffers
-from umbermoor.http1.reader import Fault, Piece, Reader
+from umbermoor.http1.reader import BodyPart, Fault, Reader
 from umbermoor.logs import note_failure
 
 log = logging.getLogger(__name__)
@@ -27,7 +27,7 @@
     is known."""
 
     def __init__(self, buffers: Buffers, piece: Callable[[bytes], None] | None = None) -> None:
-        self._reader = Reader(buffers, responses=True, as_pieces=piece is not None)
+        self._reader = Reader(buffers, responses=True, stream_body=piece is not None)
         self._piece = piece
         self._answer: Deferred[Outcome] | None = None
         self._rest = b""
@@ -39,7 +39,7 @@
     @property
     def clean(self) -> bool:
         """Fit for another request."""
-        return self.open and self._answer is None and not self._reader.midway
+        return self.open and self._answer is None and not self._reader.mid_message
 
     def connectionMade(self) -> None:
         self.open = True
@@ -73,7 +73,7 @@
         if not early:
             self.progress = Progress.ANSWERING
         reads = self._reader.feed(data)
-        while reads and isinstance(reads[0], Piece):
+        while reads and isinstance(reads[0], BodyPart):
             self._piece(reads.pop(0).data)
         if not reads:
             return
@@ -83,7 +83,7 @@
             return
         # Threat: what comes behind an answer taken for that to the next request, which goes out
         # while this one settles.
-        if behind or self._reader.midway or not read.keep:
+        if behind or self._reader.mid_message or not read.keep_alive:
             self.close()
         self._settle(read)
 
--- a/umbermoor/gateway/local/machines.py
+++ b/umbermoor/gateway/local/machines.py
@@ -268,11 +268,11 @@
         while self.row:
             request = self.row.popleft()
             if isinstance(request, Fault):
-                self.transport.write(write_response(request.status, keep=False))
+                self.transport.write(write_response(request.status, keep_alive=False))
                 self.transport.close()
                 return
             answer = await self.machine.answer(request)
-            keep = request.keep and not self.machine.leaving
+            keep = request.keep_alive and not self.machine.leaving
             headers = dict(answer.headers) | {"X-Load-Level": self.machine.load()}
             if id := request.headers.get("x-attempt-id"):
                 headers["X-Attempt-Id"] = id
--- a/umbermoor/gateway/local/traffic.py
+++ b/umbermoor/gateway/local/traffic.py
@@ -44,7 +44,7 @@
                     found = reader.feed(data)
             answer = found[0]
             counts["garbled" if isinstance(answer, Fault) else str(answer.status)] += 1
-            if not isinstance(answer, Response) or not answer.keep:
+            if not isinstance(answer, Response) or not answer.keep_alive:
                 line = _close(line)
         except (OSError, TimeoutError) as error:
             counts[type(error).__name__] += 1
--- a/umbermoor/gateway/server/client_connection.py
+++ b/umbermoor/gateway/server/client_connection.py
@@ -132,7 +132,9 @@
         self.clients = clients
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until it is made
         self.reader = Reader(
-            clients.buffers, body_most=clients.max_body_bytes, single=SINGLE_VALUE_HEADERS
+            clients.buffers,
+            max_body_bytes=clients.max_body_bytes,
+            single_value_headers=SINGLE_VALUE_HEADERS,
         )
         self.pending: list[PendingRequest] = []  # oldest first
         self.closing = False  # nothing more is read of it
@@ -163,7 +165,7 @@
             return
         self.last_activity = self.clients.clock()
         found: list[Request | Fault] = self.reader.feed(data)  # type: ignore[assignment]
-        if not self.reader.midway:
+        if not self.reader.mid_message:
             self.request_began_at = None
         elif found or self.request_began_at is None:
             self.request_began_at = self.last_activity
@@ -173,7 +175,7 @@
                 self.closing = self.lingers = True
                 break
             self.pending.append(PendingRequest(message))
-            if not message.keep:
+            if not message.keep_alive:
                 self.closing = True
                 break
         self._start_requests()
@@ -252,7 +254,7 @@
             self.transport.resume_reading()
         if responses:
             self._start_requests()
-        if not self.pending and self.reader.expects:
+        if not self.pending and self.reader.awaits_continue:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _next_response(self) -> bytes:
@@ -304,7 +306,7 @@
 
     def is_idle(self) -> bool:
         """Whether no request is under way, and its end is not sent yet."""
-        return not self.pending and not self.reader.midway and not self.end_sent
+        return not self.pending and not self.reader.mid_message and not self.end_sent
 
     def sweep(self, now: float, header_timeout_s: float, idle_timeout_s: float) -> None:
         """Closes it where it is idle, or slow to send its request or to read its response."""
--- a/umbermoor/gateway/server/connections.py
+++ b/umbermoor/gateway/server/connections.py
@@ -140,7 +140,10 @@
         self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until it is made
         self.attempt: Attempt | None = None
         self.reader = Reader(
-            pool.buffers, responses=True, body_most=MAX_BODY_BYTES, single=SINGLE_VALUE_HEADERS
+            pool.buffers,
+            responses=True,
+            max_body_bytes=MAX_BODY_BYTES,
+            single_value_headers=SINGLE_VALUE_HEADERS,
         )
         self.idle_since = 0.0
         self.idle_timeout_s = IDLE_TIMEOUT_S
@@ -159,7 +162,7 @@
             return AttemptStage.IDLE
         if self.transport.get_write_buffer_size():
             return AttemptStage.WRITING
-        return AttemptStage.READING if self.reader.midway else AttemptStage.WRITTEN
+        return AttemptStage.READING if self.reader.mid_message else AttemptStage.WRITTEN
 
     def send(self, attempt: Attempt) -> None:
         """Writes an attempt's request."""
@@ -184,7 +187,7 @@
                 self.handle(ConnectionEvent.MALFORMED)
                 return
             event = classify(message.status, message.headers, attempt.id, len(self.recent_ids) == 1)
-            self.handle(event, message, position < len(found) or self.reader.midway)
+            self.handle(event, message, position < len(found) or self.reader.mid_message)
 
     def handle(
         self, event: ConnectionEvent, response: Response | None = None, surplus: bool = False
@@ -207,7 +210,7 @@
             action is ConnectionAction.KEEP
             and response is not None
             and attempt is not None
-            and is_reusable(response.keep, self.tainted, surplus, attempt.bodiless)
+            and is_reusable(response.keep_alive, self.tainted, surplus, attempt.bodiless)
             and self.pool.may_keep(self)
         ):
             self._become_idle(response.headers.get("keep-alive", ""))
--- a/umbermoor/gateway/server/http_messages.py
+++ b/umbermoor/gateway/server/http_messages.py
@@ -4,7 +4,7 @@
 """
 
 from umbermoor.http1.reader import Request
-from umbermoor.http1.writer import REASONS
+from umbermoor.http1.writer import REASON_PHRASES
 
 HOP_BY_HOP_HEADERS = frozenset(
     (
@@ -40,7 +40,7 @@
         keep_alive_s: For how many seconds the connection may stay idle; 0 closes it.
         bodiless: Whether it is the response to a HEAD.
     """
-    lines = [f"HTTP/1.1 {status} {REASONS.get(status, '')}"]
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, '')}"]
     lines += [
         f"{name}: {value}" for name, value in headers.items() if name not in HOP_BY_HOP_HEADERS
     ]
--- a/umbermoor/gateway/server/readiness.py
+++ b/umbermoor/gateway/server/readiness.py
@@ -38,11 +38,13 @@
         found: list[Request | Fault] = self.reader.feed(data)  # type: ignore[assignment]
         for message in found:
             if isinstance(message, Fault):
-                self.transport.write(write_response(message.status, keep=False))
+                self.transport.write(write_response(message.status, keep_alive=False))
                 self.transport.close()
                 return
-            self.transport.write(write_response(self._status(message.target), keep=message.keep))
-            if not message.keep:
+            self.transport.write(
+                write_response(self._status(message.target), keep_alive=message.keep_alive)
+            )
+            if not message.keep_alive:
                 self.transport.close()
 
     def _status(self, target: str) -> int:
--- a/umbermoor/http1/buffers.py
+++ b/umbermoor/http1/buffers.py
@@ -1,85 +1,103 @@
-"""Buffers of one small size, used again, and runs of bytes that lie in them. All that is partly
-read lies here."""
+"""Receive buffers: a bounded pool of fixed-size buffers, and a byte queue that lies in them.
 
-HEAD_MOST = 16 * 1024
-BODY_MOST = 64 * 1024
-MESSAGE_MOST = HEAD_MOST + BODY_MOST + 16 * 1024  # the rest is room for the framing of chunks
-SIZE = 4 * 1024  # of a buffer: a usual message fits into one
-SHARE = 8  # the part of the memory, one in so many, that may lie in buffers
-KEPT = 256  # free buffers kept for later
+All bytes received of messages that are not complete yet are held here, so that the memory they may
+take has one limit for all connections together.
+"""
+
+MAX_HEAD_BYTES = 16 * 1024  # start line and header fields
+MAX_BODY_BYTES = 64 * 1024
+CHUNK_FRAMING_BYTES = 16 * 1024  # chunk sizes, extensions and trailer fields of one message
+MAX_MESSAGE_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES + CHUNK_FRAMING_BYTES
+BUFFER_BYTES = 4 * 1024  # a usual message fits into one buffer
+BUFFERS_MEMORY_DIVISOR = 8  # buffers may take one part in so many of the process's memory
+MAX_FREE_BUFFERS = 256  # kept for use again, the others are left to the garbage collector
 
 
 class Buffers:
+    """A pool of buffers of `BUFFER_BYTES` bytes, limited by the memory of the process.
+
+    Args:
+        memory: memory the process may use, in bytes.
+    """
+
     def __init__(self, memory: int) -> None:
-        self.free: list[bytearray] = []
-        self.out = 0
+        self.in_use = 0
+        self._free: list[bytearray] = []
         self.resize(memory)
 
     def resize(self, memory: int) -> None:
-        self.most = memory // SHARE // SIZE
+        """Set the limit anew for `memory` bytes; buffers in use above it stay in use."""
+        self._max_in_use = memory // BUFFERS_MEMORY_DIVISOR // BUFFER_BYTES
+
+    def acquire(self) -> bytearray | None:
+        """Return a buffer, or None at the limit.
 
-    def take(self) -> bytearray | None:
-        """Threat: many messages begun at once, and never ended. None: as many are out as memory
-        allows."""
-        if self.out >= self.most:
+        The limit holds against clients that begin many messages at once and never end them.
+        """
+        if self.in_use >= self._max_in_use:
             return None
-        self.out += 1
-        return self.free.pop() if self.free else bytearray(SIZE)
+        self.in_use += 1
+        return self._free.pop() if self._free else bytearray(BUFFER_BYTES)
 
-    def give(self, buffer: bytearray) -> None:
-        self.out -= 1
-        if len(self.free) < KEPT:
-            self.free.append(buffer)
+    def release(self, buffer: bytearray) -> None:
+        """Give a buffer back to the pool."""
+        self.in_use -= 1
+        if len(self._free) < MAX_FREE_BUFFERS:
+            self._free.append(buffer)
 
 
-class Run:
-    """The bytes of a stream that are held: those that are not understood yet."""
+class ByteQueue:
+    """The received bytes of a stream that are not consumed yet, in buffers of a pool."""
 
     def __init__(self, buffers: Buffers) -> None:
-        self._buffers = buffers
-        self._held: list[bytearray] = []
-        self._start = 0  # of the run, in the first buffer
-        self.size = 0
+        self.size = 0  # bytes
+        self._pool = buffers
+        self._buffers: list[bytearray] = []
+        self._start = 0  # offset of the first byte in the first buffer
 
-    def add(self, data: memoryview) -> bool:
-        """Whether there was room for it."""
+    def append(self, data: memoryview) -> bool:
+        """Copy `data` to the end; False if the pool ran out of buffers on the way."""
         while data:
-            place = (self._start + self.size) % SIZE
-            if self._start + self.size == len(self._held) * SIZE:
-                buffer = self._buffers.take()
+            offset = (self._start + self.size) % BUFFER_BYTES
+            if self._start + self.size == len(self._buffers) * BUFFER_BYTES:
+                buffer = self._pool.acquire()
                 if buffer is None:
                     return False
-                self._held.append(buffer)
-            part = data[: SIZE - place]
-            self._held[-1][place : place + len(part)] = part
+                self._buffers.append(buffer)
+            part = data[: BUFFER_BYTES - offset]
+            self._buffers[-1][offset : offset + len(part)] = part
             self.size += len(part)
             data = data[len(part) :]
         return True
 
-    def part(self, start: int, end: int) -> bytes:
+    def copy(self, start: int, end: int) -> bytes:
+        """Return the bytes from offset `start` up to `end`, fewer if the queue ends before."""
         start, end = start + self._start, min(end, self.size) + self._start
         if start >= end:
             return b""
-        first, last = start // SIZE, (end - 1) // SIZE
+        first, last = start // BUFFER_BYTES, (end - 1) // BUFFER_BYTES
         if first == last:
-            return bytes(self._held[first][start - first * SIZE : end - first * SIZE])
+            return bytes(
+                self._buffers[first][start - first * BUFFER_BYTES : end - first * BUFFER_BYTES]
+            )
         return b"".join(
             [
-                self._held[first][start - first * SIZE :],
-                *self._held[first + 1 : last],
-                self._held[last][: end - last * SIZE],
+                self._buffers[first][start - first * BUFFER_BYTES :],
+                *self._buffers[first + 1 : last],
+                self._buffers[last][: end - last * BUFFER_BYTES],
             ]
         )
 
-    def find(self, mark: bytes, start: int, end: int) -> int:
-        at = self.part(start, end).find(mark)
-        return at if at < 0 else at + start
+    def find(self, separator: bytes, start: int, end: int) -> int:
+        """Return the offset of `separator` between `start` and `end`, or -1."""
+        offset = self.copy(start, end).find(separator)
+        return offset if offset < 0 else offset + start
 
-    def drop(self, count: int) -> None:
-        """Forgets the first ones, and gives back what held nothing else."""
+    def discard(self, count: int) -> None:
+        """Remove the first `count` bytes, and release the buffers that held nothing else."""
         self._start, self.size = self._start + count, self.size - count
-        while self._held and (self._start >= SIZE or not self.size):
-            self._buffers.give(self._held.pop(0))
-            self._start = max(0, self._start - SIZE)
+        while self._buffers and (self._start >= BUFFER_BYTES or not self.size):
+            self._pool.release(self._buffers.pop(0))
+            self._start = max(0, self._start - BUFFER_BYTES)
         if not self.size:
             self._start = 0
--- a/umbermoor/http1/reader.py
+++ b/umbermoor/http1/reader.py
@@ -1,192 +1,270 @@
-"""Cuts requests or responses out of the bytes of a connection. What is wrong with them is a value,
-never raised."""
+"""Incremental parser of HTTP/1.1 messages (RFC 9112; semantics: RFC 9110).
+
+`Reader.feed` takes the bytes of a connection as they arrive and returns the messages that they
+complete. Malformed input is a returned `Fault`, never an exception.
+"""
 
 import re
 from enum import Enum, auto
 from typing import NamedTuple
 
-from umbermoor.http1.buffers import BODY_MOST, HEAD_MOST, MESSAGE_MOST, Buffers, Run
+from umbermoor.http1.buffers import (
+    MAX_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_MESSAGE_BYTES,
+    Buffers,
+    ByteQueue,
+)
+
+MAX_CHUNK_LINE_BYTES = 1024  # chunk size with its extensions, or one trailer field
+MAX_LENGTH_DIGITS = 9  # of a Content-Length; bounds the conversion to int
 
 _TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-_REQUEST = re.compile(rf"({_TOKEN.pattern}) ([!-~]+) HTTP/1\.([01])")
-_RESPONSE = re.compile(r"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\r\n]*)?")
-_EMPTY = re.compile(rb"(?:\r\n)+")
-LINE_MOST = 1024  # of the framing of chunks
-_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;.*)?")
-_TRAILER = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+:.*")
-_INNER = re.compile(rb"HTTP/1\.[01] [1-5][0-9][0-9]")
-_CONTROLS = bytes({*range(32), 127} - {*b"\t\r\n"})  # in no line of a message
+_REQUEST_LINE = re.compile(rf"({_TOKEN.pattern}) ([!-~]+) HTTP/1\.([01])")
+_STATUS_LINE = re.compile(r"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\r\n]*)?")
+_EMPTY_LINES = re.compile(rb"(?:\r\n)+")
+_CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;.*)?")
+_TRAILER_FIELD = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+:.*")
+_EMBEDDED_STATUS_LINE = re.compile(rb"HTTP/1\.[01] [1-5][0-9][0-9]")
+_CONTROL_CHARACTERS = bytes({*range(32), 127} - {*b"\t\r\n"})  # allowed in no line of a message
 
 
 class Fault(NamedTuple):
-    """The stream cannot be read on from here."""
+    """The stream is malformed or over a limit, and can't be read on from here."""
 
-    status: int  # what a server answers to it
-    text: str
+    status: int  # status code a server answers with
+    reason: str  # for logs
 
 
 class Request(NamedTuple):
+    """A complete request."""
+
     method: str
     target: str
-    headers: dict[str, str]
+    headers: dict[str, str]  # by lower-case name; repeated fields joined with ", "
     body: bytes
-    keep: bool  # the connection may carry another
+    keep_alive: bool  # the connection may carry another request
 
 
 class Response(NamedTuple):
+    """A complete final response."""
+
     status: int
-    headers: dict[str, str]
+    headers: dict[str, str]  # by lower-case name; repeated fields joined with ", "
     body: bytes
-    keep: bool
+    keep_alive: bool  # the connection may carry another request
 
 
-class Piece(NamedTuple):
-    """Part of the body of a response that is read as it comes."""
+class BodyPart(NamedTuple):
+    """Part of the body of a response that is read as it arrives."""
 
     data: bytes
 
 
-class _Body(Enum):
-    LENGTH = auto()
+class _Framing(Enum):
+    """How the length of a body is found (RFC 9112, section 6.3)."""
+
+    CONTENT_LENGTH = auto()
     CHUNKED = auto()
     UNTIL_CLOSE = auto()
 
 
-Read = Request | Response | Piece | Fault
+Message = Request | Response
+ReadResult = Request | Response | BodyPart | Fault
+
+# Status (0 in a request), method and target (empty in a response), headers, keep_alive. A plain
+# tuple: one is made for each message on the hot path, and no other module sees it.
+_Head = tuple[int, str, str, dict[str, str], bool]
 
 
 class Reader:
-    """Holds buffers only while a message is partly read."""
+    """Parser of one direction of one connection; holds buffers only while a message is partly read.
+
+    Args:
+        buffers: pool that the received bytes are held in.
+        responses: whether responses are read; requests otherwise.
+        stream_body: whether the bodies of 200 responses are returned as they arrive, as `BodyPart`;
+            bodies of errors stay whole, so that none is taken for content of the stream.
+        max_body_bytes: limit of a body.
+        single_value_headers: fields (lower-case) that may occur once. If given, the reader is
+            strict: whatever another HTTP implementation might read differently is refused, against
+            request smuggling (RFC 9112, section 11.2). If None it reads as the front in service
+            always did.
+    """
 
     def __init__(
         self,
         buffers: Buffers,
         responses: bool = False,
-        as_pieces: bool = False,
-        body_most: int = BODY_MOST,
-        single: frozenset[str] | None = None,
+        stream_body: bool = False,
+        max_body_bytes: int = MAX_BODY_BYTES,
+        single_value_headers: frozenset[str] | None = None,
     ) -> None:
-        """single: headers that may stand once. Where they are given, all is refused that another
-        reader might read in another way; None reads as the front in service always did."""
-        self._strict, self._single = single is not None, single or frozenset()
-        self._run, self._responses, self._as_pieces = Run(buffers), responses, as_pieces
-        self._body_most, self._most = body_most, MESSAGE_MOST - BODY_MOST + body_most
-        self.bodiless = False  # the next response answers a HEAD
-        self._at = 0  # bytes held that are understood, or seen not to end a head
-        self._dead = False
+        self.bodiless = False  # the next response answers a HEAD request
+        self._responses, self._stream_body = responses, stream_body
+        self._max_body_bytes = max_body_bytes
+        self._max_message_bytes = MAX_MESSAGE_BYTES - MAX_BODY_BYTES + max_body_bytes
+        self._strict = single_value_headers is not None
+        self._single_value_headers = single_value_headers or frozenset()
+        self._received = ByteQueue(buffers)
+        self._scanned = 0  # received bytes that are parsed, or known not to end a head
+        self._failed = False
         self._clear()
 
     def _clear(self) -> None:
-        self._head: tuple | None = None
-        self._framing, self._length, self._trailers = _Body.LENGTH, 0, False
-        self._chunks: list[tuple[int, int]] = []  # where they lie
-        self._size = 0
+        """Forget the current message."""
+        self._head: _Head | None = None
+        self._framing, self._content_length = _Framing.CONTENT_LENGTH, 0
+        self._chunks: list[tuple[int, int]] = []  # start and end of each in the received bytes
+        self._chunked_bytes = 0
+        self._in_trailers = False
 
     @property
-    def midway(self) -> bool:
-        return self._head is not None or self._run.size > 0
+    def mid_message(self) -> bool:
+        """Whether a message has begun to arrive and is not complete."""
+        return self._head is not None or self._received.size > 0
 
     @property
-    def expects(self) -> bool:
-        """A head is read that wants to hear 100 before its body is sent, of which nothing is
-        here."""
+    def awaits_continue(self) -> bool:
+        """Whether the client waits for 100 (Continue) and has sent none of the body yet."""
         return (
             self._head is not None
-            and not self._run.size
-            and self._head[1].get("expect", "").lower() == "100-continue"
+            and not self._received.size
+            and self._head[3].get("expect", "").lower() == "100-continue"
         )
 
     @property
-    def _streamed(self) -> bool:
-        """Threat: the text of an error read as what a stream tells."""
-        return self._as_pieces and self._head is not None and self._head[0] == 200
+    def _is_streamed(self) -> bool:
+        return self._stream_body and self._head is not None and self._head[0] == 200
+
+    def feed(self, data: bytes) -> list[ReadResult]:
+        """Take bytes of the stream; return what they complete, a `Fault` last if there is one.
 
-    def feed(self, data: bytes) -> list[Read]:
-        found: list[Read] = []
+        After a fault everything is ignored.
+        """
+        found: list[ReadResult] = []
         rest = memoryview(data)
-        while rest and not self._dead:
-            part, rest = rest[: self._most - self._run.size], rest[self._most - self._run.size :]
+        while rest and not self._failed:
+            room = self._max_message_bytes - self._received.size
+            part, rest = rest[:room], rest[room:]
             fault = (
-                self._parse(found) if self._run.add(part) else Fault(503, "no memory left for it")
+                self._parse(found)
+                if self._received.append(part)
+                else Fault(503, "no memory left for it")
             )
-            if fault is None and self._run.size == self._most:
+            if fault is None and self._received.size == self._max_message_bytes:
                 fault = Fault(413, "message too large")
             if fault is not None:
                 found.append(fault)
-                self._dead = True
-        if self._dead:
+                self._failed = True
+        if self._failed:
             self.drop()
         return found
 
-    def end(self) -> Read | None:
-        """The stream has ended: a message that it completes, or cuts short."""
-        if self._head is not None and self._framing is _Body.UNTIL_CLOSE and not self._streamed:
-            return self._message(self._run.part(0, self._run.size))
-        return Fault(400, "cut short") if self.midway and not self._dead else None
+    def end(self) -> Message | Fault | None:
+        """Return what the end of the stream completes: a response, or a fault if cut short."""
+        head = self._head
+        if head and self._framing is _Framing.UNTIL_CLOSE and not self._is_streamed:
+            return self._complete(head, self._received.copy(0, self._received.size))
+        return Fault(400, "cut short") if self.mid_message and not self._failed else None
 
     def drop(self) -> None:
-        """Gives the buffers back; for when the connection is gone too."""
-        self._consume(self._run.size)
+        """Discard what is held and release its buffers; also to be called on a lost connection."""
+        self._consume(self._received.size)
+
+    def _consume(self, count: int) -> None:
+        self._received.discard(count)
+        self._scanned = 0
 
-    def _parse(self, found: list[Read]) -> Fault | None:
-        while self._run.size or self._head is not None:
+    def _parse(self, found: list[ReadResult]) -> Fault | None:
+        """Append to `found` the messages that the received bytes complete."""
+        while self._received.size or self._head is not None:
             if self._head is None:
                 fault = self._read_head()
-                if fault is not None or self._head is None:
+                if fault is not None:
                     return fault
+            head = self._head
+            if head is None:
+                return None
             body = self._read_body(found)
             if not isinstance(body, bytes):
                 return body
-            message = self._message(body)
-            if isinstance(message, Response) and message.status < 200:
-                continue  # an interim answer
-            found.append(message)
+            message = self._complete(head, body)
+            if not isinstance(message, Response) or message.status >= 200:  # else: interim
+                found.append(message)
         return None
 
-    def _consume(self, count: int) -> None:
-        self._run.drop(count)
-        self._at = 0
-
-    def _message(self, body: bytes) -> Read:
-        first, headers, keep = self._head
-        keep = keep and self._framing is not _Body.UNTIL_CLOSE
+    def _complete(self, head: _Head, body: bytes) -> Message:
+        status, method, target, headers, keep_alive = head
+        keep_alive = keep_alive and self._framing is not _Framing.UNTIL_CLOSE
         self._clear()
-        return (
-            Response(first, headers, body, keep)
-            if self._responses
-            else Request(*first, headers, body, keep)
-        )
+        if self._responses:
+            return Response(status, headers, body, keep_alive)
+        return Request(method, target, headers, body, keep_alive)
 
     def _read_head(self) -> Fault | None:
-        held = (
-            self._run.part(0, HEAD_MOST) if not self._at else b""
-        )  # all in one piece, where none of it was looked at
-        while (
-            held[:2] == b"\r\n" and not self._responses
-        ):  # an empty line before a request is allowed
-            self._consume(_EMPTY.match(held).end())
-            held = self._run.part(0, HEAD_MOST)
-        end = held.find(b"\r\n\r\n") if held else self._run.find(b"\r\n\r\n", self._at, HEAD_MOST)
+        """Set `_head` once all of it is received."""
+        # Scanned bytes are not copied again but for the last three, as a separator may be cut.
+        data = self._received.copy(0, MAX_HEAD_BYTES) if not self._scanned else b""
+        while data[:2] == b"\r\n" and not self._responses:
+            # A server ignores empty lines before a request line (RFC 9112, section 2.2).
+            empty_lines = _EMPTY_LINES.match(data)
+            self._consume(empty_lines.end() if empty_lines else 0)
+            data = self._received.copy(0, MAX_HEAD_BYTES)
+        if data:
+            end = data.find(b"\r\n\r\n")
+        else:
+            end = self._received.find(b"\r\n\r\n", self._scanned, MAX_HEAD_BYTES)
         if end < 0:
-            self._at = max(0, self._run.size - 3)
-            return Fault(431, "head too large") if self._run.size >= HEAD_MOST else None
-        head = held[:end] if held else self._run.part(0, end)
-        if self._strict and len(head.translate(None, _CONTROLS)) != len(head):
-            return Fault(400, "control characters")
-        if (
-            self._strict
-            and self._responses
-            and head.find(b"HTTP/1.", 1) > 0
-            and _INNER.search(head, 1)
-        ):
-            return Fault(400, "an answer within a head")  # threat: one behind a part of another
-        first, *lines = head.decode("latin-1").split("\r\n")
-        line = (_RESPONSE if self._responses else _REQUEST).fullmatch(first)
-        if line is None:
+            self._scanned = max(0, self._received.size - 3)
+            too_large = self._received.size >= MAX_HEAD_BYTES
+            return Fault(431, "head too large") if too_large else None
+        fault = self._parse_head(data[:end] if data else self._received.copy(0, end))
+        if fault is None:
+            self._received.discard(end + 4)
+            self._scanned = 0
+        return fault
+
+    def _parse_head(self, head: bytes) -> Fault | None:
+        if self._strict:
+            if len(head.translate(None, _CONTROL_CHARACTERS)) != len(head):
+                return Fault(400, "control characters")
+            # A response that begins within another's head: the first one was cut short.
+            is_embedded = self._responses and head.find(b"HTTP/1.", 1) > 0
+            if is_embedded and _EMBEDDED_STATUS_LINE.search(head, 1):
+                return Fault(400, "an answer within a head")
+        start_line, *lines = head.decode("latin-1").split("\r\n")
+        match = (_STATUS_LINE if self._responses else _REQUEST_LINE).fullmatch(start_line)
+        if match is None:
             return Fault(400, "no such first line")
+        if self._responses:
+            minor_version, status, method, target = match[1], int(match[2]), "", ""
+        else:
+            minor_version, status, method, target = match[3], 0, match[1], match[2]
         headers: dict[str, str] = {}
-        for text in lines:
-            name, colon, value = text.partition(":")
+        fault = self._parse_fields(lines, headers) or self._frame(headers, status)
+        if fault is not None:
+            return fault
+        if self._strict:
+            if minor_version == "0":
+                headers.pop("expect", None)
+                if "transfer-encoding" in headers:
+                    return Fault(400, "chunks in HTTP/1.0")
+            if status == 101:  # no request asked for an upgrade
+                return Fault(400, "another protocol, and nobody asked for it")
+            if not self._responses and (method == "CONNECT" or "host" not in headers):
+                return Fault(400, "no host")
+        connection = headers.get("connection", "").lower()
+        keep_alive = "close" not in connection and (
+            minor_version == "1" or "keep-alive" in connection
+        )
+        self._head = (status, method, target, headers, keep_alive)
+        return None
+
+    def _parse_fields(self, lines: list[str], headers: dict[str, str]) -> Fault | None:
+        """Add the header fields of `lines` to `headers`."""
+        for line in lines:
+            name, colon, value = line.partition(":")
             if (
                 not colon
                 or not _TOKEN.fullmatch(name)
@@ -198,32 +276,16 @@
             name, value = name.lower(), value.strip(" \t")
             if name not in headers:
                 headers[name] = value
-            elif name in self._single:
+            elif name in self._single_value_headers:
                 return Fault(400, "a header stands twice")
             elif name != "content-length":
                 headers[name] = f"{headers[name]}, {value}"
             elif headers[name] != value:
                 return Fault(400, "two lengths")
-        fault = self._frame(headers, int(line[2]) if self._responses else 0)
-        if fault is not None:
-            return fault
-        asked = headers.get("connection", "").lower()
-        minor = line[1] if self._responses else line[3]
-        if self._strict:
-            if minor == "0":
-                headers.pop("expect", None)
-            if minor == "0" and "transfer-encoding" in headers:
-                return Fault(400, "chunks in HTTP/1.0")
-            if self._responses and line[2] == "101":
-                return Fault(400, "another protocol, and nobody asked for it")
-            if not self._responses and (line[1] == "CONNECT" or "host" not in headers):
-                return Fault(400, "no host")
-        keep = "close" not in asked and (minor == "1" or "keep-alive" in asked)
-        self._head = (int(line[2]) if self._responses else (line[1], line[2]), headers, keep)
-        self._consume(end + 4)
         return None
 
     def _frame(self, headers: dict[str, str], status: int) -> Fault | None:
+        """Find how the body's length is told (RFC 9112, section 6.3)."""
         length, coding = headers.get("content-length"), headers.get("transfer-encoding")
         if length is not None and coding is not None:
             return Fault(400, "both length and transfer coding")
@@ -231,69 +293,76 @@
             return Fault(501, "unknown transfer coding")
         if length is not None and not (length.isascii() and length.isdigit()):
             return Fault(400, "garbled length")
-        if length is not None and (len(length) > 9 or int(length) > self._body_most):
+        if length is not None and (
+            len(length) > MAX_LENGTH_DIGITS or int(length) > self._max_body_bytes
+        ):
             return Fault(413, "body too large")
         if self._responses and (status < 200 or status in (204, 304) or self.bodiless):
             return None  # whatever its headers say, it has no body
         if coding is not None:
-            self._framing = _Body.CHUNKED
+            self._framing = _Framing.CHUNKED
         elif length is not None:
-            self._length = int(length)
+            self._content_length = int(length)
         elif self._responses:
-            self._framing = _Body.UNTIL_CLOSE
+            self._framing = _Framing.UNTIL_CLOSE
         return None
 
-    def _read_body(self, found: list[Read]) -> bytes | Fault | None:
-        if self._framing is _Body.CHUNKED:
+    def _read_body(self, found: list[ReadResult]) -> bytes | Fault | None:
+        """Return the body once it is complete, None before."""
+        if self._framing is _Framing.CHUNKED:
             return self._read_chunks(found)
-        if self._framing is _Body.UNTIL_CLOSE:
-            if self._streamed and self._run.size:
-                found.append(Piece(self._run.part(0, self._run.size)))
-                self._consume(self._run.size)
-            return Fault(413, "body too large") if self._run.size > self._body_most else None
-        if self._run.size < self._length:
+        if self._framing is _Framing.UNTIL_CLOSE:
+            if self._is_streamed and self._received.size:
+                found.append(BodyPart(self._received.copy(0, self._received.size)))
+                self._consume(self._received.size)
+            too_large = self._received.size > self._max_body_bytes
+            return Fault(413, "body too large") if too_large else None
+        if not self._content_length:
+            return b""
+        if self._received.size < self._content_length:
             return None
-        body = self._run.part(0, self._length)
-        self._consume(self._length)
+        body = self._received.copy(0, self._content_length)
+        self._received.discard(self._content_length)
         return body
 
-    def _read_chunks(self, found: list[Read]) -> bytes | Fault | None:
+    def _read_chunks(self, found: list[ReadResult]) -> bytes | Fault | None:
+        """Return the body once its last chunk and trailers are received (RFC 9112, section 7.1)."""
         while True:
-            end = self._run.find(b"\r\n", self._at, self._at + LINE_MOST)
+            end = self._received.find(b"\r\n", self._scanned, self._scanned + MAX_CHUNK_LINE_BYTES)
             if end < 0:
-                return (
-                    Fault(400, "garbled chunk") if self._run.size - self._at >= LINE_MOST else None
-                )
-            line = self._run.part(self._at, end) if self._strict else b""
-            if b"\n" in line or b"\r" in line or line.translate(None, _CONTROLS) != line:
+                too_long = self._received.size - self._scanned >= MAX_CHUNK_LINE_BYTES
+                return Fault(400, "garbled chunk") if too_long else None
+            line = self._received.copy(self._scanned, end)
+            if self._strict and (
+                b"\n" in line or b"\r" in line or line.translate(None, _CONTROL_CHARACTERS) != line
+            ):
                 return Fault(400, "garbled chunk")
-            if self._trailers:  # passed over, up to an empty line
-                last = end == self._at
-                if line and not _TRAILER.fullmatch(line):
-                    return Fault(400, "garbled trailer")
-                self._at = end + 2
-                if last:
-                    body = b"".join(self._run.part(*chunk) for chunk in self._chunks)
-                    self._consume(self._at)
+            if self._in_trailers:  # ignored, up to an empty line
+                if not line:
+                    body = b"".join(self._received.copy(*chunk) for chunk in self._chunks)
+                    self._consume(end + 2)
                     return body
+                if self._strict and not _TRAILER_FIELD.fullmatch(line):
+                    return Fault(400, "garbled trailer")
+                self._scanned = end + 2
                 continue
-            size = _SIZE.fullmatch(self._run.part(self._at, end))
+            size = _CHUNK_SIZE.fullmatch(line)
             if size is None:
                 return Fault(400, "garbled chunk")
-            count = int(size[1], 16)
-            if self._size + count > self._body_most:
+            start, end = end + 2, end + 2 + int(size[1], 16)
+            if self._chunked_bytes + end - start > self._max_body_bytes:
                 return Fault(413, "body too large")
-            if not count:
-                self._trailers, self._at = True, end + 2
+            if start == end:  # the last chunk
+                self._in_trailers, self._scanned = True, start
                 continue
-            if self._run.size < end + 2 + count + 2:
+            if self._received.size < end + 2:
                 return None
-            if self._run.part(end + 2 + count, end + 4 + count) != b"\r\n":
+            if self._received.copy(end, end + 2) != b"\r\n":
                 return Fault(400, "garbled chunk")
-            if self._streamed:
-                found.append(Piece(self._run.part(end + 2, end + 2 + count)))
-                self._consume(end + 4 + count)
+            if self._is_streamed:
+                found.append(BodyPart(self._received.copy(start, end)))
+                self._consume(end + 2)
             else:
-                self._size += count
-                self._chunks.append((end + 2, end + 2 + count))
-                self._at = end + 4 + count
+                self._chunked_bytes += end - start
+                self._chunks.append((start, end))
+                self._scanned = end + 2
--- a/umbermoor/lab/sockets/callers.py
+++ b/umbermoor/lab/sockets/callers.py
@@ -107,7 +107,7 @@
             self.crowd.events.note("answered", self.query, kind.value)
         else:
             self.crowd.events.note("lost", self.query)
-        keep = response is not None and response.keep
+        keep = response is not None and response.keep_alive
         self._end(kind, wait, wrong, keep)
 
     def gave_up(self) -> None:
--- a/umbermoor/logs.py
+++ b/umbermoor/logs.py
@@ -1,102 +1,113 @@
-"""Log lines of key=value pairs: log.info("list", extra={"with_": {"machines": 12}})."""
+"""Logging of the front in service: an event and its key=value pairs, or the same as JSON lines.
+
+`note` and `note_failure` write; the pairs travel in the record's attribute `fields`:
+`log.info("list", extra={"fields": {"machines": 12}})`. `configure_logging` is called once by the
+process.
+"""
 
 import logging
 import sys
 from collections import Counter
 from typing import Any
 
+MAX_LINES_PER_SECOND = 40  # of one event
+_ESCAPES = str.maketrans({'"': '\\"', "\\": "\\\\", "\n": "\\n"})
+_NEEDS_QUOTES = frozenset(' "=')
+
+
+def _logger_name(record: logging.LogRecord) -> str:
+    return record.name.removeprefix("umbermoor.").removeprefix("front.")
+
+
+class KeyValueFormatter(logging.Formatter):
+    """Formats a record as one line of key=value pairs, values quoted where they need it."""
 
-class KeyValues(logging.Formatter):
     def format(self, record: logging.LogRecord) -> str:
+        """Return the line, without its end."""
         pairs: dict[str, Any] = {
             "at": f"{record.created:.3f}",
             "level": record.levelname.lower(),
-            "in": record.name.removeprefix("umbermoor.").removeprefix("front."),
+            "in": _logger_name(record),
             "what": record.getMessage(),
         }
-        pairs.update(getattr(record, "with_", {}))
+        pairs.update(getattr(record, "fields", {}))
         if record.exc_info:
             pairs["trace"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={_shown(value)}" for key, value in pairs.items())
+        return " ".join(f"{key}={_quoted(value)}" for key, value in pairs.items())
 
 
-class Sparing(logging.Filter):
-    """Threat: strangers who fill the log. So many lines a second with one text; the next second
-    tells what was left out."""
+class EventRateFilter(logging.Filter):
+    """Limits the lines of one event to `MAX_LINES_PER_SECOND`.
 
-    MOST = 40
+    Clients can cause events at any rate and would fill the log. The first line that passes in a
+    later second tells how many were left out (`left_out`).
+    """
 
     def __init__(self) -> None:
         super().__init__()
-        self._second, self._lines, self._left_out = 0, Counter[str](), Counter[str]()
+        self._second = 0
+        self._lines, self._left_out = Counter[str](), Counter[str]()
 
     def filter(self, record: logging.LogRecord) -> bool:
+        """Return whether the record is written."""
         if int(record.created) != self._second:
             self._second = int(record.created)
             self._lines.clear()
-        what = str(record.msg)
-        self._lines[what] += 1
-        if self._lines[what] > self.MOST:
-            self._left_out[what] += 1
+        event = str(record.msg)
+        self._lines[event] += 1
+        if self._lines[event] > MAX_LINES_PER_SECOND:
+            self._left_out[event] += 1
             return False
-        if left_out := self._left_out.pop(what, 0):
-            record.with_ = getattr(record, "with_", {}) | {"left_out": left_out}
+        if left_out := self._left_out.pop(event, 0):
+            fields: dict[str, Any] = getattr(record, "fields", {})
+            record.fields = fields | {"left_out": left_out}
         return True
 
 
-def _shown(value: Any) -> str:
+def _quoted(value: Any) -> str:
     text = str(value)
-    return (
-        text
-        if text and text.isprintable() and not set(' "=') & set(text)
-        else '"'
-        + "".join({'"': '\\"', "\\": "\\\\", "\n": "\\n"}.get(sign, sign) for sign in text)
-        + '"'
-    )
+    if text and text.isprintable() and _NEEDS_QUOTES.isdisjoint(text):
+        return text
+    return f'"{text.translate(_ESCAPES)}"'
 
 
-def _lines_of_json() -> logging.Formatter:
-    """The same pairs, a JSON object a line, by structlog; only where it is asked for."""
+def _json_formatter() -> logging.Formatter:
+    """Return a formatter of JSON lines; structlog is imported only where these are asked for."""
     import structlog
 
-    def pairs(_logger: Any, _name: str, event: dict[str, Any]) -> dict[str, Any]:
-        record = event["_record"]
-        given = {
+    def pairs(_logger: Any, _name: str, event: Any) -> dict[str, Any]:
+        record: logging.LogRecord = event["_record"]
+        found: dict[str, Any] = {
             "at": round(record.created, 3),
             "level": record.levelname.lower(),
-            "in": record.name.removeprefix("umbermoor.").removeprefix("front."),
+            "in": _logger_name(record),
             "what": record.getMessage(),
         }
-        return (
-            given
-            | {
-                key: value if isinstance(value, int | float | bool) else str(value)
-                for key, value in getattr(record, "with_", {}).items()
-            }
-            | (
-                {"trace": logging.Formatter().formatException(record.exc_info)}
-                if record.exc_info
-                else {}
-            )
-        )
+        for key, value in getattr(record, "fields", {}).items():
+            found[key] = value if isinstance(value, int | float | bool) else str(value)
+        if record.exc_info:
+            found["trace"] = logging.Formatter().formatException(record.exc_info)
+        return found
 
     return structlog.stdlib.ProcessorFormatter(
         processors=[pairs, structlog.processors.JSONRenderer()]
     )
 
 
-def start_log(level: str = "INFO", form: str = "pairs") -> None:
+def configure_logging(level: str = "INFO", form: str = "pairs") -> None:
+    """Log to standard error from `level` on, as key=value pairs or (`form` "json") JSON lines."""
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(_lines_of_json() if form == "json" else KeyValues())
-    handler.addFilter(Sparing())
+    handler.setFormatter(_json_formatter() if form == "json" else KeyValueFormatter())
+    handler.addFilter(EventRateFilter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
 
 
-def note(log: logging.Logger, what: str, level: int = logging.INFO, **pairs: Any) -> None:
+def note(log: logging.Logger, event: str, level: int = logging.INFO, /, **fields: Any) -> None:
+    """Log an event with its key=value pairs."""
     if log.isEnabledFor(level):
-        log.log(level, what, extra={"with_": pairs})
+        log.log(level, event, extra={"fields": fields})
 
 
-def note_failure(log: logging.Logger, what: str, failure: Any) -> None:
-    """A fault of ours that ended up as a Twisted failure, with its trace."""
-    log.error(what, exc_info=(failure.type, failure.value, failure.getTracebackObject()))
+def note_failure(log: logging.Logger, event: str, failure: Any) -> None:
+    """Log a Twisted `Failure` of our own code as an error, with its traceback."""
+    log.error(event, exc_info=(failure.type, failure.value, failure.getTracebackObject()))
