--- a/umbermoor/gateway/distribution/deltas.py
+++ b/umbermoor/gateway/distribution/deltas.py
@@ -1,8 +1,9 @@
-"""What a long text changed against another one that the other side holds, so that a change costs
-what it changes.
+"""Long texts sent as their difference to one that the other side holds.
 
-A delta is a zstd frame with the base as its dictionary; a digest of the whole proves what comes
-out, so a base that is not the one that was meant does no harm. No I/O.
+A delta is a zstd frame with the base text as its dictionary (RFC 8878; zstd's patch-from). A digest
+of the whole text proves what comes out, so a base that is not the one that was meant does no harm.
+`DeltaCodec` replaces the long texts in messages, `DeltaChannel` carries a replica's messages with
+it. No I/O.
 """
 
 import base64
@@ -13,77 +14,87 @@
 
 import zstandard
 
-MIN_TEXT_LENGTH = 1024  # characters from which a text is worth it
-MAX_TEXT_BYTES = 8 << 20  # bytes of a text
-MAX_TEXTS, MAX_CACHED_CHARACTERS = (
-    8,
-    12 << 20,
-)  # texts held at most, and characters of all; but the two newest always
-MAX_PEER_DIGESTS = 2 * MAX_TEXTS  # digests remembered of another side
-MAX_CACHED_DELTAS = 16  # deltas kept for others who lack the same
-MESSAGES_PER_GREETING = 16  # messages between two greetings of one who does not answer them
-MAX_PEERS = 128  # other sides remembered
-KINDS_WITH_TEXTS = {
-    "put",
-    "append",
-    "newview",
-    "promise",
-    "map",
-    "news",
-}  # messages of the chain that carry values
-TEXT_KEY = "~text"  # key of what stands for a text in a message: [digest] or [digest, base, delta]
+MIN_TEXT_LENGTH = 1024  # characters from which a text is replaced
+MAX_TEXT_BYTES = 8 << 20
+MAX_TEXTS = 8  # that are cached; the two newest always are
+MAX_CACHED_CHARACTERS = 12 << 20
+MAX_PEER_DIGESTS = 2 * MAX_TEXTS  # remembered of each peer
+MAX_DIGEST_LENGTH = 64  # characters
+MAX_CACHED_DELTAS = 16  # kept for other peers that lack the same
+MESSAGES_PER_GREETING = 16  # to a peer that does not answer greetings
+MAX_PEERS = 128
+DIGEST_BYTES = 12
+MIN_WINDOW_LOG, MIN_HASH_LOG = 10, 6  # of zstd
+COMPRESSION_LEVEL = 1
+# The kinds of the replica's messages that carry values, and so long texts.
+KINDS_WITH_TEXTS = {"put", "append", "newview", "promise", "map", "news"}
+TEXT_KEY = "~text"  # of what stands for a text in a message: [digest] or [digest, base, delta]
+
+Frame = dict[str, Any]
+
+
+class MissingTextError(Exception):
+    """A message refers to a text that is not held here."""
 
 
 def text_digest(text: str) -> str:
-    return blake2b(_bytes(text), digest_size=12).hexdigest()
+    """A digest of a text, in hexadecimal digits."""
+    return blake2b(_to_bytes(text), digest_size=DIGEST_BYTES).hexdigest()
 
 
-def _bytes(text: str) -> bytes:
+def _to_bytes(text: str) -> bytes:
     return text.encode(errors="surrogatepass")
 
 
 def encode_delta(base: str, text: str) -> str:
-    """From one to the other, in base64. Some 7 ms for two of 1.7 MB, 0.5 ms for 240 kB; about
-    linear."""
-    old, new = _bytes(base), _bytes(text)
-    window = max(10, (len(old) + len(new)).bit_length())
+    """The difference from one text to the other, in base64.
+
+    Takes some 7 ms for two texts of 1.7 MB and 0.5 ms for 240 kB: about linear.
+    """
+    old, new = _to_bytes(base), _to_bytes(text)
+    window_log = max(MIN_WINDOW_LOG, (len(old) + len(new)).bit_length())
     parameters = zstandard.ZstdCompressionParameters.from_level(
-        1,
+        COMPRESSION_LEVEL,
         source_size=len(old) + len(new),
-        window_log=window,
-        hash_log=max(6, window - 2),
+        window_log=window_log,
+        hash_log=max(MIN_HASH_LOG, window_log - 2),
         strategy=zstandard.STRATEGY_FAST,
         write_content_size=True,
     )
-    held = zstandard.ZstdCompressionDict(old, dict_type=zstandard.DICT_TYPE_RAWCONTENT)
-    made = zstandard.ZstdCompressor(dict_data=held, compression_params=parameters).compress(new)
-    return base64.b64encode(made).decode()
+    dictionary = _dictionary(old)
+    compressor = zstandard.ZstdCompressor(dict_data=dictionary, compression_params=parameters)
+    return base64.b64encode(compressor.compress(new)).decode()
 
 
-def apply_delta(base: str, change: str, digest: str) -> str | None:
-    """The text that `delta` was made for; None if it does not come out as the digest says."""
+def apply_delta(base: str, delta: str, digest: str) -> str | None:
+    """The text that the delta was made for; None if it does not come out as the digest says."""
     try:
-        raw = base64.b64decode(change, validate=True)
-        size = zstandard.get_frame_parameters(raw).content_size
+        frame = base64.b64decode(delta, validate=True)
+        size = zstandard.get_frame_parameters(frame).content_size
         if not 0 <= size <= MAX_TEXT_BYTES:
             return None
-        held = zstandard.ZstdCompressionDict(_bytes(base), dict_type=zstandard.DICT_TYPE_RAWCONTENT)
-        reader = zstandard.ZstdDecompressor(dict_data=held, max_window_size=4 * MAX_TEXT_BYTES)
-        text = reader.decompress(raw, max_output_size=MAX_TEXT_BYTES).decode(errors="surrogatepass")
+        decompressor = zstandard.ZstdDecompressor(
+            dict_data=_dictionary(_to_bytes(base)), max_window_size=4 * MAX_TEXT_BYTES
+        )
+        content = decompressor.decompress(frame, max_output_size=MAX_TEXT_BYTES)
+        text = content.decode(errors="surrogatepass")
     except (ValueError, zstandard.ZstdError):
         return None
     return text if text_digest(text) == digest else None
 
 
+def _dictionary(content: bytes) -> zstandard.ZstdCompressionDict:
+    return zstandard.ZstdCompressionDict(content, dict_type=zstandard.DICT_TYPE_RAWCONTENT)
+
+
 class TextCache:
-    """Long texts of late, by digest; bounded."""
+    """The newest long texts, by digest; bounded in number and size."""
 
     def __init__(self) -> None:
-        self._digests: OrderedDict[str, str] = (
-            OrderedDict()
-        )  # by text: its hash is kept by the object itself
+        # By text, the newest last: a string keeps its hash, so a known text is found at no cost.
+        self._digests: OrderedDict[str, str] = OrderedDict()
         self._texts: dict[str, str] = {}
-        self._size = 0
+        self._characters = 0
 
     def add(self, text: str) -> str:
         """Its digest; it counts as the newest."""
@@ -92,42 +103,42 @@
             return digest
         digest = self._digests[text] = text_digest(text)
         self._texts[digest] = text
-        self._size += len(text)
-        while len(self._digests) > 2 and (
-            len(self._digests) > MAX_TEXTS or self._size > MAX_CACHED_CHARACTERS
-        ):
-            old, gone = self._digests.popitem(last=False)
-            del self._texts[gone]
-            self._size -= len(old)
+        self._characters += len(text)
+        while len(self._digests) > 2 and self._is_full():
+            oldest, oldest_digest = self._digests.popitem(last=False)
+            del self._texts[oldest_digest]
+            self._characters -= len(oldest)
         return digest
 
+    def _is_full(self) -> bool:
+        return len(self._digests) > MAX_TEXTS or self._characters > MAX_CACHED_CHARACTERS
+
     def get(self, digest: Any) -> str | None:
+        """The text of that digest, if it is held; None also for what is no digest."""
         return self._texts.get(digest) if isinstance(digest, str) else None
 
     def digests(self) -> list[str]:
-        """The newest first."""
+        """The digests of the texts held, the newest first."""
         return list(reversed(self._digests.values()))
 
 
-class MissingTextError(Exception):
-    """A message stands on a text that is not held here."""
-
-
 class DeltaCodec:
-    """Long texts in messages to and from other processes. What another one holds is known by what
-    it told (`holds`), and by what went to it and came from it since; one that never told gets its
-    texts whole.
+    """Replaces long texts in messages to other processes, and restores them in theirs.
+
+    What a peer holds is known by what it announced, and by what was sent to it and came from it
+    since. One that never announced anything gets its texts whole.
 
     >>> one, other = DeltaCodec(), DeltaCodec()
     >>> text = "route, " * 1000
-    >>> one.told("b", other.texts.digests()); other.told("a", one.texts.digests())
-    >>> first = one.pack("b", {"put": [{"text": text}]})
-    >>> first["put"][0]["text"] == text, other.unpack("a", first) == first
+    >>> one.peer_announced("b", other.texts.digests())
+    >>> other.peer_announced("a", one.texts.digests())
+    >>> first = one.encode("b", {"put": [{"text": text}]})
+    >>> first["put"][0]["text"] == text, other.decode("a", first) == first
     (True, True)
-    >>> second = one.pack("b", {"put": [{"text": text + "one more"}]})
-    >>> len(str(second)) < 200, other.unpack("a", second)["put"][0]["text"][-9:]
+    >>> second = one.encode("b", {"put": [{"text": text + "one more"}]})
+    >>> len(str(second)) < 200, other.decode("a", second)["put"][0]["text"][-9:]
     (True, ' one more')
-    >>> DeltaCodec().unpack("a", second)
+    >>> DeltaCodec().decode("a", second)
     Traceback (most recent call last):
         ...
     umbermoor.gateway.distribution.deltas.MissingTextError
@@ -135,155 +146,179 @@
 
     def __init__(self) -> None:
         self.texts = TextCache()
-        self._held: OrderedDict[str, OrderedDict[str, None]] = (
-            OrderedDict()
-        )  # by peer, the newest last
-        self._made: OrderedDict[tuple[str, str], str] = OrderedDict()
-
-    def told(self, peer: str, digests: Iterable[Any]) -> None:
-        """That is all it holds, the newest first."""
-        first = [one for one in digests if isinstance(one, str) and len(one) <= 64][
-            :MAX_PEER_DIGESTS
-        ]
-        self._held[peer] = OrderedDict.fromkeys(reversed(first))
-        self._held.move_to_end(peer)
-        if len(self._held) > MAX_PEERS:
-            self._held.popitem(last=False)
-
-    def knows(self, peer: str) -> bool:
-        return peer in self._held
-
-    def forget(self, peer: str) -> None:
-        """What went to it may not have come, and it may be another by now."""
-        self._held.pop(peer, None)
-
-    def pack(self, to: str, message: Any) -> Any:
-        """The message with what `to` lacks of its long texts; the one that was given stays as it
-        is."""
-        if isinstance(message, str):
-            return self._packed(to, message) if len(message) >= MIN_TEXT_LENGTH else message
-        if isinstance(message, dict):
-            return {key: self.pack(to, value) for key, value in message.items()}
-        if isinstance(message, (list, tuple)):
-            return [self.pack(to, value) for value in message]
-        return message
-
-    def unpack(self, sender: str, message: Any) -> Any:
-        """The message as it was packed; raises MissingTextError."""
-        if isinstance(message, str):
-            if len(message) < MIN_TEXT_LENGTH:
-                return message
-            digest = self.texts.add(message)
-            self._note(sender, digest)
+        # The digests that each peer holds; in both, the newest is last.
+        self._peer_digests: OrderedDict[str, OrderedDict[str, None]] = OrderedDict()
+        self._deltas: OrderedDict[tuple[str, str], str] = OrderedDict()
+
+    def peer_announced(self, peer: str, digests: Iterable[Any]) -> None:
+        """A peer holds these texts, the newest first, and no others."""
+        valid = [digest for digest in digests if _is_digest(digest)][:MAX_PEER_DIGESTS]
+        self._peer_digests[peer] = OrderedDict.fromkeys(reversed(valid))
+        self._peer_digests.move_to_end(peer)
+        if len(self._peer_digests) > MAX_PEERS:
+            self._peer_digests.popitem(last=False)
+
+    def is_announced(self, peer: str) -> bool:
+        """Whether it is known what that peer holds."""
+        return peer in self._peer_digests
+
+    def forget_peer(self, peer: str) -> None:
+        """What was sent to it may not have come, and it may be another process by now."""
+        self._peer_digests.pop(peer, None)
+
+    def encode(self, peer: str, value: Any) -> Any:
+        """A copy of the value in which the long texts that the peer needs not are replaced."""
+        if isinstance(value, str):
+            return self._encode_text(peer, value) if len(value) >= MIN_TEXT_LENGTH else value
+        if isinstance(value, dict):
+            return {key: self.encode(peer, part) for key, part in value.items()}
+        if isinstance(value, (list, tuple)):
+            return [self.encode(peer, part) for part in value]
+        return value
+
+    def decode(self, peer: str, value: Any) -> Any:
+        """The value as the peer had it before it was encoded.
+
+        Raises:
+            MissingTextError: It refers to a text that is not held here.
+        """
+        if isinstance(value, str):
+            if len(value) < MIN_TEXT_LENGTH:
+                return value
+            digest = self.texts.add(value)
+            self._note_held(peer, digest)
             return self.texts.get(digest)
-        if isinstance(message, dict):
-            if TEXT_KEY in message:
-                return self._unpacked(sender, message[TEXT_KEY])
-            return {key: self.unpack(sender, value) for key, value in message.items()}
-        if isinstance(message, list):
-            return [self.unpack(sender, value) for value in message]
-        return message
-
-    def change(self, base: Any, text: str) -> list[str] | None:
-        """What stands for the text with one who holds `base`; None if that is not held here."""
-        held, digest = self.texts.get(base), self.texts.add(text)
-        if held is None:
+        if isinstance(value, dict):
+            if TEXT_KEY in value:
+                return self._decode_text(peer, value[TEXT_KEY])
+            return {key: self.decode(peer, part) for key, part in value.items()}
+        if isinstance(value, list):
+            return [self.decode(peer, part) for part in value]
+        return value
+
+    def make_delta(self, base_digest: Any, text: str) -> list[str] | None:
+        """[digest, base digest, delta] of a text for one who holds the base; None if the base is
+        not held here."""
+        base, digest = self.texts.get(base_digest), self.texts.add(text)
+        if base is None:
             return None
-        made = self._made.get((base, digest))
-        if made is None:
-            made = self._made[base, digest] = encode_delta(held, text)
-            if len(self._made) > MAX_CACHED_DELTAS:
-                self._made.popitem(last=False)
-        return [digest, base, made]
-
-    def _packed(self, to: str, text: str) -> Any:
+        delta = self._deltas.get((base_digest, digest))
+        if delta is None:
+            delta = self._deltas[base_digest, digest] = encode_delta(base, text)
+            if len(self._deltas) > MAX_CACHED_DELTAS:
+                self._deltas.popitem(last=False)
+        return [digest, base_digest, delta]
+
+    def _encode_text(self, peer: str, text: str) -> Any:
         digest = self.texts.add(text)
-        known = self._held.get(to)
-        if known is None:
+        held = self._peer_digests.get(peer)
+        if held is None:
             return text
-        if digest in known:
-            known.move_to_end(digest)
+        if digest in held:
+            held.move_to_end(digest)
             return {TEXT_KEY: [digest]}
-        base = next((one for one in reversed(known) if self.texts.get(one) is not None), None)
-        change = self.change(base, text) if base else None
-        self._note(to, digest)
-        return text if change is None or 2 * len(change[2]) > len(text) else {TEXT_KEY: change}
+        bases = (base for base in reversed(held) if self.texts.get(base) is not None)
+        base = next(bases, None)
+        delta = self.make_delta(base, text) if base else None
+        self._note_held(peer, digest)
+        if delta is None or 2 * len(delta[2]) > len(text):
+            return text
+        return {TEXT_KEY: delta}
 
-    def _unpacked(self, sender: str, change: Any) -> str:
-        if not isinstance(change, list) or not change or not isinstance(change[0], str):
+    def _decode_text(self, peer: str, reference: Any) -> str:
+        is_reference = isinstance(reference, list) and reference
+        if not is_reference or not isinstance(reference[0], str):
             raise MissingTextError
-        text = self.texts.get(change[0])
-        if text is None and len(change) == 3 and isinstance(change[2], str):
-            base = self.texts.get(change[1])
-            text = None if base is None else apply_delta(base, change[2], change[0])
+        text = self.texts.get(reference[0])
+        if text is None and len(reference) == 3 and isinstance(reference[2], str):
+            base = self.texts.get(reference[1])
+            text = None if base is None else apply_delta(base, reference[2], reference[0])
         if text is None:
             raise MissingTextError
         self.texts.add(text)
-        self._note(sender, change[0])
+        self._note_held(peer, reference[0])
         return text
 
-    def _note(self, peer: str, digest: str) -> None:
-        known = self._held.get(peer)
-        if known is not None:
-            known[digest] = None
-            known.move_to_end(digest)
-            if len(known) > MAX_PEER_DIGESTS:
-                known.popitem(last=False)
+    def _note_held(self, peer: str, digest: str) -> None:
+        held = self._peer_digests.get(peer)
+        if held is not None:
+            held[digest] = None
+            held.move_to_end(digest)
+            if len(held) > MAX_PEER_DIGESTS:
+                held.popitem(last=False)
+
+
+def _is_digest(value: Any) -> bool:
+    return isinstance(value, str) and len(value) <= MAX_DIGEST_LENGTH
 
 
 class DeltaChannel:
-    """Messages of the chain as frames between members, and back. A member greets those it does not
-    know with what it holds, so that both know; one of a revision that knows no greeting gets, and
-    sends, everything whole."""
+    """Carries the replica's messages between members as frames, with long texts as deltas.
+
+    A member greets those of whom it does not know what they hold with what it holds itself, so that
+    both know. One of an earlier release, which knows no greeting, gets and sends everything whole.
+
+    Attributes:
+        codec: Replaces and restores the texts.
+        missing_texts: How many messages referred to a text that was not held here.
+    """
 
     def __init__(self) -> None:
-        self.packer = DeltaCodec()
-        self.lacks = 0  # messages that stood on a text that was not held here
-        self._greeted: dict[
-            str, int
-        ] = {}  # messages since the line was opened, to those who have not told
-
-    def send(self, to: str, message: dict[str, Any]) -> list[dict[str, Any]]:
-        """The frames that carry it."""
+        self.codec = DeltaCodec()
+        self.missing_texts = 0
+        self._sent_since_connected: dict[str, int] = {}  # to those who have announced nothing
+
+    def send(self, peer: str, message: dict[str, Any]) -> list[Frame]:
+        """The frames that carry a message."""
         frames = []
-        if not self.packer.knows(to):
-            count = self._greeted[to] = self._greeted.get(to, -1) + 1
-            if count % MESSAGES_PER_GREETING == 0 or message["kind"] in KINDS_WITH_TEXTS:
-                frames.append(self._holds(ask=True))
-        body = self.packer.pack(to, message) if message["kind"] in KINDS_WITH_TEXTS else message
+        has_texts = message["kind"] in KINDS_WITH_TEXTS
+        if not self.codec.is_announced(peer):
+            sent = self._sent_since_connected[peer] = self._sent_since_connected.get(peer, -1) + 1
+            if sent % MESSAGES_PER_GREETING == 0 or has_texts:
+                frames.append(self._greeting(ask=True))
+        body = self.codec.encode(peer, message) if has_texts else message
         return [*frames, {"kind": "chain", "body": body}]
 
     def receive(
-        self, sender: str, known: bool, frame: dict[str, Any]
-    ) -> tuple[dict[str, Any] | None, list[dict[str, Any]]]:
-        """The message that it carries, if any, and frames to send back. What stands on a text that
-        is not held here is dropped as if it was lost on the way; its sender, told so, says it whole
-        when it says it again. `known`: the sender is one that the member listens to; of others
-        nothing is unpacked."""
+        self, sender: str, accepted: bool, frame: Frame
+    ) -> tuple[dict[str, Any] | None, list[Frame]]:
+        """The message in a frame, if there is one, and the frames to send back.
+
+        A message that refers to a text that is not held here is dropped as if it was lost on the
+        way; its sender, told what is held, sends it whole when it repeats it.
+
+        Args:
+            sender: Its address.
+            accepted: Whether the replica accepts messages of it; of others no text is decoded.
+            frame: As it came.
+        """
         if frame.get("kind") == "holds":
-            if not known or not isinstance(frame.get("texts"), list):
-                return None, []
-            self.packer.told(sender, frame["texts"])
-            return None, [self._holds(ask=False)] if frame.get("ask") is True else []
-        body = frame.get("body")
-        if not isinstance(body, dict) or not isinstance(body.get("kind"), str):
+            return None, self._receive_greeting(sender, accepted, frame)
+        message = frame.get("body")
+        if not isinstance(message, dict) or not isinstance(message.get("kind"), str):
             return None, []
-        if body["kind"] not in KINDS_WITH_TEXTS:
-            return body, []
-        if not known:
+        if message["kind"] not in KINDS_WITH_TEXTS:
+            return message, []
+        if not accepted:
             return None, []
         try:
-            return self.packer.unpack(sender, body), []
+            return self.codec.decode(sender, message), []
         except RecursionError:
             return None, []
         except MissingTextError:
-            self.lacks += 1
-            return None, [self._holds(ask=False)]
-
-    def lost(self, peer: str) -> None:
-        """A line to or from it broke."""
-        self._greeted.pop(peer, None)
-        self.packer.forget(peer)
-
-    def _holds(self, ask: bool) -> dict[str, Any]:
-        return {"kind": "holds", "texts": self.packer.texts.digests(), "ask": ask}
+            self.missing_texts += 1
+            return None, [self._greeting(ask=False)]
+
+    def _receive_greeting(self, sender: str, accepted: bool, frame: Frame) -> list[Frame]:
+        if not accepted or not isinstance(frame.get("texts"), list):
+            return []
+        self.codec.peer_announced(sender, frame["texts"])
+        return [self._greeting(ask=False)] if frame.get("ask") is True else []
+
+    def connection_lost(self, peer: str) -> None:
+        """A connection to or from a peer broke."""
+        self._sent_since_connected.pop(peer, None)
+        self.codec.forget_peer(peer)
+
+    def _greeting(self, ask: bool) -> Frame:
+        return {"kind": "holds", "texts": self.codec.texts.digests(), "ask": ask}
--- /dev/null
+++ b/umbermoor/gateway/server/configuration_calls.py
@@ -0,0 +1,86 @@
+"""The operator's calls on the configuration: /Config.Replace and /Config.Read.
+
+A large configuration is validated and digested in steps, so that heartbeats are answered meanwhile.
+"""
+
+import asyncio
+from collections.abc import Generator
+from typing import Any, TypeVar
+
+from umbermoor.gateway.api.decisions import (
+    CONFIG_KEY,
+    configuration_digest_in_steps,
+    configuration_record,
+)
+from umbermoor.gateway.api.http_api import ApiRequest, ApiResponse, api_call, error_response
+from umbermoor.gateway.config.configuration import check_in_steps, decode
+from umbermoor.gateway.config.errors import ValidationError
+from umbermoor.gateway.effects import CallResult, Status
+from umbermoor.gateway.server import events
+from umbermoor.gateway.server.call_results import RETRY_LATER, outcome_pairs, write_response
+from umbermoor.gateway.server.replica_host import ReplicaHost
+
+DISK_FULL_BODY = (
+    b'{"error": "the disk is full: what is held stays and is read; a smaller one may be taken"}'
+)
+JSON_HEADERS = ((b"content-type", b"application/json"),)
+
+Result = TypeVar("Result")
+
+
+async def run_in_steps(steps: Generator[None, None, Result]) -> Result:
+    """The result of a computation that yields now and then; other tasks run in between."""
+    while True:
+        try:
+            next(steps)
+        except StopIteration as end:
+            return end.value
+        await asyncio.sleep(0)
+
+
+class ConfigurationCalls:
+    """Handlers of the calls on the configuration."""
+
+    def __init__(self, host: ReplicaHost) -> None:
+        self.host = host
+
+    @api_call("POST", "/Config.Replace")
+    async def replace(self, request: ApiRequest) -> ApiResponse:
+        """Validates a configuration and writes it; answered once the whole chain holds it."""
+        body = decode(request.body)
+        if isinstance(body, ValidationError):
+            return error_response(400, str(body))
+        error = await run_in_steps(check_in_steps(body))
+        if error is not None:
+            events.event("refused", what="configuration", why=str(error))
+            return error_response(400, str(error))
+        digest = await run_in_steps(configuration_digest_in_steps(body))
+        record = configuration_record(int(body["revision"], 16), request.body.decode(), digest)
+        result = await self.host.call(
+            lambda now, number: self.host.replica.put(now, number, CONFIG_KEY, record)
+        )
+        self._log(body["revision"], result)
+        if result.status is Status.UNAVAILABLE and self.host.store.full:
+            return ApiResponse(503, DISK_FULL_BODY, RETRY_LATER.headers)
+        return write_response(result)
+
+    @staticmethod
+    def _log(revision: str, result: CallResult) -> None:
+        events.event(
+            "taken" if result.status is Status.OK else "untaken",
+            what="configuration",
+            revision=revision,
+            code=result.status.value,
+            **outcome_pairs(result),
+        )
+
+    @api_call("GET", "/Config.Read")
+    async def read(self, request: ApiRequest) -> ApiResponse:
+        """The newest configuration, byte for byte as it was sent."""
+        result = await self.host.call(self.host.replica.read)
+        if result.status is not Status.OK:
+            return RETRY_LATER
+        record: dict[str, Any] | None = result.value.get(CONFIG_KEY)
+        if record is None:
+            return error_response(404, "no configuration yet")
+        return ApiResponse(200, record["text"].encode(), JSON_HEADERS)
--- /dev/null
+++ b/umbermoor/gateway/server/membership_calls.py
@@ -0,0 +1,99 @@
+"""The operator's calls on the replica set: /Members and /Members.Change."""
+
+from typing import NamedTuple
+
+from umbermoor.gateway.api.http_api import (
+    ApiRequest,
+    ApiResponse,
+    api_call,
+    error_response,
+    json_response,
+)
+from umbermoor.gateway.effects import Status
+from umbermoor.gateway.server import events
+from umbermoor.gateway.server.call_results import HTTP_STATUS, RETRY_LATER
+from umbermoor.gateway.server.replica_host import ReplicaHost
+
+CHANGE_TIMEOUT_S = 4.5
+MAX_ADDRESS_LENGTH = 64  # characters
+
+
+class ChangeRequest(NamedTuple):
+    """A valid body of /Members.Change."""
+
+    add: str  # the member to add; "" for none
+    remove: str  # the member to remove; "" for none
+    dry_run: bool
+
+    @classmethod
+    def decode(cls, request: ApiRequest) -> "ChangeRequest | ApiResponse":
+        """The request in a call's body, or the answer that says what is wrong with it."""
+        try:
+            body = request.json()
+            add, remove = body.get("add", ""), body.get("remove", "")
+            dry_run = body.get("dry", False)
+        except (ValueError, RecursionError, AttributeError) as error:
+            text = f"a change of the members is JSON with add, remove, dry: {error}"
+            return error_response(400, text)
+        is_valid = (
+            isinstance(add, str)
+            and isinstance(remove, str)
+            and isinstance(dry_run, bool)
+            and len(add) <= MAX_ADDRESS_LENGTH
+            and len(remove) <= MAX_ADDRESS_LENGTH
+            and (add or remove)
+        )
+        if not is_valid:
+            text = "add, remove: IP addresses, one at least; dry: true or false"
+            return error_response(400, text)
+        return cls(add, remove, dry_run)
+
+
+class MembershipCalls:
+    """Handlers of the calls on the replica set."""
+
+    def __init__(self, host: ReplicaHost, tolerated_losses: int) -> None:
+        self._host, self._tolerated_losses = host, tolerated_losses
+
+    @api_call("GET", "/Members")
+    async def read(self, request: ApiRequest) -> ApiResponse:
+        """Who is a member, who is in the chain, who could be made a member."""
+        replica, status = self._host.replica, self._host.replica.status()
+        ready = replica.learners()
+        return json_response(
+            200,
+            {
+                "set": status.set_number,
+                "members": list(status.members),
+                "chain": list(status.chain),
+                "learners": {name: name in ready for name in status.learners},
+                "thin": status.degraded,
+                "bear": self._tolerated_losses,
+                "connected": replica.connected,
+            },
+        )
+
+    @api_call("POST", "/Members.Change")
+    async def change(self, request: ApiRequest) -> ApiResponse:
+        """Adds a member, removes one, or replaces one by another; or says what that would leave."""
+        wanted = ChangeRequest.decode(request)
+        if isinstance(wanted, ApiResponse):
+            return wanted
+        result = await self._host.call(
+            lambda now, number: self._host.replica.change(now, number, *wanted), CHANGE_TIMEOUT_S
+        )
+        outlook = result.value or {}
+        events.event(
+            "members",
+            add=wanted.add or "none",
+            remove=wanted.remove or "none",
+            dry=wanted.dry_run,
+            code=result.status.value,
+            set=outlook.get("number", ""),
+            why=outlook.get("why", ""),
+        )
+        if result.status is Status.UNAVAILABLE:
+            return RETRY_LATER
+        if outlook.get("why"):
+            outlook = {**outlook, "error": outlook["why"]}
+        return json_response(HTTP_STATUS[result.status], outlook)
--- a/umbermoor/gateway/server/peer_transport.py
+++ b/umbermoor/gateway/server/peer_transport.py
@@ -1,8 +1,12 @@
-"""Messages between processes of the system: frames of JSON on TCP, best effort. A line that says
-nothing is dropped.
+"""Messages between processes of the system: frames of JSON over TCP, best effort.
 
-A stranger may open lines too: each holds one frame of at most MOST bytes, all together at most HELD
-of what is partly read, and there are at most LINES of them."""
+A frame is a length of four bytes, with its highest bit set where the body is compressed by zlib,
+and the body, a JSON table. Connections are opened when there is something to send, and are kept.
+
+Anybody may connect. So the partly read bytes of all connections, the length of a frame and the
+number of connections are bounded; where there are too many, one on which nothing was said is
+dropped first.
+"""
 
 import asyncio
 import json
@@ -11,31 +15,37 @@
 from collections.abc import Callable
 from typing import Any
 
-MAX_FRAME_BYTES = 8 << 20  # bytes of a frame
+MAX_FRAME_BYTES = 8 << 20
 MAX_CONNECTIONS = 400
-MAX_BUFFERED_BYTES = 32 << 20  # bytes partly read of all lines
-MAX_WRITE_BACKLOG_BYTES = 4 << 20  # bytes that may wait for a peer that does not read
-CONNECT_TIMEOUT_S = 0.6  # s
-TCP_USER_TIMEOUT_MS = 1500  # ms without an acknowledgement until a line is broken
-COMPRESS_FROM_BYTES = 4096  # bytes from which a frame is pressed
+MAX_BUFFERED_BYTES = 32 << 20  # partly read, of all connections
+MAX_WRITE_BACKLOG_BYTES = 4 << 20  # that wait for a peer that does not read
+MAX_WAITING_MESSAGES = 100  # for a connection that is being opened
+CONNECT_TIMEOUT_S = 0.6
+TCP_USER_TIMEOUT_MS = 1500  # without an acknowledgement until a connection is broken
+COMPRESS_FROM_BYTES = 4096
+COMPRESSION_LEVEL = 1
 COMPRESSED_FLAG = 1 << 31
+LENGTH_BYTES = 4
+
+Message = dict[str, Any]
 
 
-def encode_frame(message: dict[str, Any]) -> bytes:
+def encode_frame(message: Message) -> bytes:
+    """The frame of a message."""
     body = json.dumps(message, separators=(",", ":")).encode()
-    mark = 0
+    flag = 0
     if len(body) > COMPRESS_FROM_BYTES:
-        body, mark = zlib.compress(body, 1), COMPRESSED_FLAG
-    return (len(body) | mark).to_bytes(4, "big") + body
+        body, flag = zlib.compress(body, COMPRESSION_LEVEL), COMPRESSED_FLAG
+    return (len(body) | flag).to_bytes(LENGTH_BYTES, "big") + body
 
 
-def decode_body(body: bytes, pressed: bool) -> dict[str, Any] | None:
-    """A frame's message; None where it is garbled or too large."""
+def decode_body(body: bytes, compressed: bool) -> Message | None:
+    """The message in a frame's body; None where it is malformed or too large."""
     try:
-        if pressed:
-            reader = zlib.decompressobj()
-            body = reader.decompress(body, MAX_FRAME_BYTES)
-            if reader.unconsumed_tail:
+        if compressed:
+            decompressor = zlib.decompressobj()
+            body = decompressor.decompress(body, MAX_FRAME_BYTES)
+            if decompressor.unconsumed_tail:
                 return None
         message = json.loads(body)
     except (ValueError, zlib.error, RecursionError):
@@ -44,135 +54,174 @@
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection, either way."""
+    """One connection, whichever side opened it.
 
-    def __init__(self, post: "PeerTransport", peer: str | None) -> None:
-        self.post, self.peer = post, peer
+    Attributes:
+        peer: The IP address of the other side.
+        spoke: Whether a whole frame came.
+    """
+
+    def __init__(self, owner: "PeerTransport", peer: str | None) -> None:
+        """`peer`: None where the other side opened the connection."""
+        self._owner = owner
+        self.peer = peer
         self.transport: asyncio.Transport | None = None
-        self.held = bytearray()
-        self.spoke = False  # a whole frame came
+        self.spoke = False
+        self._buffer = bytearray()
 
     def connection_made(self, transport) -> None:
+        """Takes over an opened connection, unless there are too many."""
         self.transport = transport
         tune_socket(transport)
         if self.peer is None:
             self.peer = transport.get_extra_info("peername")[0]
-            if len(self.post.incoming) >= MAX_CONNECTIONS and not self.post.evict():
+            if not self._owner.admit(self):
                 transport.abort()
-                return
-            self.post.incoming.add(self)
 
     def data_received(self, data: bytes) -> None:
-        self.held += data
-        self.post.held += len(data)
-        if self.post.held > MAX_BUFFERED_BYTES:
+        """Hands on the frames that are complete; a malformed one ends the connection."""
+        self._buffer += data
+        self._owner.buffered_bytes += len(data)
+        if self._owner.buffered_bytes > MAX_BUFFERED_BYTES:
             self.transport.abort()
             return
-        while len(self.held) >= 4:
-            head = int.from_bytes(self.held[:4], "big")
-            size = head & ~COMPRESSED_FLAG
+        while len(self._buffer) >= LENGTH_BYTES:
+            header = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
+            size = header & ~COMPRESSED_FLAG
+            end = LENGTH_BYTES + size
             if size > MAX_FRAME_BYTES:
                 self.transport.abort()
                 return
-            if len(self.held) < 4 + size:
+            if len(self._buffer) < end:
                 return
-            message = decode_body(bytes(self.held[4 : 4 + size]), bool(head & COMPRESSED_FLAG))
-            del self.held[: 4 + size]
-            self.post.held -= 4 + size
+            body = bytes(self._buffer[LENGTH_BYTES:end])
+            message = decode_body(body, bool(header & COMPRESSED_FLAG))
+            del self._buffer[:end]
+            self._owner.buffered_bytes -= end
             if message is None:
                 self.transport.abort()
                 return
             self.spoke = True
-            self.post.receive(self, message)
+            self._owner.received(self, message)
 
-    def send(self, data: bytes) -> None:
-        if self.transport and not self.transport.is_closing():
-            if self.transport.get_write_buffer_size() > MAX_WRITE_BACKLOG_BYTES:
-                self.transport.abort()  # it does not read: what is lost is sent again
-            else:
-                self.transport.write(data)
+    def send(self, frame: bytes) -> None:
+        """Sends a frame. To a peer that does not read, the connection is broken instead: what is
+        lost is sent again by whoever needs it."""
+        if self.transport is None or self.transport.is_closing():
+            return
+        if self.transport.get_write_buffer_size() > MAX_WRITE_BACKLOG_BYTES:
+            self.transport.abort()
+        else:
+            self.transport.write(frame)
 
-    def connection_lost(self, error) -> None:
-        self.post.held -= len(self.held)
-        self.held = bytearray()
-        self.post.incoming.discard(self)
-        self.post.lost(self)
+    def connection_lost(self, error: Exception | None) -> None:
+        """Gives back what was partly read, and reports the end."""
+        self._owner.buffered_bytes -= len(self._buffer)
+        self._buffer = bytearray()
+        self._owner.closed(self)
 
 
-def tune_socket(transport) -> None:
-    """Small writes leave at once; a peer that vanished is noticed."""
+def tune_socket(transport: asyncio.BaseTransport) -> None:
+    """Has small writes sent at once, and a peer that vanished noticed."""
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
 class PeerTransport:
-    """Lines to and from other processes, by IP address; all listen on the same port."""
+    """The connections to and from other processes, by IP address; all listen on the same port.
+
+    Attributes:
+        incoming: The connections that others opened.
+        outgoing: By address, the connection opened to it, or the frames that wait for one.
+        buffered_bytes: Partly read, of all connections.
+    """
 
     def __init__(
         self,
         ip: str,
         port: int,
-        receive: Callable[[PeerConnection, dict], None],
-        lost: Callable[[PeerConnection], None] = lambda line: None,
+        on_message: Callable[[PeerConnection, Message], None],
+        on_lost: Callable[[PeerConnection], None] = lambda connection: None,
     ) -> None:
-        self.ip, self.port, self._receive, self._lost = ip, port, receive, lost
+        """`on_lost` is also called for a connection that could not be opened."""
+        self._ip, self._port = ip, port
+        self._on_message, self._on_lost = on_message, on_lost
         self.incoming: set[PeerConnection] = set()
-        self.held = 0  # bytes partly read, of all lines
-        self.outgoing: dict[str, PeerConnection | list[bytes]] = {}  # a line, or what waits for it
-        self._tasks: set[asyncio.Task] = set()
-
-    async def listen(self) -> None:
-        await asyncio.get_running_loop().create_server(
-            lambda: PeerConnection(self, None), self.ip, self.port
+        self.outgoing: dict[str, PeerConnection | list[bytes]] = {}
+        self.buffered_bytes = 0
+        self._opening: set[asyncio.Task[None]] = set()
+
+    async def listen(self) -> asyncio.Server:
+        """Accepts connections until the server that is returned is closed."""
+        return await asyncio.get_running_loop().create_server(
+            lambda: PeerConnection(self, None), self._ip, self._port
         )
 
-    def evict(self) -> bool:
-        """Makes room where strangers hold lines on which nothing was ever said; whether there was
-        one."""
-        silent = next((line for line in self.incoming if not line.spoke), None)
+    def admit(self, connection: PeerConnection) -> bool:
+        """Whether there is room for a connection that another side opened."""
+        if len(self.incoming) >= MAX_CONNECTIONS and not self._evict():
+            return False
+        self.incoming.add(connection)
+        return True
+
+    def _evict(self) -> bool:
+        """Drops a connection on which nothing was said; whether there was one."""
+        silent = next((one for one in self.incoming if not one.spoke), None)
         if silent is None:
             return False
         self.incoming.discard(silent)
         silent.transport.abort()
         return True
 
-    def receive(self, line: PeerConnection, message: dict) -> None:
-        self._receive(line, message)
-
-    def lost(self, line: PeerConnection) -> None:
-        if self.outgoing.get(line.peer) is line:
-            del self.outgoing[line.peer]
-        self._lost(line)
-
-    def send(self, to: str, message: dict[str, Any]) -> None:
-        data = encode_frame(message)
-        held = self.outgoing.get(to)
-        if isinstance(held, PeerConnection):
-            held.send(data)
-        elif held is not None:
-            if len(held) < 100:
-                held.append(data)
+    def received(self, connection: PeerConnection, message: Message) -> None:
+        """A connection read a message."""
+        self._on_message(connection, message)
+
+    def closed(self, connection: PeerConnection) -> None:
+        """A connection ended."""
+        self.incoming.discard(connection)
+        if self.outgoing.get(connection.peer) is connection:
+            del self.outgoing[connection.peer]
+        self._on_lost(connection)
+
+    def send(self, address: str, message: Message) -> None:
+        """Sends a message to the process at that address, over a connection opened where needed."""
+        frame = encode_frame(message)
+        current = self.outgoing.get(address)
+        if isinstance(current, PeerConnection):
+            current.send(frame)
+        elif current is not None:
+            if len(current) < MAX_WAITING_MESSAGES:
+                current.append(frame)
         else:
-            self.outgoing[to] = [data]
-            task = asyncio.get_running_loop().create_task(self._open(to))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
-
-    async def _open(self, to: str) -> None:
-        loop = asyncio.get_running_loop()
+            self.outgoing[address] = [frame]
+            opening = asyncio.get_running_loop().create_task(self._open(address))
+            self._opening.add(opening)
+            opening.add_done_callback(self._opened)
+
+    def _opened(self, opening: asyncio.Task[None]) -> None:
+        self._opening.discard(opening)
+        if not opening.cancelled() and (error := opening.exception()) is not None:
+            context = {"message": "opening a connection", "exception": error}
+            asyncio.get_running_loop().call_exception_handler(context)
+
+    async def _open(self, address: str) -> None:
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                # Members know each other by address; on loopback all would call from the same one.
-                mine = (self.ip, 0) if self.ip.startswith("127.") else None
-                _, line = await loop.create_connection(
-                    lambda: PeerConnection(self, to), to, self.port, local_addr=mine
-                )
+                connection = await self._connect(address)
         except (OSError, TimeoutError):
-            self.outgoing.pop(to, None)
-            line = PeerConnection(self, to)
-            self._lost(line)
+            self.outgoing.pop(address, None)
+            self._on_lost(PeerConnection(self, address))
             return
-        waiting, self.outgoing[to] = self.outgoing.get(to, []), line
-        for data in waiting if isinstance(waiting, list) else []:
-            line.send(data)
+        waiting, self.outgoing[address] = self.outgoing.get(address, []), connection
+        for frame in waiting if isinstance(waiting, list) else []:
+            connection.send(frame)
+
+    async def _connect(self, address: str) -> PeerConnection:
+        # Members know each other by address; on loopback all would call from the same one.
+        local_address = (self._ip, 0) if self._ip.startswith("127.") else None
+        _, connection = await asyncio.get_running_loop().create_connection(
+            lambda: PeerConnection(self, address), address, self._port, local_addr=local_address
+        )
+        return connection
--- /dev/null
+++ b/umbermoor/gateway/server/rollout_calls.py
@@ -0,0 +1,121 @@
+"""The operator's calls on rollouts: /Rollouts.Begin and /Rollouts.Read."""
+
+from typing import Any, NamedTuple
+
+from umbermoor.gateway.api.http_api import (
+    ApiRequest,
+    ApiResponse,
+    api_call,
+    error_response,
+    json_response,
+)
+from umbermoor.gateway.discovery.registry import READY, SILENT, InstanceRegistry
+from umbermoor.gateway.effects import CallResult, Outcome, Status
+from umbermoor.gateway.rollout.plan import ROLLOUT
+from umbermoor.gateway.rollout.trial import ask as make_order
+from umbermoor.gateway.rollout.trial import judge_begin
+from umbermoor.gateway.server import events
+from umbermoor.gateway.server.call_results import (
+    HTTP_STATUS,
+    RETRY_LATER,
+    outcome_pairs,
+    write_response,
+)
+from umbermoor.gateway.server.replica_host import ReplicaHost
+
+MAX_SERVICE_LENGTH = 200  # characters
+MAX_KEY_LENGTH = 64  # characters
+
+
+class BeginRequest(NamedTuple):
+    """A valid body of /Rollouts.Begin."""
+
+    service: str
+    target: str  # the version to move to
+    ramp_s: float
+    key: str  # tells this order from an earlier one of the same target
+
+    @classmethod
+    def decode(cls, request: ApiRequest) -> "BeginRequest | ApiResponse":
+        """The request in a call's body, or the answer that says what is wrong with it."""
+        try:
+            body = request.json()
+            service, target, ramp_s = body["service"], body["target"], body["rampS"]
+            key = body.get("key", "")
+        except (ValueError, RecursionError, TypeError, KeyError, AttributeError) as error:
+            text = f"a roll-out names service, target and rampS: {error}"
+            return error_response(400, text)
+        is_service = isinstance(service, str) and 0 < len(service) <= MAX_SERVICE_LENGTH
+        if not is_service or not isinstance(target, str):
+            return error_response(400, "service, target: not texts")
+        if not isinstance(key, str) or len(key) > MAX_KEY_LENGTH:
+            return error_response(400, f"key: not a text of {MAX_KEY_LENGTH} characters at most")
+        if not target or not _is_positive(ramp_s):
+            return error_response(422, "target: empty, or rampS: not a number above 0")
+        return cls(service, target, ramp_s, key)
+
+
+def _is_positive(value: Any) -> bool:
+    is_number = isinstance(value, (int, float)) and not isinstance(value, bool)
+    return is_number and 0 < value < float("inf")
+
+
+class RolloutCalls:
+    """Handlers of the calls on rollouts."""
+
+    def __init__(self, registry: InstanceRegistry, host: ReplicaHost) -> None:
+        self._registry, self._host = registry, host
+
+    @api_call("POST", "/Rollouts.Begin")
+    async def begin(self, request: ApiRequest) -> ApiResponse:
+        """Starts the move of a service to another version of its instances."""
+        wanted = BeginRequest.decode(request)
+        if isinstance(wanted, ApiResponse):
+            return wanted
+        replica, key = self._host.replica, ROLLOUT + wanted.service
+        order = make_order(
+            wanted.target, wanted.ramp_s, self._present_versions(wanted.service), wanted.key
+        )
+        # A head of an earlier revision does not decide on `begin`: it takes the record beside it
+        # where that is newer than what it holds. So the record is what this member's copy makes of
+        # the order, or the one that it holds, where the order changes nothing.
+        held = replica.committed.get(key)
+        decision = judge_begin(held, order, lambda: True)
+        if decision.outcome is Outcome.CONFLICT and not replica.head_decides:
+            if not self._host.is_connected():
+                return RETRY_LATER
+            return error_response(HTTP_STATUS[Status.CONFLICT], decision.reason)
+        value = (decision.value or held) | {"begin": order}
+        result = await self._host.call(lambda now, number: replica.put(now, number, key, value))
+        self._log(wanted, result)
+        return write_response(result)
+
+    def _present_versions(self, service: str) -> list[str]:
+        versions = {
+            record.revision
+            for record in self._registry.records.values()
+            if record.service == service and record.state in (READY, SILENT)
+        }
+        return sorted(versions)
+
+    @staticmethod
+    def _log(wanted: BeginRequest, result: CallResult) -> None:
+        events.event(
+            "begin",
+            service=wanted.service,
+            target=wanted.target,
+            ramp_s=wanted.ramp_s,
+            code=result.status.value,
+            **outcome_pairs(result),
+        )
+
+    @api_call("GET", "/Rollouts.Read/")
+    async def read(self, request: ApiRequest) -> ApiResponse:
+        """Where the rollout of a service stands."""
+        result = await self._host.call(self._host.replica.read)
+        if result.status is not Status.OK:
+            return RETRY_LATER
+        record = result.value.get(ROLLOUT + request.name)
+        if record is None:
+            return error_response(404, f"no roll-out of {request.name}")
+        return json_response(200, {"state": record["state"], "target": record["target"]})
--- /dev/null
+++ b/umbermoor/gateway/server/shutdown.py
@@ -0,0 +1,45 @@
+"""The end of a controller's process: it hands over first, so that writes go on without it."""
+
+import asyncio
+
+from umbermoor.gateway.server import events
+from umbermoor.gateway.server.clocks import MICROSECONDS
+from umbermoor.gateway.server.replica_host import ReplicaHost
+
+MAX_HAND_OVER_S = 2.0
+
+
+class Shutdown:
+    """Ends the process: at once, or after handing over.
+
+    Attributes:
+        requested: Set once the process is to end.
+    """
+
+    def __init__(self, host: ReplicaHost, grace_us: int) -> None:
+        """`grace_us`: how long the platform waits after SIGTERM until it kills the process."""
+        self._host = host
+        self._hand_over_us = round(min(MAX_HAND_OVER_S, grace_us / 3e6) * MICROSECONDS)
+        self._hand_over_until: int | None = None
+        self.requested = asyncio.Event()
+
+    def hand_over(self, now: int) -> None:
+        """Has the chain go on without this member, if the others can; the set stays as it is."""
+        if self._hand_over_until is None:
+            self._hand_over_until = now + self._hand_over_us
+            self._host.carry_out(self._host.replica.hand_over(now))
+
+    def tick(self, now: int) -> None:
+        """Ends the process once it has handed over, or could not in time."""
+        if self._hand_over_until is None or self.requested.is_set():
+            return
+        replica = self._host.replica
+        if replica.handed_over or now >= self._hand_over_until:
+            events.event(
+                "left", handed_over=replica.handed_over, epoch=replica.status().epoch
+            )
+            self.requested.set()
+
+    def request(self) -> None:
+        """Ends the process without handing over."""
+        self.requested.set()
--- /dev/null
+++ b/umbermoor/gateway/server/status_calls.py
@@ -0,0 +1,73 @@
+"""What a controller says of itself to operators: /Story and /Machines. No call of the protocol."""
+
+from collections.abc import Callable
+from typing import Any
+
+from umbermoor.gateway.api.http_api import ApiRequest, ApiResponse, api_call, json_response
+from umbermoor.gateway.discovery.registry import STATE_NAMES, InstanceRecord, InstanceRegistry
+from umbermoor.gateway.server.clocks import MICROSECONDS, Clock
+from umbermoor.gateway.server.replica_host import ReplicaHost
+from umbermoor.gateway.server.store_sweep import StoreSweep
+
+
+class StatusCalls:
+    """Handlers of the calls that only look."""
+
+    def __init__(
+        self,
+        name: str,
+        registry: InstanceRegistry,
+        host: ReplicaHost,
+        sweep: StoreSweep,
+        waiting_pulls: Callable[[], int],
+        clock: Clock,
+    ) -> None:
+        self._name, self._registry, self._host, self._sweep = name, registry, host, sweep
+        self._waiting_pulls, self._clock = waiting_pulls, clock
+
+    @api_call("GET", "/Story")
+    async def status(self, request: ApiRequest) -> ApiResponse:
+        """Its view of the chain, its place in it, what it holds."""
+        replica, store, sweep = self._host.replica, self._host.store, self._sweep
+        return json_response(
+            200,
+            {
+                **replica.status().to_json(),
+                "machines": len(self._registry.records),
+                "connected": replica.connected,
+                "pulls": self._waiting_pulls(),
+                "name": self._name,
+                "everyone": list(replica.member_names),
+                "lacks": self._host.channel.missing_texts,
+                "disk": {
+                    "bytes": store.used(),
+                    "most": store.size,
+                    "full": store.full,
+                    "sweeps": sweep.completed,
+                    "mended": sweep.repaired,
+                },
+                "compared": sweep.comparison.compared,
+                "differing": sorted(sweep.comparison.differing),
+            },
+        )
+
+    @api_call("GET", "/Machines")
+    async def instances(self, request: ApiRequest) -> ApiResponse:
+        """What it knows of the instances, by id."""
+        now, records = self._clock(), self._registry.records
+        return json_response(
+            200, {"machines": {id: self._instance(now, record) for id, record in records.items()}}
+        )
+
+    def _instance(self, now: int, record: InstanceRecord) -> dict[str, Any]:
+        """`heardS`: how long since it last changed here."""
+        age = now - self._registry.last_changed_at(record.id)
+        return {
+            "service": record.service,
+            "address": record.address,
+            "zone": record.zone,
+            "revision": record.revision,
+            "capacity": record.capacity,
+            "state": STATE_NAMES[record.state],
+            "heardS": round(age / MICROSECONDS, 3),
+        }
--- /dev/null
+++ b/umbermoor/gateway/server/status_log.py
@@ -0,0 +1,44 @@
+"""Logs each change of the replica set and of the view, as this controller sees them."""
+
+from umbermoor.gateway.replication.replica import Replica
+from umbermoor.gateway.replication.status import ReplicaStatus
+from umbermoor.gateway.server import events
+
+
+class StatusLog:
+    """Remembers what was logged last."""
+
+    def __init__(self, replica: Replica) -> None:
+        self._replica = replica
+        self._logged_set: tuple[object, ...] | None = None
+        self._logged_view: tuple[object, ...] | None = None
+
+    def tick(self) -> None:
+        """Logs what changed since the last call."""
+        status = self._replica.status()
+        self._log_set(status)
+        self._log_view(status)
+
+    def _log_set(self, status: ReplicaStatus) -> None:
+        current = status.set_number, status.degraded
+        if current != self._logged_set:
+            self._logged_set = current
+            events.event(
+                "set",
+                number=status.set_number,
+                members=",".join(status.members) or "none",
+                thin=status.degraded,
+            )
+
+    def _log_view(self, status: ReplicaStatus) -> None:
+        connected = self._replica.connected
+        current = status.epoch, status.chain, status.role, connected
+        if current != self._logged_view:
+            self._logged_view = current
+            events.event(
+                "view",
+                epoch=status.epoch,
+                chain=",".join(status.chain) or "none",
+                role=status.role.value,
+                connected=connected,
+            )
--- /dev/null
+++ b/umbermoor/gateway/server/store_sweep.py
@@ -0,0 +1,96 @@
+"""Keeps what a controller stores sound: sweeps of the disk, and digests compared with the peers.
+
+A sweep (a scrub, as file systems call it) reads what was written; a record that is no longer what
+was written is written again from memory. After each sweep the members compare digests of their
+committed records (anti-entropy): a difference is reported, not repaired, since two cannot say which
+of them is wrong.
+"""
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+
+from umbermoor.gateway.replication.anti_entropy import DigestComparison
+from umbermoor.gateway.server import events
+from umbermoor.gateway.server.clocks import MICROSECONDS, Clock
+from umbermoor.gateway.server.peer_transport import PeerTransport
+from umbermoor.gateway.server.registry_snapshot import INSTANCES_KEY, RegistrySnapshot
+from umbermoor.gateway.server.replica_host import ReplicaHost
+
+SWEEP_INTERVAL = 10 * MICROSECONDS  # from the end of a sweep to the next
+
+
+class StoreSweep:
+    """The sweeps of one controller's store.
+
+    Attributes:
+        running: Whether a sweep is in progress.
+        completed: How many sweeps ended.
+        repaired: How many records were written again.
+        comparison: What the members' digests came to.
+    """
+
+    def __init__(
+        self,
+        host: ReplicaHost,
+        snapshot: RegistrySnapshot,
+        transport: PeerTransport,
+        clock: Clock,
+        on_store_lost: Callable[[], None],
+    ) -> None:
+        self._host, self._snapshot, self._transport = host, snapshot, transport
+        self._clock, self._on_store_lost = clock, on_store_lost
+        self.comparison = DigestComparison()
+        self.running, self.completed, self.repaired = False, 0, 0
+        self._ended_at = clock()
+
+    def tick(self, now: int) -> None:
+        """Starts a sweep if it is time for one."""
+        if self.running or now - self._ended_at < SWEEP_INTERVAL or not self._host.store.open:
+            return
+        self.running = True
+        sweeping = asyncio.get_running_loop().run_in_executor(
+            self._host.disk, self._host.store.sweep
+        )
+        sweeping.add_done_callback(lambda done: self._ended(done.result()))
+
+    def compare(self, sender: str, message: dict[str, Any]) -> None:
+        """Compares a member's digest with the records held here."""
+        replica = self._host.replica
+        if self.comparison.differs(sender, message, replica.version, replica.committed):
+            events.event("differs", source=sender, version=message["version"])
+
+    def _ended(self, damaged: list[str] | None) -> None:
+        """`damaged`: the records that are not what was written; None: the store's pages are not."""
+        self.running, self._ended_at = False, self._clock()
+        self.completed += 1
+        self._send_digest()
+        if damaged is None:
+            self._give_up("pages")
+        elif damaged:
+            self._repair(damaged)
+
+    def _send_digest(self) -> None:
+        replica = self._host.replica
+        if replica.version > (0, 0):
+            message = self.comparison.message(replica.version, replica.committed)
+            for name in replica.member_names:
+                if name != replica.name:
+                    self._transport.send(name, message)
+
+    def _repair(self, damaged: list[str]) -> None:
+        records = [record for record in damaged if record != INSTANCES_KEY]
+        effects = self._host.replica.repair(self._clock(), records)
+        if effects is None:
+            self._give_up(",".join(damaged))
+            return
+        if INSTANCES_KEY in damaged:
+            self._snapshot.write_again()
+        self.repaired += len(damaged)
+        events.event("mended", records=",".join(damaged))
+        self._host.carry_out(effects)
+
+    def _give_up(self, what: str) -> None:
+        """The process ends; its next start finds the same, and the other members fill its store."""
+        events.event("disk_lost", why=f"a sweep found it rotten: {what}")
+        self._on_store_lost()
