--- a/benchmarks/capacity/measures.py
+++ b/benchmarks/capacity/measures.py
@@ -931,7 +931,7 @@
     from umbermoor.gateway.membership import failure_detector
     from umbermoor.gateway.replication import replica_set, requests, timing
     from umbermoor.gateway.rollout import core as anemometer
-    from umbermoor.gateway.server import controller, peer_transport
+    from umbermoor.gateway.server import controller, peer_transport, update_publisher
 
     return {
         "lines of a member or front": peer_transport.MAX_CONNECTIONS,
@@ -950,8 +950,8 @@
         "calls under way": requests.MAX_CALLS,
         "members' ping": timing.HEARTBEAT_INTERVAL,
         "report renewed": 250_000,
-        "tick": round(controller.TICK * SECOND),
-        "told together": round(controller.BATCH * SECOND),
+        "tick": round(controller.TICK_INTERVAL_S * SECOND),
+        "told together": round(update_publisher.BATCH_DELAY_S * SECOND),
     }
 
 
--- a/benchmarks/change_bytes.py
+++ b/benchmarks/change_bytes.py
@@ -43,8 +43,8 @@
 
 def play(routes: int, plays: int) -> list[float]:
     one, other = DeltaChannel(), DeltaChannel()
-    one.packer.told("b", [])
-    other.packer.told("a", [])
+    one.codec.peer_announced("b", [])
+    other.codec.peer_announced("a", [])
     figures: list[list[float]] = []
     held = configuration(routes, 1)
     for told in one.send("b", append(held, 1)):
@@ -62,7 +62,7 @@
         front_began = time.process_time()
         front_whole, _ = wire({"kind": "body", "text": text})
         front_between = time.process_time()
-        change = one.packer.change(text_digest(held), text)
+        change = one.codec.make_delta(text_digest(held), text)
         assert change
         front_short, came = wire({"kind": "body", "delta": change})
         assert apply_delta(held, came["delta"][2], change[0]) == text
--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -127,9 +127,7 @@
         )
         self.shutdown = Shutdown(self.host, settings.margin_us("graceS", DEFAULT_GRACE_S))
         self.snapshot = RegistrySnapshot(self.registry, self.host)
-        self.sweep = StoreSweep(
-            self.host, self.snapshot, self.transport, clock, self._store_lost
-        )
+        self.sweep = StoreSweep(self.host, self.snapshot, self.transport, clock, self._store_lost)
         self.publisher = UpdatePublisher(self.registry, self.host, rng, clock)
         self.replication = InstanceReplication(self.host, self.transport)
         self.peers = PeerMessages(
--- a/umbermoor/gateway/server/peer_transport.py
+++ b/umbermoor/gateway/server/peer_transport.py
@@ -135,6 +135,7 @@
         incoming: The connections that others opened.
         outgoing: By address, the connection opened to it, or the frames that wait for one.
         buffered_bytes: Partly read, of all connections.
+        ip, port: Where this process listens; the others listen on the same port.
     """
 
     def __init__(
@@ -145,7 +146,7 @@
         on_lost: Callable[[PeerConnection], None] = lambda connection: None,
     ) -> None:
         """`on_lost` is also called for a connection that could not be opened."""
-        self._ip, self._port = ip, port
+        self.ip, self.port = ip, port
         self._on_message, self._on_lost = on_message, on_lost
         self.incoming: set[PeerConnection] = set()
         self.outgoing: dict[str, PeerConnection | list[bytes]] = {}
@@ -155,7 +156,7 @@
     async def listen(self) -> asyncio.Server:
         """Accepts connections until the server that is returned is closed."""
         return await asyncio.get_running_loop().create_server(
-            lambda: PeerConnection(self, None), self._ip, self._port
+            lambda: PeerConnection(self, None), self.ip, self.port
         )
 
     def admit(self, connection: PeerConnection) -> bool:
@@ -220,8 +221,8 @@
 
     async def _connect(self, address: str) -> PeerConnection:
         # Members know each other by address; on loopback all would call from the same one.
-        local_address = (self._ip, 0) if self._ip.startswith("127.") else None
+        local_address = (self.ip, 0) if self.ip.startswith("127.") else None
         _, connection = await asyncio.get_running_loop().create_connection(
-            lambda: PeerConnection(self, address), address, self._port, local_addr=local_address
+            lambda: PeerConnection(self, address), address, self.port, local_addr=local_address
         )
         return connection
--- a/umbermoor/gateway/server/replica_host.py
+++ b/umbermoor/gateway/server/replica_host.py
@@ -137,9 +137,7 @@
         writing = asyncio.get_running_loop().run_in_executor(
             self.disk, self.store.write, write.puts
         )
-        writing.add_done_callback(
-            lambda written: self._write_ended(write.token, written.result())
-        )
+        writing.add_done_callback(lambda written: self._write_ended(write.token, written.result()))
 
     def _write_ended(self, token: int, synced: bool) -> None:
         if synced:
--- a/umbermoor/gateway/server/update_publisher.py
+++ b/umbermoor/gateway/server/update_publisher.py
@@ -107,9 +107,7 @@
     def _some_proxies(self) -> list[str]:
         members = self._replica.member_names
         callers = [
-            connection.peer
-            for connection in self.pulls.waiting
-            if connection.peer not in members
+            connection.peer for connection in self.pulls.waiting if connection.peer not in members
         ]
         if len(callers) <= MAX_PROXIES_NAMED:
             return callers
