--- a/umbermoor/gateway/server/replica_host.py
+++ b/umbermoor/gateway/server/replica_host.py
@@ -74,7 +74,7 @@
 
     def head(self) -> str:
         """The member that orders writes, as far as it is known here; "" if none is."""
-        return next(iter(self.replica.status().chain), "")
+        return self.replica.head_name
 
     def leads(self) -> bool:
         """Whether this member orders writes, and is in touch with a majority."""
