--- a/benchmarks/size.py
+++ b/benchmarks/size.py
@@ -12,7 +12,7 @@
 
 from benchmarks.common import show
 from umbermoor.lab.day import Day, Fronts, Group, Load, ProfileRow
-from umbermoor.lab.fleet import World
+from umbermoor.lab.fleet import Fleet
 from umbermoor.lab.statistics import growth
 
 SIZES = ((10, 12), (10, 60), (100, 12), (100, 60), (100, 500), (500, 60), (500, 500))
@@ -39,19 +39,19 @@
 def measured(size: tuple[int, int, float]) -> dict:
     fronts, machines, seconds = size
     started = time.perf_counter()
-    world = World(day(fronts, machines, seconds)).play()
+    fleet = Fleet(day(fronts, machines, seconds)).play()
     wall = time.perf_counter() - started
     return {
         "fronts": fronts,
         "machines": machines,
-        "queries": world.ledger.counts["taken"],
+        "queries": fleet.ledger.counts["taken"],
         "wall s": round(wall, 2),
         "wall s a virtual s": round(wall / seconds, 3),
-        "us a query": round(1e6 * wall / world.ledger.counts["taken"], 1),
-        "events/s": round(world.events / wall),
+        "us a query": round(1e6 * wall / fleet.ledger.counts["taken"], 1),
+        "events/s": round(fleet.events / wall),
         "MB": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1),
-        "in time": world.measure.figures()["in_time"],
-        "breaches": len(world.ledger.breaches),
+        "in time": fleet.measure.figures()["in_time"],
+        "breaches": len(fleet.ledger.breaches),
     }
 
 
@@ -61,7 +61,7 @@
     if "--profile" in words:
         profiler = cProfile.Profile()
         profiler.enable()
-        World(day(100, 500, seconds)).play()
+        Fleet(day(100, 500, seconds)).play()
         profiler.disable()
         pstats.Stats(profiler).sort_stats("tottime").print_stats(18)
         return 0
--- /dev/null
+++ b/umbermoor/lab/virtual/clients.py
@@ -0,0 +1,117 @@
+"""The clients of a virtual fleet: an open loop of first queries, each with its retries."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from typing import TYPE_CHECKING, NamedTuple
+
+from umbermoor.front.facade import Asked
+from umbermoor.lab.day import SECOND
+from umbermoor.lab.demand import Journey, Kind, Wish
+from umbermoor.lab.virtual.clock import START
+
+if TYPE_CHECKING:
+    from umbermoor.lab.fleet import Fleet
+    from umbermoor.lab.virtual.front import VirtualFront
+
+RETURN_TRIP_US = 2_000  # what a front keeps of a query's time for its answer's way
+FAILOVER_US = SECOND  # until clients avoid a front that is down
+
+
+class PendingQuery(NamedTuple):
+    """A query whose client waits for an answer."""
+
+    journey: Journey
+    front: VirtualFront
+    work: float  # microseconds of one worker at speed 1
+    due: int
+
+
+class VirtualClients:
+    """All clients together.
+
+    Args:
+        fleet: what they run in.
+        arrivals: the first queries, in order of their time.
+    """
+
+    def __init__(self, fleet: Fleet, arrivals: Iterator[Wish]) -> None:
+        self.pending: dict[str, PendingQuery] = {}
+        self._fleet, self._arrivals = fleet, arrivals
+
+    def schedule_next(self) -> None:
+        """Schedule the next first query, if there is one."""
+        arrival = next(self._arrivals, None)
+        if arrival is not None:
+            self._fleet.at(START + arrival.at, self._arrive, arrival)
+
+    def _arrive(self, arrival: Wish) -> None:
+        self.schedule_next()
+        self._ask(Journey(arrival, self._fleet.day.profile[arrival.profile]))
+
+    def _ask(self, journey: Journey) -> None:
+        fleet, arrival, clients = self._fleet, journey.wish, self._fleet.day.clients
+        journey.tries += 1
+        query = f"{arrival.number:x}.{journey.tries}"
+        front = self._choose_front(arrival.number, journey.tries)
+        patience = journey.patience(clients, fleet.chance)
+        leaves_after = journey.leaves(clients, fleet.chance)
+        if leaves_after is not None:
+            patience = min(patience, leaves_after)
+        due = fleet.now + patience
+        self.pending[query] = PendingQuery(journey, front, arrival.work, due)
+        fleet.at(due, self._give_up, query)
+        is_marked = journey.tries > 1 and clients.marks
+        front_due = due - RETURN_TRIP_US
+        asked = Asked(query, arrival.profile, None, front_due, arrival.hint, is_marked)
+        fleet.at(fleet.now + fleet.delay(query), front.receive, asked)
+
+    def _choose_front(self, number: int, tries: int) -> VirtualFront:
+        """Choose among the fronts that are not known to be down, or among all if none is left."""
+        fleet = self._fleet
+        usable = [
+            front
+            for front in fleet.fronts
+            if front.is_alive or fleet.now < fleet.down_since.get(front.name, 0) + FAILOVER_US
+        ]
+        choices = usable or fleet.fronts
+        return choices[int(fleet.chance.at("entry", number, tries) * len(choices))]
+
+    def _give_up(self, query: str) -> None:
+        if query in self.pending:
+            self._fleet.ledger.gave_up(self._fleet.now, query)
+            self.pending[query].front.client_left(query)
+            self._end(query, Kind.GAVE_UP, 0, False)
+
+    def lost(self, query: str) -> None:
+        """The connection that a query went out on ended without an answer."""
+        self._end(query, Kind.LOST, 0, False)
+
+    def answer(self, front: VirtualFront, query: str, kind: Kind, wait: int, wrong: bool) -> None:
+        """Send a front's answer on its way to the client.
+
+        Args:
+            front: who answers.
+            query: what is answered.
+            kind: how it ended.
+            wait: advice on when to retry, in microseconds; 0: none.
+            wrong: whether the content is wrong.
+        """
+        arrives_at = self._fleet.now + self._fleet.delay(query)
+        self._fleet.at(arrives_at, self._answered, query, kind, wait, wrong)
+
+    def _answered(self, query: str, kind: Kind, wait: int, wrong: bool) -> None:
+        self._fleet.ledger.answered(self._fleet.now, query, kind.value)
+        self._end(query, kind, wait, wrong)
+
+    def _end(self, query: str, kind: Kind, wait: int, wrong: bool) -> None:
+        pending = self.pending.pop(query, None)
+        if pending is None:
+            return
+        fleet, journey = self._fleet, pending.journey
+        retry_at = journey.over(fleet.now - START, kind, wait, fleet.day.clients, fleet.chance)
+        journey.wrong = wrong
+        if retry_at is not None:
+            fleet.at(START + retry_at, self._ask, journey)
+        else:
+            fleet.measure.count(journey)
--- /dev/null
+++ b/umbermoor/lab/virtual/control_plane.py
@@ -0,0 +1,158 @@
+"""What fronts are told in virtual time: the machine list, the release and its tally; and votes."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from umbermoor.front.facade import Listed, Tally, Vote
+from umbermoor.front.interface import Ending, Entry, Listing, News, Readiness
+from umbermoor.lab.day import SECOND, micros
+from umbermoor.lab.machine import Done, Machine, Reply
+from umbermoor.lab.release import Listed as ListRow
+from umbermoor.lab.terms import VOTE_WAIT_MS
+from umbermoor.lab.virtual.clock import START
+
+if TYPE_CHECKING:
+    from umbermoor.lab.fleet import Fleet
+    from umbermoor.lab.virtual.front import VirtualFront
+
+TALLY_AGE = SECOND  # how old a tally is when fronts get it
+MACHINE_SIZE = 1.0  # all machines of a list weigh the same
+
+
+@dataclass(slots=True)
+class _Tally:
+    """The platform's own count of attempts."""
+
+    attempts: int = 0
+    failed: int = 0
+    time_us: int = 0  # of those that did not fail
+
+
+class VirtualControlPlane:
+    """Delivers news to the fronts with the day's delays, and takes their votes.
+
+    Args:
+        fleet: what it runs in.
+    """
+
+    def __init__(self, fleet: Fleet) -> None:
+        self._fleet = fleet
+        self._tallies: dict[tuple[int, int], _Tally] = {}  # by build and profile
+
+    def start(self) -> None:
+        """Begin to repeat the release's state and, if the day has them, the tallies."""
+        platform = self._fleet.day.platform
+        self._fleet.at(START + micros(platform.push_s), self._repeat_stage)
+        if platform.tally_s:
+            self._fleet.at(START + micros(platform.tally_s), self._tell_tallies)
+
+    def greet(self, front: VirtualFront) -> None:
+        """Tell a front that starts all there is to know."""
+        fleet = self._fleet
+        rows = list(fleet.site.roster.entries.values())
+        for row in rows:
+            fleet.ledger.told_list(fleet.now, front.name, row.machine, row.readiness)
+        front.report(Listed(Listing.CACHED, [_entry(row) for row in rows]))
+        front.report(Listed(Listing.FULL, [_entry(row) for row in rows]))
+        self._tell_stage(front)
+
+    # The release.
+
+    def stage_changed(self) -> None:
+        """The release has moved: tell each front, one later than another."""
+        fleet = self._fleet
+        changes = len(fleet.site.release.history)
+        for front in fleet.fronts:
+            factor = 0.5 + fleet.chance.at("told", front.name, changes)
+            delay = round(fleet.day.platform.told_ms * 1000 * factor)
+            at = max(fleet.now + delay, fleet.site.mute["platform-silent"])
+            fleet.at(at, self._tell_stage, front)
+
+    def _repeat_stage(self) -> None:
+        fleet = self._fleet
+        for front in fleet.fronts:
+            if fleet.now >= fleet.site.mute["platform-silent"]:
+                self._tell_stage(front)
+        fleet.at(fleet.now + micros(fleet.day.platform.push_s), self._repeat_stage)
+
+    def _tell_stage(
+        self, front: VirtualFront, answers_vote: bool = False, ending: Ending = Ending.OK
+    ) -> None:
+        if not front.is_alive:
+            return
+        fleet = self._fleet
+        build, stage, phase, cap, since = fleet.site.release.now
+        if ending is Ending.OK:
+            fleet.ledger.told_stage(fleet.now, front.name, build, stage, phase, cap)
+        front.report(News(build, stage, phase, cap, fleet.now - since, answers_vote, ending))
+
+    def vote(self, front: VirtualFront, step: Vote) -> None:
+        """Send a front's vote to the platform."""
+        fleet = self._fleet
+        arrives_at = fleet.now + fleet.delay("vote", front.name, fleet.now)
+        fleet.at(arrives_at, self._voted, front, step)
+
+    def _voted(self, front: VirtualFront, step: Vote) -> None:
+        fleet = self._fleet
+        if fleet.now < fleet.site.mute["platform-silent"]:
+            times_out_at = fleet.now + round(VOTE_WAIT_MS * 1000)
+            fleet.at(times_out_at, self._tell_stage, front, True, Ending.TIMEOUT)
+            return
+        ending = fleet.site.vote(front.name, step.build, step.stage, step.verdict)
+        arrives_at = fleet.now + fleet.delay("voted", front.name, fleet.now)
+        fleet.at(arrives_at, self._tell_stage, front, True, ending)
+
+    # The tally.
+
+    def count_attempt(self, machine: Machine, done: Done, took: int) -> None:
+        """Count an attempt that ended at a machine, if it falls into the platform's sample."""
+        fleet, platform = self._fleet, self._fleet.day.platform
+        if not platform.tally_s:
+            return
+        if fleet.chance.at("tally", *done.job.key) >= platform.tally_share:
+            return
+        has_failed = done.reply not in (Reply.DONE, Reply.WRONG)
+        tally = self._tallies.setdefault((machine.build, done.job.profile), _Tally())
+        tally.attempts += 1
+        tally.failed += has_failed
+        tally.time_us += 0 if has_failed else took
+
+    def _tell_tallies(self) -> None:
+        fleet = self._fleet
+        for (build, profile), tally in self._tallies.items():
+            mean = tally.time_us // max(1, tally.attempts - tally.failed)
+            told = Tally(build, profile, tally.attempts, tally.failed, mean, TALLY_AGE)
+            for front in fleet.fronts:
+                front.report(told)
+        self._tallies.clear()
+        fleet.at(fleet.now + micros(fleet.day.platform.tally_s), self._tell_tallies)
+
+    # The machine list.
+
+    def list_changed(self, row: ListRow) -> None:
+        """An entry of the list has changed: tell each front, one later than another."""
+        fleet = self._fleet
+        if fleet.now == START:  # fronts get the first list as they start
+            return
+        listing = fleet.day.listing
+        notice = micros(listing.notice_ms / 1000)
+        for front in fleet.fronts:
+            part = fleet.chance.at("spread", front.name, row.machine, fleet.now)
+            spread = round(listing.spread_ms * 1000 * part)
+            at = max(fleet.now + notice, fleet.site.mute["list-silent"]) + spread
+            fleet.at(at, self._tell_list, front, row)
+
+    def _tell_list(self, front: VirtualFront, row: ListRow) -> None:
+        if not front.is_alive:
+            return
+        self._fleet.ledger.told_list(self._fleet.now, front.name, row.machine, row.readiness)
+        if row.readiness is not Readiness.READY:
+            for _ in front.idle_connections.pop(row.machine, []):
+                front.close_connection(row.machine)
+        front.report(Listed(Listing.CHANGES, [_entry(row)]))
+
+
+def _entry(row: ListRow) -> Entry:
+    return Entry(row.machine, row.build, 0, 0, row.readiness, MACHINE_SIZE, row.born)
--- /dev/null
+++ b/umbermoor/lab/virtual/front.py
@@ -0,0 +1,320 @@
+"""One front in virtual time, around its real decision module.
+
+It does what `umbermoor.front.server` does on sockets: it carries out the module's steps and reports
+to it what comes of them. Connections and descriptors are counted, not opened.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from umbermoor.front.facade import (
+    Abandoned,
+    Asked,
+    Connected,
+    DecisionModule,
+    Denied,
+    Ended,
+    Go,
+    Left,
+    Listed,
+    Stop,
+    Vote,
+)
+from umbermoor.front.interface import Ending, Listing
+from umbermoor.front.start_settings import read_start_settings
+from umbermoor.lab.day import SECOND
+from umbermoor.lab.demand import Kind
+from umbermoor.lab.machine import Reply
+from umbermoor.lab.terms import IDLE_MS, seed_of
+
+if TYPE_CHECKING:
+    from umbermoor.lab.fleet import Fleet
+
+RESERVED_DESCRIPTORS = 32  # for what is neither a client's nor a machine's connection
+CLIENT_DESCRIPTORS_DIVISOR = 3  # clients hold at most one in so many of a front's descriptors
+MIN_CLIENT_CONNECTIONS = 8
+ARRIVAL_COST_SHARE = 0.6  # of a query's cost on the front's core; the rest falls on its answer
+IDLE_REUSE_US = IDLE_MS * 1000 - 2 * SECOND  # a connection idle for longer is about to be closed
+ENDINGS = {
+    Reply.DONE: Ending.OK,
+    Reply.WRONG: Ending.OK,
+    Reply.ERROR: Ending.ERROR,
+    Reply.AWAY: Ending.FULL,
+    Reply.RESET: Ending.RESET,
+    Reply.SPOILT: Ending.RESET,
+    Reply.REFUSED: Ending.CONNECT_FAILED,
+}
+KEEPS_CONNECTION = (Reply.DONE, Reply.WRONG, Reply.ERROR, Reply.AWAY)
+
+AttemptKey = tuple[str, int]  # query, and the number of its attempt
+
+
+class Attempt(NamedTuple):
+    """A query handed to a machine, from the decision on."""
+
+    go: Go
+    began_at: int
+    is_sent: list[bool]  # one element, set once its last byte is written
+
+
+class VirtualFront:
+    """A front of the fleet.
+
+    Args:
+        fleet: what it runs in: the clock, clients, machines and the day.
+        name: "n" and its number.
+        start: how often a front of this name has been started; its seed depends on it.
+    """
+
+    def __init__(self, fleet: Fleet, name: str, start: int) -> None:
+        self.fleet, self.name = fleet, name
+        settings = {**fleet.settings, "me": int(name[1:])}
+        self.decisions = DecisionModule(
+            read_start_settings(seed_of(fleet.day, name, start), settings), lambda: fleet.now
+        )
+        self.is_alive = True
+        self.stalled_until = 0
+        self.open_queries: set[str] = set()
+        self.attempts: dict[AttemptKey, Attempt] = {}
+        self.idle_connections: dict[str, list[int]] = {}  # by machine: since when each is idle
+        self.machine_connections = 0
+        self.client_connections = 0
+        self.connections_opened = 0
+        self.peak_descriptors = 0
+        self.busy_us = 0  # of its core
+        self._core_free_at = 0
+        self._next_tick_at = 0  # 0: no tick is scheduled
+        self.recorder = fleet.make_recorder(self) if fleet.make_recorder is not None else None
+
+    # Queries.
+
+    def receive(self, asked: Asked) -> None:
+        """Take a query from a client."""
+        if not self.is_alive:
+            self.fleet.clients.lost(asked.query)
+            return
+        now = self.fleet.now
+        self.fleet.ledger.taken(now, self.name, asked.query, asked.profile, asked.due)
+        self._spend(ARRIVAL_COST_SHARE, self._take, asked)
+
+    def client_left(self, query: str) -> None:
+        """The client no longer waits."""
+        if self.is_alive and query in self.open_queries:
+            self.open_queries.discard(query)
+            if self.recorder is not None:
+                self.recorder.closed(query, "left")
+            self._carry_out(self.decisions.report(Left(query)))
+
+    def _spend(self, share: float, call: Callable[..., None], *arguments: Any) -> None:
+        """Call once the core has done this share of a query's work."""
+        cost, now = round(self.fleet.day.front.cpu_us * share), self.fleet.now
+        if not cost and now >= self.stalled_until:
+            call(*arguments)
+            return
+        begin = max(self._core_free_at, now, self.stalled_until)
+        self._core_free_at = begin + cost
+        self.busy_us += cost
+        self.fleet.at(self._core_free_at, self._if_alive, call, *arguments)
+
+    def _if_alive(self, call: Callable[..., None], *arguments: Any) -> None:
+        if self.is_alive:
+            call(*arguments)
+
+    def _take(self, asked: Asked) -> None:
+        query = asked.query
+        if query not in self.fleet.clients.pending:
+            return
+        if len(self.open_queries) >= self._max_client_connections:
+            self.fleet.clients.answer(self, query, Kind.DENIED, SECOND, False)
+            return
+        self.open_queries.add(query)
+        if self.recorder is not None:
+            self.recorder.asked(query, asked.profile, asked.due, asked.cost, asked.repeated)
+        self.client_connections = max(self.client_connections, len(self.open_queries))
+        self._carry_out([self.decisions.pick(asked)])
+
+    def _answer(self, query: str, kind: Kind, wait: int, wrong: bool = False) -> None:
+        if query in self.open_queries:
+            self.open_queries.discard(query)
+            if self.recorder is not None:
+                self.recorder.closed(query, kind.value)
+            self.fleet.clients.answer(self, query, kind, wait, wrong)
+
+    # The decision module.
+
+    def report(self, event: Any) -> None:
+        """Report an event to the decision module, later if the front is stalled."""
+        if not self.is_alive:
+            return
+        if self.fleet.now < self.stalled_until:
+            self.fleet.at(self.stalled_until, self.report, event)
+            return
+        if self.recorder is not None and isinstance(event, Listed):
+            self.recorder.listed(event.kind is not Listing.CHANGES, list(event.entries))
+        self._carry_out(self.decisions.report(event))
+
+    def _tick(self, scheduled_at: int) -> None:
+        if self.is_alive and scheduled_at == self._next_tick_at:
+            self._next_tick_at = 0
+            if self.fleet.now < self.stalled_until:
+                self._schedule_tick(self.stalled_until)
+            else:
+                self._carry_out(self.decisions.tick())
+
+    def _schedule_tick(self, at: int) -> None:
+        if not self._next_tick_at or at < self._next_tick_at:
+            self._next_tick_at = at
+            self.fleet.at(at, self._tick, at)
+
+    def _carry_out(self, steps: Iterable[Any]) -> None:
+        for step in list(steps):
+            match step:
+                case Go():
+                    self._start_attempt(step)
+                case Denied(query, wait):
+                    self._answer(query, Kind.DENIED, wait)
+                case Abandoned(query):
+                    self._answer(query, Kind.ABANDONED, 0)
+                case Stop(query, number):
+                    self._cancel((query, number))
+                case Vote():
+                    self.fleet.control_plane.vote(self, step)
+        self._schedule_tick(max(self.fleet.now + 1, self.decisions.next_tick))
+
+    # Connections to machines.
+
+    @property
+    def _max_connections(self) -> int:
+        return self.fleet.day.front.descriptors - RESERVED_DESCRIPTORS
+
+    @property
+    def _max_client_connections(self) -> int:
+        return max(MIN_CLIENT_CONNECTIONS, self._max_connections // CLIENT_DESCRIPTORS_DIVISOR)
+
+    def _has_descriptor(self) -> bool:
+        """Whether a connection may be opened, after closing an idle one if none is left."""
+        clients = min(self.client_connections, self._max_client_connections)
+        if self.machine_connections + clients < self._max_connections:
+            return True
+        return self._close_longest_idle()
+
+    def _close_longest_idle(self) -> bool:
+        machine = min(
+            (name for name, idle in self.idle_connections.items() if idle),
+            key=lambda name: self.idle_connections[name][0],
+            default=None,
+        )
+        if machine is None:
+            return False
+        self.idle_connections[machine].pop(0)
+        self.close_connection(machine)
+        return True
+
+    def close_connection(self, name: str) -> None:
+        """Close a connection to a machine; an idle one is to be taken off the idle ones first."""
+        self.machine_connections -= 1
+        if machine := self.fleet.site.machines.get(name):
+            machine.connections = max(0, machine.connections - 1)
+
+    def _keep_connection(self, machine: str) -> None:
+        self.idle_connections.setdefault(machine, []).append(self.fleet.now)
+
+    # Attempts.
+
+    def _start_attempt(self, go: Go) -> None:
+        now, key = self.fleet.now, (go.query, go.number)
+        if go.query not in self.open_queries:
+            event = Ended(go.query, go.number, go.machine, Ending.MOOT, 0)
+            self.fleet.at(now, self.report, event)
+            return
+        self.attempts[key] = attempt = Attempt(go, now, [False])
+        if self.recorder is not None:
+            self.recorder.handed(go.query, go.machine)
+        self.fleet.at(now + max(0, go.limit), self._time_out, key, attempt)
+        idle = self.idle_connections.get(go.machine)
+        while idle:
+            if now - idle.pop() < IDLE_REUSE_US:
+                self._send(key, attempt)
+                return
+            self.close_connection(go.machine)
+        if not self._has_descriptor():
+            self.fleet.at(now, self._end_attempt, key, attempt, Ending.CONNECT_FAILED, False)
+            return
+        self.machine_connections += 1
+        self.peak_descriptors = max(
+            self.peak_descriptors, self.machine_connections + self.client_connections
+        )
+        self.fleet.network.connect(self, key, attempt)
+
+    def connected(self, key: AttemptKey, attempt: Attempt, is_up: bool) -> None:
+        """A connection came up, or failed to."""
+        if not self.is_alive:
+            return
+        if not is_up:
+            self.machine_connections -= 1
+            self._end_attempt(key, attempt, Ending.CONNECT_FAILED, False)
+            return
+        self.connections_opened += 1
+        if self.attempts.get(key) is not attempt:  # cancelled meanwhile
+            self._keep_connection(attempt.go.machine)
+        elif self.decisions.report(Connected(attempt.go)):
+            self._send(key, attempt)
+        else:
+            self._keep_connection(attempt.go.machine)
+            self._end_attempt(key, attempt, Ending.MOOT, False)
+
+    def _send(self, key: AttemptKey, attempt: Attempt) -> None:
+        attempt.is_sent[0] = True
+        self.fleet.network.send(self, attempt.go)
+
+    def replied(self, key: AttemptKey, machine: str, reply: Reply) -> None:
+        """A machine's reply arrived."""
+        if not self.is_alive:
+            return
+        attempt = self.attempts.get(key)
+        if attempt is None:  # ended before: its connection was closed then
+            return
+        if reply in KEEPS_CONNECTION:
+            self._keep_connection(machine)
+        else:
+            self.close_connection(machine)
+        if reply in (Reply.DONE, Reply.WRONG):
+            self._spend(1 - ARRIVAL_COST_SHARE, self._forward_reply, key, attempt, reply)
+        else:
+            self._end_attempt(key, attempt, ENDINGS[reply], False)
+
+    def _forward_reply(self, key: AttemptKey, attempt: Attempt, reply: Reply) -> None:
+        if self.attempts.get(key) is not attempt:
+            return
+        if self.recorder is not None:  # before the answer, which completes the query's record
+            took = self.fleet.now - attempt.began_at
+            self.recorder.ended(key[0], attempt.go.machine, Ending.OK, took)
+        self._answer(key[0], Kind.DONE, 0, reply is Reply.WRONG)
+        self._end_attempt(key, attempt, Ending.OK, False)
+
+    def _end_attempt(
+        self, key: AttemptKey, attempt: Attempt, ending: Ending, is_aborted: bool
+    ) -> None:
+        if self.attempts.get(key) is not attempt:
+            return
+        del self.attempts[key]
+        machine, took = attempt.go.machine, self.fleet.now - attempt.began_at
+        if is_aborted and attempt.is_sent[0]:
+            self.close_connection(machine)
+            self.fleet.network.cancel(attempt.go)
+        self.fleet.ledger.outcome(key[0], ending)
+        if self.recorder is not None and ending is not Ending.OK:
+            self.recorder.ended(key[0], machine, ending, took)
+        self.report(Ended(*key, machine, ending, took))
+
+    def _time_out(self, key: AttemptKey, attempt: Attempt) -> None:
+        if self.is_alive:
+            ending = Ending.TIMEOUT if attempt.is_sent[0] else Ending.CONNECT_FAILED
+            self._end_attempt(key, attempt, ending, True)
+
+    def _cancel(self, key: AttemptKey) -> None:
+        if attempt := self.attempts.get(key):
+            ending = Ending.CANCELLED if attempt.is_sent[0] else Ending.CONNECT_FAILED
+            self._end_attempt(key, attempt, ending, True)
--- /dev/null
+++ b/umbermoor/lab/virtual/network.py
@@ -0,0 +1,117 @@
+"""The way of attempts between fronts and machines, and back."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from umbermoor.front.facade import Complaint, Go
+from umbermoor.lab.day import SECOND
+from umbermoor.lab.machine import Done, Job, Machine, Reply
+from umbermoor.lab.terms import CONNECT_MS
+
+if TYPE_CHECKING:
+    from umbermoor.lab.fleet import Fleet
+    from umbermoor.lab.virtual.front import Attempt, AttemptKey, VirtualFront
+
+COMPLAINT_AGE = 2 * SECOND  # until a wrong answer is reported
+UNKNOWN_WORK_US = 1.0  # of a query that no client waits for any more
+
+
+class VirtualNetwork:
+    """Delivers connection attempts, queries, cancellations and replies with the day's delays.
+
+    Args:
+        fleet: what it runs in.
+    """
+
+    def __init__(self, fleet: Fleet) -> None:
+        self._fleet = fleet
+        self._senders: dict[AttemptKey, VirtualFront] = {}
+
+    def connect(self, front: VirtualFront, key: AttemptKey, attempt: Attempt) -> None:
+        """Open a connection from a front to the attempt's machine."""
+        fleet = self._fleet
+        arrives_at = fleet.now + fleet.delay("connect", *key)
+        fleet.at(arrives_at, self._accept, front, key, attempt)
+
+    def _accept(self, front: VirtualFront, key: AttemptKey, attempt: Attempt) -> None:
+        fleet = self._fleet
+        machine = fleet.site.machines.get(attempt.go.machine)
+        is_up = machine is not None and machine.connect(fleet.now)
+        if machine is not None:
+            fleet.site.wake(machine)
+        delay = fleet.delay("connected", *key)
+        if machine is not None and not machine.plight.down and not is_up:
+            delay = round(CONNECT_MS * 1000)  # its backlog is full: the front's time-out passes
+        fleet.at(fleet.now + delay, front.connected, key, attempt, is_up)
+
+    def send(self, front: VirtualFront, go: Go) -> None:
+        """Send a query to a machine, on a connection that is there."""
+        fleet, key = self._fleet, (go.query, go.number)
+        machine = fleet.site.machines[go.machine]
+        fleet.ledger.sent(fleet.now, go.query, go.machine, machine.build)
+        self._senders[key] = front
+        pending = fleet.clients.pending.get(go.query)
+        work, due = (pending.work, pending.due) if pending else (UNKNOWN_WORK_US, fleet.now)
+        job = Job(key, 0, work, due)
+        fleet.at(fleet.now + fleet.delay("send", *key), self._offer, machine, job)
+
+    def _offer(self, machine: Machine, job: Job) -> None:
+        fleet = self._fleet
+        fleet.site.advance(machine)
+        pending = fleet.clients.pending.get(job.key[0])
+        if pending is not None:
+            job = job._replace(profile=pending.journey.wish.profile)
+        had_fallen = machine.fallen
+        done = machine.offer(fleet.now, job)
+        if machine.fallen and not had_fallen:
+            fleet.ledger.fell(fleet.now, machine.id)
+        if done is not None:
+            self.settled(machine, [done])
+        else:
+            fleet.site.wake(machine)
+
+    def cancel(self, go: Go) -> None:
+        """Tell a machine that an attempt is cancelled."""
+        fleet = self._fleet
+        arrives_at = fleet.now + fleet.delay("stop", go.query, go.number)
+        fleet.at(arrives_at, self._cancelled, go)
+
+    def _cancelled(self, go: Go) -> None:
+        fleet = self._fleet
+        machine = fleet.site.machines.get(go.machine)
+        if machine is not None:
+            fleet.site.advance(machine)
+            stopped = machine.stop(fleet.now, (go.query, go.number))
+            if stopped is not None and stopped.ran:
+                fleet.ledger.ran(fleet.now, go.query, go.machine)
+            self._senders.pop((go.query, go.number), None)
+            fleet.site.wake(machine)
+
+    def forget(self, key: AttemptKey) -> None:
+        """Drop the reply to an attempt: its front is gone."""
+        self._senders.pop(key, None)
+
+    def settled(self, machine: Machine, ended: list[Done]) -> None:
+        """Send the replies to attempts that have ended at a machine."""
+        fleet = self._fleet
+        for done in ended:
+            key = done.job.key
+            if done.ran:
+                fleet.ledger.ran(fleet.now, key[0], machine.id)
+            front = self._senders.pop(key, None)
+            attempt = front.attempts.get(key) if front is not None else None
+            took = fleet.now - attempt.began_at if attempt is not None else round(done.job.work)
+            if front is not None and done.reply is Reply.WRONG:
+                self._complain(front, machine, done)
+            fleet.control_plane.count_attempt(machine, done, took)
+            if front is not None and done.reply is not Reply.SILENT:
+                arrives_at = fleet.now + fleet.delay("reply", *key)
+                fleet.at(arrives_at, front.replied, key, machine.id, done.reply)
+
+    def _complain(self, front: VirtualFront, machine: Machine, done: Done) -> None:
+        """Report some of the wrong answers to the front that forwarded them."""
+        fleet, job = self._fleet, done.job
+        if fleet.chance.at("complaint", *job.key) < fleet.day.platform.complaint_share:
+            complaint = Complaint(machine.id, job.profile, COMPLAINT_AGE)
+            fleet.at(fleet.now + COMPLAINT_AGE, front.report, complaint)
