--- a/umbermoor/gateway/simulation/observations.py
+++ b/umbermoor/gateway/simulation/observations.py
@@ -20,7 +20,7 @@
 
 def replica_started(node: ControllerNode) -> bool:
     """Whether the program runs and has got as far as to make its replica."""
-    return node.program is not None and hasattr(node.program, "member")
+    return node.program is not None and hasattr(node.program, "replica")
 
 
 def replica_status(node: ControllerNode) -> ReplicaStatus:
