--- /dev/null
+++ b/tests/gateway/features/steps/rollout_steps.py
@@ -0,0 +1,200 @@
+"""Steps of rollout.feature: whole fleets as benchmarks/rollouts.py plays them, and single proxies
+and coordinators."""
+
+from typing import Any
+
+from behave import given, then, when
+
+from benchmarks.rollouts import Fleet
+from umbermoor.gateway.effects import Status
+from umbermoor.gateway.rollout import SECOND, RolloutCoordinator, RolloutObserver
+
+RAMP = 12.0
+SERVICE = "maps"
+
+
+@given("a rollout of a version that is {kind}, played with seeds {first:d} to {last:d}")
+def _(context: Any, kind: str, first: int, last: int) -> None:
+    context.outcomes = [Fleet(kind, seed, ramp=RAMP).play() for seed in range(first, last + 1)]
+
+
+@then("the rollout is {state} by the end of its ramp in each of them")
+def _(context: Any, state: str) -> None:
+    for outcome in context.outcomes:
+        assert outcome.state == state and outcome.after <= RAMP, outcome
+
+
+@then("the rollout kept its exposure in each of them")
+def _(context: Any) -> None:
+    for outcome in context.outcomes:
+        assert outcome.received and outcome.trial <= 0.1 * outcome.asked + 50, outcome
+
+
+@then("the rollout sent nothing more than {span:g} s after the 50th bad answer")
+def _(context: Any, span: float) -> None:
+    for outcome in context.outcomes:
+        assert outcome.fiftieth is None or outcome.last_sent <= outcome.fiftieth + span, outcome
+
+
+@then("the rollout left nothing at the old instances")
+def _(context: Any) -> None:
+    assert all(outcome.strays == 0 for outcome in context.outcomes), context.outcomes
+
+
+def record(stage: int, state: str = "running", serial: int = 0) -> dict[str, Any]:
+    return {
+        "order": 1,
+        "serial": serial,
+        "target": "v2",
+        "from": ["v1"],
+        "rampS": RAMP,
+        "state": state,
+        "stage": stage,
+        "elapsed": 4.0,
+        "why": "",
+    }
+
+
+def update_instances(context: Any) -> None:
+    context.proxy.confirm(context.now)
+    context.proxy.update_instances(context.now, SERVICE, context.instances)
+
+
+def chosen_versions(context: Any, requests: int = 200) -> list[str | None]:
+    """Where so many requests go; each is asked for, sent and answered well at once."""
+    versions = []
+    for i in range(requests):
+        context.now += 2000
+        context.proxy.request_received(context.now, SERVICE)
+        version = context.proxy.choose_version(context.now, SERVICE, i * 0.618 % 1)
+        assert context.proxy.may_send(context.now, SERVICE, version)
+        context.proxy.attempt_sent(context.now, SERVICE, version)
+        context.proxy.attempt_ended(
+            context.now, SERVICE, version, f"{version}-0", 0, True, False, False
+        )
+        versions.append(version)
+    return versions
+
+
+@given("proxy F that lists {number:d} instances of {revision}")
+def _(context: Any, number: int, revision: str) -> None:
+    context.now, context.proxy = 10 * SECOND, RolloutObserver()
+    context.instances = [(f"{revision}-{i}", revision, 0) for i in range(number)]
+    update_instances(context)
+
+
+@given("proxy F also lists {number:d} instances of {revision}")
+@when("proxy F also lists {number:d} instances of {revision}")
+def _(context: Any, number: int, revision: str) -> None:
+    context.instances += [(f"{revision}-{i}", revision, 0) for i in range(number)]
+    update_instances(context)
+
+
+@when("proxy F learns of an order for v2 at stage {stage:d}")
+def _(context: Any, stage: int) -> None:
+    context.proxy.apply_record(context.now, SERVICE, record(stage))
+
+
+@when("proxy F learns that it is reverted")
+def _(context: Any) -> None:
+    context.proxy.apply_record(context.now, SERVICE, record(3, "reverted", 1))
+
+
+@when("proxy F gets no update for {span:d} ms")
+def _(context: Any, span: int) -> None:
+    context.now += span * 1000
+
+
+@when("proxy F sees {number:d} attempts at v2 fail")
+def _(context: Any, number: int) -> None:
+    for _ in range(number):
+        context.proxy.attempt_sent(context.now, SERVICE, "v2")
+        context.proxy.attempt_ended(context.now, SERVICE, "v2", "v2-0", 0, False, True, False)
+
+
+@then("proxy F sends {one} every request, and may not send {other} any")
+def _(context: Any, one: str, other: str) -> None:
+    assert set(chosen_versions(context)) == {one}
+    assert not context.proxy.may_send(context.now, SERVICE, other)
+
+
+@then("proxy F sends v2 from {least:d} to {most:d} of {requests:d} requests")
+def _(context: Any, least: int, most: int, requests: int) -> None:
+    assert least <= chosen_versions(context, requests).count("v2") <= most
+
+
+@given("a rollout coordinator without orders")
+def _(context: Any) -> None:
+    context.now, context.coordinator = 0, RolloutCoordinator()
+
+
+@then("the rollout coordinator answers {code} to an order for {target} after one for v2")
+def _(context: Any, code: str, target: str) -> None:
+    context.coordinator.apply_record(
+        0, SERVICE, context.coordinator.begin(SERVICE, "v2", RAMP, ["v1"])
+    )
+    assert context.coordinator.begin(SERVICE, target, RAMP, ["v1"]) is Status[code]
+
+
+@then("the rollout coordinator answers {code} to an order for {target} again")
+def _(context: Any, code: str, target: str) -> None:
+    assert context.coordinator.begin(SERVICE, target, RAMP, ["v1"]) is Status[code]
+
+
+@then("the rollout coordinator answers {code} to an order with a ramp of {ramp:g} s")
+def _(context: Any, code: str, ramp: float) -> None:
+    assert context.coordinator.begin(SERVICE, "v2", ramp, ["v1"]) is Status[code]
+
+
+@given("a rollout coordinator that leads an order for v2, and {proxies:d} proxies that report")
+def _(context: Any, proxies: int) -> None:
+    context.now, context.coordinator, context.by_instance = 5 * SECOND, RolloutCoordinator(), {}
+    context.coordinator.apply_record(context.now, SERVICE, record(0))
+    for proxy in range(1, proxies + 1):
+        report(context, proxy, "b-1", 0, 0)
+
+
+def report(context: Any, proxy: int, instance: str, bad: int, number: int) -> None:
+    context.now += 20_000
+    each = context.by_instance.setdefault(proxy, {})
+    each[instance] = [number, bad]
+    n, wrong = (sum(count[i] for count in each.values()) for i in range(2))
+    context.coordinator.receive_report(
+        context.now,
+        f"proxy-{proxy}",
+        {
+            "service": SERVICE,
+            "target": "v2",
+            "order": 1,
+            "stage": 0,
+            "since": 1,
+            "elapsed": 4.0,
+            "vote": None,
+            "counts": {"trial": [n, n - wrong, wrong], "base": [300, 298, 2]},
+            "before": 3,
+            "asked": 300,
+            "each": {name: list(count) for name, count in each.items()},
+            "listed": [8, 8],
+        },
+    )
+
+
+@when("proxy {proxy:d} reports that {bad:d} of {number:d} outcomes of instance {instance} were bad")
+def _(context: Any, proxy: int, bad: int, number: int, instance: str) -> None:
+    report(context, proxy, instance, bad, number)
+
+
+def state(context: Any) -> str:
+    context.now += SECOND // 4
+    puts = context.coordinator.tick(context.now)
+    return puts[-1][1]["state"] if puts else "running"
+
+
+@then("the rollout coordinator goes on")
+def _(context: Any) -> None:
+    assert state(context) == "running"
+
+
+@then("the rollout coordinator reverts it")
+def _(context: Any) -> None:
+    assert state(context) == "reverted"
--- a/umbermoor/gateway/api/decisions.py
+++ b/umbermoor/gateway/api/decisions.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from umbermoor.gateway.effects import Decision, Outcome
-from umbermoor.gateway.rollout.plan import ROLLOUT, Record, newer
-from umbermoor.gateway.rollout.trial import judge_begin, judge_step
+from umbermoor.gateway.rollout.admission import judge_begin, judge_stage
+from umbermoor.gateway.rollout.records import ROLLOUT_KEY_PREFIX, RecordDocument, supersedes
 
 CONFIG_KEY = "config"  # the register's key of the configuration
 MAX_PAST_REVISIONS = 128  # numbers that were in force before, whose contents are still told apart
@@ -92,7 +92,7 @@
     try:
         if key == CONFIG_KEY:
             return _judge_configuration(held.get(key), new)
-        if key.startswith(ROLLOUT):
+        if key.startswith(ROLLOUT_KEY_PREFIX):
             return _judge_rollout(held, key, new, epoch)
     except (
         KeyError,
@@ -168,18 +168,18 @@
     )
 
 
-def _judge_rollout(held: Mapping[str, Any], key: str, new: Record, epoch: int) -> Decision:
+def _judge_rollout(held: Mapping[str, Any], key: str, new: RecordDocument, epoch: int) -> Decision:
     """An order has `begin`, a stage has `on`; what has neither came by a member of an earlier
     revision."""
-    last, service = held.get(key), key[len(ROLLOUT) :]
+    last, service = held.get(key), key[len(ROLLOUT_KEY_PREFIX) :]
     if (
         "on" in new
         # first: a head of an earlier revision stored records with their `begin`, and stages carry it on
     ):
-        return judge_step(last, new, epoch)
+        return judge_stage(last, new, epoch)
     if "begin" in new:
         return judge_begin(last, new["begin"], lambda: _names(held.get(CONFIG_KEY), service))
-    return Decision(Outcome.ACCEPTED, new) if newer(new, last) else Decision(Outcome.STALE)
+    return Decision(Outcome.ACCEPTED, new) if supersedes(new, last) else Decision(Outcome.STALE)
 
 
 def _names(configuration: ConfigurationRecord | None, service: str) -> bool:
--- a/umbermoor/gateway/rollout/__init__.py
+++ b/umbermoor/gateway/rollout/__init__.py
@@ -1,35 +1,41 @@
-"""The anemometer: brings a service's new version in, or sends it back, at one pace over all fronts.
+"""Progressive delivery: rolls a service's new version out, or reverts it, alike on all proxies.
 
-Every front runs `Trials` (front.py): which version each request goes to, its own scores, its vote.
-The member of the core that leads roll-outs runs `Steps` (core.py): it pools what fronts report, and
-writes the next step into the durable record, which news brings to all fronts. The course of it:
-plan.py.
+Every proxy runs a `RolloutObserver` (`observer.py`; one service's state: `service_rollout.py`):
+which version each attempt goes to, its own scores, its vote. The controller that leads runs a
+`RolloutCoordinator` (`coordinator.py`): it pools what proxies report (`cusum.py`), and
+proposes the next step of the durable record, which the replica set judges (`admission.py`) and the
+distribution of updates brings to all proxies. `stages.py` has the course of a rollout,
+`judgement.py` the statistics common to both, `records.py` the JSON of records and reports.
+
+The package imports `umbermoor.statistics` and `umbermoor.gateway.effects` alone. Source: E. Feit,
+R. Berman, "Test & Roll: Profit-Maximizing A/B Tests", 2019.
 
     >>> def play(bad: bool) -> tuple[str, float, float]:
-    ...     front, steps, sent, asked = Trials(), Steps(), 0, 0
-    ...     machines = [(f"i-{i}", "v1" if i < 4 else "v2", 0) for i in range(8)]
-    ...     record = steps.begin(0, "maps", "v2", 12, ["v1", "v2"])
+    ...     proxy, controller, sent, requests = RolloutObserver(), RolloutCoordinator(), 0, 0
+    ...     instances = [(f"i-{i}", "v1" if i < 4 else "v2", 0) for i in range(8)]
+    ...     record = controller.begin("maps", "v2", 12, ["v1", "v2"])
     ...     for ms in range(12_000):
     ...         now = 5 * SECOND + ms * 1000
-    ...         steps.record(now, "maps", record)
-    ...         front.order(now, "maps", record)
-    ...         front.listed(now, "maps", machines)
+    ...         controller.apply_record(now, "maps", record)
+    ...         proxy.apply_record(now, "maps", record)
+    ...         proxy.update_instances(now, "maps", instances)
     ...         if ms % 3 == 0:
-    ...             front.asked(now, "maps")
-    ...             asked += 1
-    ...             side = front.side(now, "maps", asked * 0.618 % 1)
-    ...             front.sent(now, "maps", side)
-    ...             carries = front.machines(now, "maps") if side == "v2" else ("i-1",)
-    ...             spoilt = bad and side == "v2" and asked % 2 == 0
-    ...             front.ended(now, "maps", side, carries[0], 0, True, spoilt, False)
-    ...             sent += side == "v2"
-    ...         for report in front.tick(now):
-    ...             steps.report(now, "front-1", report)
-    ...         for _, record in steps.tick(now):
-    ...             steps.record(now, "maps", record)
+    ...             proxy.request_received(now, "maps")
+    ...             requests += 1
+    ...             version = proxy.choose_version(now, "maps", requests * 0.618 % 1)
+    ...             proxy.attempt_sent(now, "maps", version)
+    ...             trial = proxy.trial_instances(now, "maps")
+    ...             instance = trial[0] if version == "v2" else "i-1"
+    ...             failed = bad and version == "v2" and requests % 2 == 0
+    ...             proxy.attempt_ended(now, "maps", version, instance, 0, True, failed, False)
+    ...             sent += version == "v2"
+    ...         for report in proxy.reports(now):
+    ...             controller.receive_report(now, "proxy-1", report)
+    ...         for _, record in controller.tick(now):
+    ...             controller.apply_record(now, "maps", record)
     ...         if record["state"] != "running":
     ...             break
-    ...     return steps.read("maps")["state"], ms / 1000, sent / (341 * 12)
+    ...     return controller.read("maps")["state"], ms / 1000, sent / (341 * 12)
     >>> state, after_s, share = play(bad=False)
     >>> state, after_s < 11.5
     ('settled', True)
@@ -38,8 +44,8 @@
     ('reverted', True, True)
 """
 
-from umbermoor.gateway.rollout.core import Steps
-from umbermoor.gateway.rollout.front import Trials
-from umbermoor.gateway.rollout.plan import SECOND, Record
+from umbermoor.gateway.rollout.coordinator import RolloutCoordinator
+from umbermoor.gateway.rollout.observer import RolloutObserver
+from umbermoor.gateway.rollout.stages import SECOND
 
-__all__ = ["SECOND", "Record", "Steps", "Trials"]
+__all__ = ["SECOND", "RolloutCoordinator", "RolloutObserver"]
--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -45,10 +45,9 @@
 from umbermoor.gateway.replication.anti_entropy import DigestComparison
 from umbermoor.gateway.replication.replica import Replica
 from umbermoor.gateway.replication.store import Store
-from umbermoor.gateway.rollout.core import Steps
-from umbermoor.gateway.rollout.plan import ROLLOUT
-from umbermoor.gateway.rollout.trial import ask as asked_of
-from umbermoor.gateway.rollout.trial import judge_begin, step
+from umbermoor.gateway.rollout.admission import judge_begin, order_request, stage_write
+from umbermoor.gateway.rollout.coordinator import RolloutCoordinator
+from umbermoor.gateway.rollout.records import ROLLOUT_KEY_PREFIX
 from umbermoor.gateway.server.events import event, watch
 from umbermoor.gateway.server.peer_transport import PeerConnection, PeerTransport, encode_frame
 
@@ -110,7 +109,7 @@
         self.sweeps, self.mended, self.swept_at, self.sweeping = 0, 0, self.now(), False
         self.saved, self.saved_at, self.saving = self.registry.durable_sequence, 0, False
         self.pulls = Subscriber(seeds, papers.ip)
-        self.publisher, self.steps, self.learnt = Publisher(), Steps(), (0, 0)
+        self.publisher, self.rollouts, self.learnt = Publisher(), RolloutCoordinator(), (0, 0)
         self.post = PeerTransport(papers.ip, papers.port_range[0], self.receive, self.lost)
         self.asks: dict[int, asyncio.Future] = {}
         self.heards: dict[int, tuple[set[str], asyncio.Event]] = {}
@@ -265,11 +264,11 @@
                 if entry.service == service and entry.state in (READY, SILENT)
             }
         )
-        order = asked_of(target, ramp, present, key)
+        order = order_request(target, ramp, present, key)
         # A head of the earlier revision takes what is beside `begin` where it is newer than what
         # stands: so it is what this member's own copy makes of the order: the record itself, where
         # the order changes nothing.
-        last = self.member.committed.get(ROLLOUT + service)
+        last = self.member.committed.get(ROLLOUT_KEY_PREFIX + service)
         own = judge_begin(last, order, lambda: True)
         if own.outcome is Outcome.CONFLICT and not self.member.head_decides:
             return (
@@ -277,7 +276,7 @@
             )
         value = (own.value or last) | {"begin": order}
         answer = await self.ask(
-            lambda now, number: self.member.put(now, number, ROLLOUT + service, value)
+            lambda now, number: self.member.put(now, number, ROLLOUT_KEY_PREFIX + service, value)
         )
         event(
             "begin",
@@ -294,7 +293,7 @@
         answer = await self.ask(self.member.read)
         if answer.status is not Status.OK:
             return LATER
-        record = answer.value.get(ROLLOUT + ask.name)
+        record = answer.value.get(ROLLOUT_KEY_PREFIX + ask.name)
         if record is None:
             return error_response(404, f"no roll-out of {ask.name}")
         return json_response(200, {"state": record["state"], "target": record["target"]})
@@ -468,7 +467,7 @@
         elif kind == "reports" and isinstance(message.get("reports"), list) and self.connected():
             for report in message["reports"]:
                 try:
-                    self.steps.report(now, line.peer, report)
+                    self.rollouts.receive_report(now, line.peer, report)
                 except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
                     event("garbled", what="report", source=line.peer, why=error)
         elif kind == "digest" and line.peer in self.member.member_names:
@@ -522,8 +521,8 @@
                 self.changed.update(dict.fromkeys(changed, self.learnt))
             self.records = records
             for key, record in records.items():
-                if key.startswith(ROLLOUT):
-                    self.steps.record(self.now(), key[len(ROLLOUT) :], record)
+                if key.startswith(ROLLOUT_KEY_PREFIX):
+                    self.rollouts.apply_record(self.now(), key[len(ROLLOUT_KEY_PREFIX) :], record)
         if effects:
             self.tell_soon()
 
@@ -718,12 +717,16 @@
             self.carry(self.member.tick(now))
             self.pulls.members = self.member.replica_set.members
             if self.member.connected and self.head() == self.papers.ip:
-                for service, record in self.steps.tick(now):
+                for service, record in self.rollouts.tick(now):
                     self.number += 1
-                    value = step(
-                        record, self.steps.orders[service].record, self.member.status().epoch
+                    value = stage_write(
+                        record,
+                        self.rollouts.orders[service].record.document,
+                        self.member.status().epoch,
+                    )
+                    self.carry(
+                        self.member.put(now, self.number, ROLLOUT_KEY_PREFIX + service, value)
                     )
-                    self.carry(self.member.put(now, self.number, ROLLOUT + service, value))
             self.registry.tick(now, self.member.connected)
             self.save(now)
             self.sweep(now)
--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -31,8 +31,8 @@
 from umbermoor.gateway.distribution.deltas import apply_delta, text_digest
 from umbermoor.gateway.distribution.subscriber import Subscriber
 from umbermoor.gateway.membership.failure_detector import FailureDetector
-from umbermoor.gateway.rollout.front import Trials
-from umbermoor.gateway.rollout.plan import ROLLOUT
+from umbermoor.gateway.rollout.observer import RolloutObserver
+from umbermoor.gateway.rollout.records import ROLLOUT_KEY_PREFIX
 from umbermoor.gateway.routing.route_table import Route, RouteTable
 from umbermoor.gateway.server import datagrams
 from umbermoor.gateway.server.client_connection import ClientLine, relieve, request_bytes
@@ -86,7 +86,11 @@
         self.text = ""  # of the configuration in force, as the operator sent it
         self.stages: dict[str, tuple] = {}  # of roll-outs, as last logged
         self.clock = time.monotonic
-        self.instances, self.trials, self.routes = Instances(settings.zone), Trials(), None
+        self.instances, self.rollouts, self.routes = (
+            Instances(settings.zone),
+            RolloutObserver(),
+            None,
+        )
         self.buffers = Buffers(settings.memory_mb << 20)
         self.pool = Pool(self.buffers, self.clock, self.may)
         self.pulls = Subscriber([seed.rpartition(":")[0] for seed in settings.seeds])
@@ -127,7 +131,7 @@
         )
         going = self.going[id(slot)] = Going(line, slot, request, route, lifecycle)
         self.retry_budget(service).request_arrived(now)
-        self.trials.asked(now, service)
+        self.rollouts.request_received(now, service)
         self.go(going)
 
     def may_repeat(self, request: Request) -> bool:
@@ -140,7 +144,7 @@
     def may(self, instance: Instance) -> bool:
         """The gate right before every send."""
         now = self.now()
-        return self.instances.is_listed(instance) and self.trials.allowed(
+        return self.instances.is_listed(instance) and self.rollouts.may_send(
             now, instance.entry.service, instance.entry.revision
         )
 
@@ -194,12 +198,12 @@
 
     def choose(self, now: int, lifecycle: RequestLifecycle, second: bool) -> Instance | None:
         """The version's turn by the roll-out's share, then the machine within it."""
-        trials, service, chance = self.trials, lifecycle.service, self.chance.random
-        side = trials.side(now, service, chance(), second)
+        rollouts, service, chance = self.rollouts, lifecycle.service, self.chance.random
+        side = rollouts.choose_version(now, service, chance(), second)
         if side is None:
             return None
         wait = lifecycle.deadline - now
-        only = trials.machines(now, service) if side == trials.target(service) else ()
+        only = rollouts.trial_instances(now, service) if side == rollouts.target(service) else ()
         instance = self.instances.choose(now, service, side, only, lifecycle.tried, chance, wait)
         return (
             instance
@@ -219,7 +223,7 @@
             now, number, instance, round(4 * usual * instance.relative_service_time)
         )
         instance.attempt_started(now)
-        self.trials.sent(now, lifecycle.service, instance.entry.revision)
+        self.rollouts.attempt_sent(now, lifecycle.service, instance.entry.revision)
         data = request_bytes(going.request, instance.id, max(1, (lifecycle.deadline - now) // 1000))
         attempt = Attempt(
             data,
@@ -260,7 +264,7 @@
         elif outcome is not AttemptOutcome.CANCELLED:
             instance.ejection.failure(now, outcome is AttemptOutcome.CONNECT_FAILED)
         entry, unrun = instance.entry, outcome in NOT_EXECUTED
-        self.trials.ended(
+        self.rollouts.attempt_ended(
             now,
             entry.service,
             entry.revision,
@@ -324,11 +328,11 @@
             for instance in self.instances.update(now, heard.instances):
                 self.pool.drop(instance)
             if heard.confirmed:
-                self.trials.heard(now)
+                self.rollouts.confirm(now)
             for key, record in heard.records.items():
-                if key.startswith(ROLLOUT):
-                    service = key[len(ROLLOUT) :]
-                    self.trials.order(now, service, record, heard.confirmed)
+                if key.startswith(ROLLOUT_KEY_PREFIX):
+                    service = key[len(ROLLOUT_KEY_PREFIX) :]
+                    self.rollouts.apply_record(now, service, record, heard.confirmed)
                     stage = record["state"], record["target"], record["stage"]
                     if self.stages.get(key) != stage:
                         self.stages[key] = stage
@@ -340,9 +344,9 @@
                             stage=stage[2],
                         )
             for service in self.instances.changed_services:
-                if heard.confirmed and ROLLOUT + service not in self.pulls.records:
-                    self.trials.order(now, service, None)
-                self.trials.listed(
+                if heard.confirmed and ROLLOUT_KEY_PREFIX + service not in self.pulls.records:
+                    self.rollouts.apply_record(now, service, None)
+                self.rollouts.update_instances(
                     now,
                     service,
                     [
@@ -453,7 +457,7 @@
             self.look(now)
             for name in self.pulls.due_pulls(now):
                 self.post.send(name, self.pulls.make_pull(now, name))
-            if self.pulls.head and (reports := self.trials.tick(now)):
+            if self.pulls.head and (reports := self.rollouts.reports(now)):
                 self.post.send(self.pulls.head, {"kind": "reports", "reports": reports})
             if not self.ready:
                 self.ready = (
