--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -5,7 +5,7 @@
     `ClientConnections`   connections of clients, and requests that wait for their turn there
     `RequestHandler`      requests that are worked at; open this one first
     `ConnectionPool`      connections to instances
-    `Instances`, `Trials` which instance and which version a request goes to
+    `Instances`, `RolloutObserver` which instance and which version a request goes to
     `RetryBudgets`        how many retries may be sent to each service
     `ControllerLink`      what the controllers tell, and the configuration in force
     `FailureDetector`     which other proxies run
@@ -25,7 +25,7 @@
 from umbermoor.gateway.config.errors import ValidationError
 from umbermoor.gateway.config.node_settings import NodeSettings, read_node_settings
 from umbermoor.gateway.membership.failure_detector import FailureDetector
-from umbermoor.gateway.rollout.front import Trials
+from umbermoor.gateway.rollout.observer import RolloutObserver
 from umbermoor.gateway.server import datagrams
 from umbermoor.gateway.server.client_connection import ClientConnections, abort_slow_readers
 from umbermoor.gateway.server.connections import ConnectionPool
@@ -94,7 +94,7 @@
         salt = chance.getrandbits(32)
         self.buffers = Buffers(round(settings.memory_mb) << 20)
         self.instances = Instances(settings.zone)
-        self.rollouts = Trials()
+        self.rollouts = RolloutObserver()
         self.retry_budgets = RetryBudgets(*_retry_bounds(settings))
         self.requests = RequestHandler(
             self.instances, self.rollouts, self.retry_budgets, self.clock, chance
