--- a/umbermoor/gateway/api/decisions.py
+++ b/umbermoor/gateway/api/decisions.py
@@ -172,10 +172,9 @@
     """An order has `begin`, a stage has `on`; what has neither came by a member of an earlier
     revision."""
     last, service = held.get(key), key[len(ROLLOUT_KEY_PREFIX) :]
-    if (
-        "on" in new
-        # first: a head of an earlier revision stored records with their `begin`, and stages carry it on
-    ):
+    # `on` first: a head of an earlier release stored records with their `begin`, and the stages
+    # that follow carry it on.
+    if "on" in new:
         return judge_stage(last, new, epoch)
     if "begin" in new:
         return judge_begin(last, new["begin"], lambda: _names(held.get(CONFIG_KEY), service))
--- a/umbermoor/gateway/api/http_api.py
+++ b/umbermoor/gateway/api/http_api.py
@@ -95,6 +95,7 @@
         return error_response(404, "no such call")
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
+        """Serves one call, or the start and end of the server, as ASGI says."""
         if scope["type"] == "lifespan":
             await _serve_lifespan(receive, send)
         elif scope["type"] == "http":
@@ -121,7 +122,7 @@
 
 
 async def _read_body(receive: Receive) -> bytes | None:
-    """The body, up to the part with which it is too long; None if the caller left before its end."""
+    """The body, up to the part that makes it too long; None if the caller left before its end."""
     body = bytearray()
     while len(body) <= MAX_BODY_BYTES:
         event = await receive()
--- a/umbermoor/gateway/server/status_calls.py
+++ b/umbermoor/gateway/server/status_calls.py
@@ -1,4 +1,7 @@
-"""What a controller says of itself to operators: /Story and /Machines. No call of the protocol."""
+"""What a controller says of itself to operators: /Status and /Instances. No call of the protocol.
+
+Their earlier names, /Story and /Machines, answer for one more release, with their earlier keys.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -25,10 +28,47 @@
         self._name, self._registry, self._host, self._sweep = name, registry, host, sweep
         self._waiting_pulls, self._clock = waiting_pulls, clock
 
-    @api_call("GET", "/Story")
+    @api_call("GET", "/Status")
     async def status(self, request: ApiRequest) -> ApiResponse:
         """Its view of the chain, its place in it, what it holds."""
         replica, store, sweep = self._host.replica, self._host.store, self._sweep
+        status = replica.status()
+        return json_response(
+            200,
+            {
+                "name": self._name,
+                "epoch": status.epoch,
+                "chain": list(status.chain),
+                "role": status.role.value,
+                "version": list(status.version),
+                "uncommittedWrites": status.uncommitted,
+                "replicaSet": {
+                    "number": status.set_number,
+                    "members": list(status.members),
+                    "learners": list(status.learners),
+                    "addresses": list(replica.member_names),
+                    "degraded": status.degraded,
+                },
+                "connected": replica.connected,
+                "instances": len(self._registry.records),
+                "waitingPulls": self._waiting_pulls(),
+                "missingTexts": self._host.channel.missing_texts,
+                "store": {
+                    "usedBytes": store.used(),
+                    "maxBytes": store.size,
+                    "full": store.full,
+                    "sweeps": sweep.completed,
+                    "repairedRecords": sweep.repaired,
+                },
+                "digestsCompared": sweep.comparison.compared,
+                "differingMembers": sorted(sweep.comparison.differing),
+            },
+        )
+
+    @api_call("GET", "/Story")
+    async def story(self, request: ApiRequest) -> ApiResponse:
+        """Deprecated: the earlier form of /Status."""
+        replica, store, sweep = self._host.replica, self._host.store, self._sweep
         return json_response(
             200,
             {
@@ -51,13 +91,19 @@
             },
         )
 
-    @api_call("GET", "/Machines")
+    @api_call("GET", "/Instances")
     async def instances(self, request: ApiRequest) -> ApiResponse:
         """What it knows of the instances, by id."""
+        return json_response(200, {"instances": self._instances()})
+
+    @api_call("GET", "/Machines")
+    async def machines(self, request: ApiRequest) -> ApiResponse:
+        """Deprecated: the earlier form of /Instances."""
+        return json_response(200, {"machines": self._instances()})
+
+    def _instances(self) -> dict[str, dict[str, Any]]:
         now, records = self._clock(), self._registry.records
-        return json_response(
-            200, {"machines": {id: self._instance(now, record) for id, record in records.items()}}
-        )
+        return {id: self._instance(now, record) for id, record in records.items()}
 
     def _instance(self, now: int, record: InstanceRecord) -> dict[str, Any]:
         """`heardS`: how long since it last changed here."""
