--- a/umbermoor/gateway/rollout/coordinator.py
+++ b/umbermoor/gateway/rollout/coordinator.py
@@ -126,8 +126,8 @@
             if outcomes > outcomes_before:
                 test.add_pending(now, proxy, instance, outcomes - outcomes_before, bad - bad_before)
 
-    def heard_reports(self, now: int) -> list[ProxyReport]:
-        """The last reports of proxies that are heard."""
+    def recent_reports(self, now: int) -> list[ProxyReport]:
+        """The last reports of proxies that reported lately."""
         return [
             received.report
             for received in self.reports.values()
@@ -161,8 +161,8 @@
         """
         if not _valid_order(target, ramp_seconds):
             return Status.INVALID
-        held = self.orders.get(service)
-        last = held.record.document if held else None
+        progress = self.orders.get(service)
+        last = progress.record.document if progress else None
         request = order_request(target, ramp_seconds, present)
         decision = judge_begin(last, request, lambda: True)
         if decision.outcome is Outcome.ACCEPTED:
@@ -171,23 +171,23 @@
 
     def read(self, service: str) -> dict[str, str] | Status:
         """What an operator reads: state and target; NOT_FOUND."""
-        held = self.orders.get(service)
-        if held is None:
+        progress = self.orders.get(service)
+        if progress is None:
             return Status.NOT_FOUND
-        return {"state": held.record.state, "target": held.record.target}
+        return {"state": progress.record.state, "target": progress.record.target}
 
     def apply_record(self, now: int, service: str, document: RecordDocument | None) -> None:
         """The durable record in force; an older one is ignored."""
-        held = self.orders.get(service)
+        progress = self.orders.get(service)
         if document is None:
             return
-        if held is not None and not supersedes(document, held.record.document):
+        if progress is not None and not supersedes(document, progress.record.document):
             return
         record = RolloutRecord.read(document)
-        if held is None or record.order != held.record.order:
+        if progress is None or record.order != progress.record.order:
             self.orders[service] = OrderProgress(record, now, now)
         else:
-            held.update(now, record)
+            progress.update(now, record)
 
     def receive_report(self, now: int, proxy: str, document: ReportDocument) -> None:
         """What a proxy reports; that of an unknown order is ignored.
@@ -195,9 +195,9 @@
         Raises:
             KeyError, TypeError, ValueError, IndexError, AttributeError: it is malformed.
         """
-        held = self.orders.get(document.get("service", ""))
-        if held is not None and held.record.order == document["order"]:
-            held.receive(now, proxy, ProxyReport.read(document))
+        progress = self.orders.get(document.get("service", ""))
+        if progress is not None and progress.record.order == document["order"]:
+            progress.receive(now, proxy, ProxyReport.read(document))
 
     def tick(self, now: int) -> list[tuple[str, RecordDocument]]:
         """Records to be written now, by service.
@@ -207,16 +207,16 @@
         leads, after each report or some ten times a second.
         """
         proposals = []
-        for service, held in self.orders.items():
-            if not held.record.running:
+        for service, progress in self.orders.items():
+            if not progress.record.running:
                 continue
-            changes = _next_changes(now, held)
-            if _awaits_write(now, held, ends="state" in changes):
+            changes = _next_changes(now, progress)
+            if _awaits_write(now, progress, ends="state" in changes):
                 continue
-            if not changes and now - held.recorded_at < RENEW_INTERVAL:
+            if not changes and now - progress.recorded_at < RENEW_INTERVAL:
                 continue
-            record = held.record.next(changes, round(held.elapsed_seconds(now), 3))
-            held.proposed, held.proposed_at = record, now
+            record = progress.record.next(changes, round(progress.elapsed_seconds(now), 3))
+            progress.proposed, progress.proposed_at = record, now
             proposals.append((service, record.document))
         return proposals
 
@@ -229,18 +229,18 @@
     return 0 < ramp_seconds < float("inf")
 
 
-def _awaits_write(now: int, held: OrderProgress, ends: bool) -> bool:
+def _awaits_write(now: int, progress: OrderProgress, ends: bool) -> bool:
     """Whether the last proposal may still be written; one that ends the order does not wait."""
-    proposed = held.proposed
-    if proposed is None or not supersedes(proposed.document, held.record.document):
+    proposed = progress.proposed
+    if proposed is None or not supersedes(proposed.document, progress.record.document):
         return False
-    return now - held.proposed_at < REWRITE_INTERVAL and (not ends or not proposed.running)
+    return now - progress.proposed_at < REWRITE_INTERVAL and (not ends or not proposed.running)
 
 
-def _next_changes(now: int, held: OrderProgress) -> Changes:
+def _next_changes(now: int, progress: OrderProgress) -> Changes:
     """What changes in the record now; empty: nothing."""
-    stage, test = held.record.stage, held.test
-    reports = held.heard_reports(now)
+    stage, test = progress.record.stage, progress.test
+    reports = progress.recent_reports(now)
     instances = max((report.warm_instances for report in reports), default=1)
     test.weigh(now, lone=stage == FINAL_STAGE)
     evidence = test.evidence(instances, len(reports))
@@ -253,46 +253,46 @@
     if trails and reverts >= 2 and reverts > advances:
         return reverted(f"votes: {reverts} back, {advances} on")
     if stage == FINAL_STAGE:
-        return _settle(now, held, reports)
-    if not _next_stage_due(now, held, reports):
+        return _settle(now, progress, reports)
+    if not _next_stage_due(now, progress, reports):
         return {}
     if trails:
         return reverted(f"behind: {counts}")
     following = sum(report.stage == stage for report in reports)
     if evidence.confirmed >= DOUBT or 2 * following <= len(reports):
         return {}
-    ramp_part = held.elapsed_seconds(now) / held.record.ramp_seconds
+    ramp_part = progress.elapsed_seconds(now) / progress.record.ramp_seconds
     if reverts > advances and ramp_part < STAGE_STARTS[stage + 1] + VOTE_WAIT_SHARE:
         return {}
     return advanced_to(stage + 1)
 
 
-def _next_stage_due(now: int, held: OrderProgress, reports: Sequence[ProxyReport]) -> bool:
+def _next_stage_due(now: int, progress: OrderProgress, reports: Sequence[ProxyReport]) -> bool:
     """Whether the next stage's time has come, with outcomes and instances enough."""
-    record = held.record
+    record = progress.record
     if not reports:
         return False
-    if held.elapsed_seconds(now) / record.ramp_seconds < STAGE_STARTS[record.stage + 1]:
+    if progress.elapsed_seconds(now) / record.ramp_seconds < STAGE_STARTS[record.stage + 1]:
         return False
-    if (now - held.stage_since) / SECOND < MIN_STAGE_SHARE * record.ramp_seconds:
+    if (now - progress.stage_since) / SECOND < MIN_STAGE_SHARE * record.ramp_seconds:
         return False
-    requests = sum(received.report.requests for received in held.reports.values())
+    requests = sum(received.report.requests for received in progress.reports.values())
     needed = 1 if requests <= LIGHT_TRAFFIC_REQUESTS else MIN_OUTCOMES
-    if held.test.trial.total < needed:
+    if progress.test.trial.total < needed:
         return False
     previous = max(report.previous_instances for report in reports)
     warm = max(report.warm_instances for report in reports)
     return warm > 0 and 2 * warm >= previous
 
 
-def _settle(now: int, held: OrderProgress, reports: Sequence[ProxyReport]) -> Changes:
+def _settle(now: int, progress: OrderProgress, reports: Sequence[ProxyReport]) -> Changes:
     """Settled once no proxy sends to the previous version, and SETTLE_DELAY has passed."""
     quiet = bool(reports) and all(
         report.stage == FINAL_STAGE and not report.previous_in_flight for report in reports
     )
     if not quiet:
-        held.quiet_since = None
+        progress.quiet_since = None
         return {}
-    if held.quiet_since is None:
-        held.quiet_since = now
-    return settled() if now - held.quiet_since >= SETTLE_DELAY else {}
+    if progress.quiet_since is None:
+        progress.quiet_since = now
+    return settled() if now - progress.quiet_since >= SETTLE_DELAY else {}
--- a/umbermoor/gateway/rollout/records.py
+++ b/umbermoor/gateway/rollout/records.py
@@ -32,12 +32,12 @@
     REVERT = "back"
 
 
-def supersedes(new: Mapping[str, Any], held: Mapping[str, Any] | None) -> bool:
-    """Whether a record may take the place of `held`: what has ended stays ended for its order."""
-    if held is None or new["order"] != held["order"]:
-        return held is None or new["order"] > held["order"]
-    return held["state"] == RolloutState.RUNNING and (
-        new["state"] != RolloutState.RUNNING or new["serial"] > held["serial"]
+def supersedes(new: Mapping[str, Any], current: Mapping[str, Any] | None) -> bool:
+    """Whether a record may take the place of `current`; what has ended stays so for its order."""
+    if current is None or new["order"] != current["order"]:
+        return current is None or new["order"] > current["order"]
+    return current["state"] == RolloutState.RUNNING and (
+        new["state"] != RolloutState.RUNNING or new["serial"] > current["serial"]
     )
 
 
