--- a/umbermoor/gateway/simulation/control_world.py
+++ b/umbermoor/gateway/simulation/control_world.py
@@ -12,8 +12,8 @@
 from typing import Any, NoReturn
 from unittest.mock import patch
 
-from umbermoor.gateway.server import controller as controller_program
 from umbermoor.gateway.server import controller_link
+from umbermoor.gateway.server import events as controller_events
 from umbermoor.gateway.server import proxy as proxy_program
 from umbermoor.gateway.simulation import observations
 from umbermoor.gateway.simulation.configurations import Configurations
@@ -122,7 +122,7 @@
     def run(self) -> "ControlWorld":
         """Play it all; raises InvariantViolation."""
         with (
-            patch.object(controller_program, "event", self._log_event),
+            patch.object(controller_events, "event", self._log_event),
             patch.object(proxy_program, "event", self._log_event),
             patch.object(controller_link, "event", self._log_event),
         ):
