--- a/umbermoor/gateway/local/instance.py
+++ b/umbermoor/gateway/local/instance.py
@@ -299,7 +299,7 @@
         while self._pending:
             request = self._pending.popleft()
             if isinstance(request, Fault):
-                self._transport.write(write_response(request.status, keep=False))
+                self._transport.write(write_response(request.status, keep_alive=False))
                 self._transport.close()
                 return
             if not await self._answer(request):
@@ -312,7 +312,7 @@
         """Answer one request; whether the connection is kept."""
         instance = self._instance
         response = await instance.handle(request)
-        keep = request.keep and not instance.draining
+        keep = request.keep_alive and not instance.draining
         headers = dict(response.headers) | {"X-Load-Level": instance.load_level()}
         if attempt_id := request.headers.get("x-attempt-id"):
             headers["X-Attempt-Id"] = attempt_id
--- a/umbermoor/gateway/local/traffic.py
+++ b/umbermoor/gateway/local/traffic.py
@@ -40,7 +40,7 @@
         except asyncio.CancelledError:
             self.close()
             raise
-        if not isinstance(response, Response) or not response.keep:
+        if not isinstance(response, Response) or not response.keep_alive:
             self.close()
         return "garbled" if isinstance(response, Fault) else str(response.status)
 
--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -21,9 +21,9 @@
 from umbermoor.gateway.distribution.subscriber import Subscriber
 from umbermoor.gateway.replication.replica import Replica
 from umbermoor.gateway.replication.store import Store
-from umbermoor.gateway.rollout.core import Steps
-from umbermoor.gateway.rollout.plan import ROLLOUT
-from umbermoor.gateway.rollout.trial import step
+from umbermoor.gateway.rollout.admission import stage_write
+from umbermoor.gateway.rollout.coordinator import RolloutCoordinator
+from umbermoor.gateway.rollout.records import ROLLOUT_KEY_PREFIX
 from umbermoor.gateway.server import events
 from umbermoor.gateway.server.clocks import Clock, system_clock
 from umbermoor.gateway.server.configuration_calls import ConfigurationCalls
@@ -110,7 +110,7 @@
         )
         for record in instances:
             self.registry.observe(clock(), record)
-        self.rollouts = Steps()
+        self.rollouts = RolloutCoordinator()
         self.subscriber = Subscriber(seeds, settings.ip)
         self.transport = PeerTransport(
             settings.ip, settings.port_range[0], self._receive, self._connection_lost
@@ -181,8 +181,10 @@
         records = {key: record for key, record in committed.items() if key != CONFIG_KEY}
         self.publisher.records_committed(records)
         for key, record in records.items():
-            if key.startswith(ROLLOUT):
-                self.rollouts.record(self.clock(), key.removeprefix(ROLLOUT), record)
+            if key.startswith(ROLLOUT_KEY_PREFIX):
+                self.rollouts.apply_record(
+                    self.clock(), key.removeprefix(ROLLOUT_KEY_PREFIX), record
+                )
 
     def _store_lost(self) -> None:
         """The process is started again, finds that its disk counts as lost, and is filled anew."""
@@ -214,8 +216,11 @@
         if not self.host.leads():
             return
         for service, record in self.rollouts.tick(now):
-            current = self.rollouts.orders[service].record
-            self.host.put(ROLLOUT + service, step(record, current, self.replica.status().epoch))
+            current = self.rollouts.orders[service].record.document
+            self.host.put(
+                ROLLOUT_KEY_PREFIX + service,
+                stage_write(record, current, self.replica.status().epoch),
+            )
 
     def _tick_subscriber(self, now: int) -> None:
         """Pulls what the other members know of instances."""
