--- a/umbermoor/gateway/local/gateway.py
+++ b/umbermoor/gateway/local/gateway.py
@@ -156,7 +156,7 @@
         client = ControlClient(())
         responses = await asyncio.gather(
             *(
-                asyncio.to_thread(client.once, f"{node.ip}:{self.ports.control}", "GET", "/Story")
+                asyncio.to_thread(client.once, f"{node.ip}:{self.ports.control}", "GET", "/Status")
                 for node in running
             )
         )
