--- a/umbermoor/gateway/server/controller_link.py
+++ b/umbermoor/gateway/server/controller_link.py
@@ -13,8 +13,8 @@
 from umbermoor.gateway.distribution.deltas import apply_delta, text_digest
 from umbermoor.gateway.distribution.subscriber import Subscriber, Update
 from umbermoor.gateway.membership.failure_detector import FailureDetector
-from umbermoor.gateway.rollout.front import Trials
-from umbermoor.gateway.rollout.plan import ROLLOUT
+from umbermoor.gateway.rollout.observer import RolloutObserver
+from umbermoor.gateway.rollout.records import ROLLOUT_KEY_PREFIX
 from umbermoor.gateway.routing.route_table import RouteTable
 from umbermoor.gateway.server.client_connection import ClientConnections
 from umbermoor.gateway.server.connections import ConnectionPool
@@ -47,7 +47,7 @@
         started_at: int,
         salt: int,
         instances: Instances,
-        rollouts: Trials,
+        rollouts: RolloutObserver,
         detector: FailureDetector,
         requests: RequestHandler,
         pool: ConnectionPool,
@@ -73,7 +73,7 @@
         self._notice_pause(now)
         for address in self.subscriber.due_pulls(now):
             self.peers.send(address, self.subscriber.make_pull(now, address))
-        if self.subscriber.head and (reports := self._rollouts.tick(now)):
+        if self.subscriber.head and (reports := self._rollouts.reports(now)):
             self.peers.send(self.subscriber.head, {"kind": "reports", "reports": reports})
 
     def forget_instances(self, now: int) -> None:
@@ -129,12 +129,12 @@
 
     def _take_rollouts(self, now: int, update: Update) -> None:
         if update.confirmed:
-            self._rollouts.heard(now)
+            self._rollouts.confirm(now)
         for key, record in update.records.items():
-            if not key.startswith(ROLLOUT):
+            if not key.startswith(ROLLOUT_KEY_PREFIX):
                 continue
-            service = key[len(ROLLOUT) :]
-            self._rollouts.order(now, service, record, update.confirmed)
+            service = key[len(ROLLOUT_KEY_PREFIX) :]
+            self._rollouts.apply_record(now, service, record, update.confirmed)
             stage = record["state"], record["target"], record["stage"]
             if self._logged_stages.get(key) != stage:
                 self._logged_stages[key] = stage
@@ -144,13 +144,13 @@
     def _list_instances(self, now: int, update: Update) -> None:
         """Tells the rollouts of services whose instances changed."""
         for service in self._instances.changed_services:
-            if update.confirmed and ROLLOUT + service not in self.subscriber.records:
-                self._rollouts.order(now, service, None)
+            if update.confirmed and ROLLOUT_KEY_PREFIX + service not in self.subscriber.records:
+                self._rollouts.apply_record(now, service, None)
             judged = [
                 (instance.id, instance.entry.revision, instance.listed_at)
                 for instance in self._instances.judged_by_rollout(service)
             ]
-            self._rollouts.listed(now, service, judged)
+            self._rollouts.update_instances(now, service, judged)
         self._instances.changed_services.clear()
 
     def take_configuration(self, message: dict[str, Any]) -> None:
--- a/umbermoor/gateway/server/peer_messages.py
+++ b/umbermoor/gateway/server/peer_messages.py
@@ -13,7 +13,7 @@
     record_from_wire,
 )
 from umbermoor.gateway.distribution.subscriber import Subscriber
-from umbermoor.gateway.rollout.core import Steps
+from umbermoor.gateway.rollout.coordinator import RolloutCoordinator
 from umbermoor.gateway.server import events
 from umbermoor.gateway.server.clocks import Clock
 from umbermoor.gateway.server.instance_replication import InstanceReplication
@@ -35,7 +35,7 @@
         self,
         registry: InstanceRegistry,
         subscriber: Subscriber,
-        rollouts: Steps,
+        rollouts: RolloutCoordinator,
         host: ReplicaHost,
         publisher: UpdatePublisher,
         replication: InstanceReplication,
@@ -99,7 +99,7 @@
             return
         for report in reports:
             try:
-                self._rollouts.report(self._clock(), connection.peer, report)
+                self._rollouts.receive_report(self._clock(), connection.peer, report)
             except MALFORMED_REPORT as error:
                 events.event("garbled", what="report", source=connection.peer, why=error)
 
--- a/umbermoor/gateway/server/request_handler.py
+++ b/umbermoor/gateway/server/request_handler.py
@@ -35,7 +35,7 @@
     Wait,
 )
 from umbermoor.gateway.balancing.retry_budget import RetryBudgets
-from umbermoor.gateway.rollout.front import Trials
+from umbermoor.gateway.rollout.observer import RolloutObserver
 from umbermoor.gateway.routing.route_table import Route, RouteTable
 from umbermoor.gateway.server.client_connection import ClientConnection, PendingRequest
 from umbermoor.gateway.server.connections import Attempt, ConnectionPool
@@ -114,7 +114,7 @@
     def __init__(
         self,
         instances: Instances,
-        rollouts: Trials,
+        rollouts: RolloutObserver,
         retry_budgets: RetryBudgets,
         clock: Callable[[], float],
         random: Random,
@@ -183,7 +183,7 @@
         pending.active = active
         self.active.add(active)
         self.retry_budgets.of(service).request_arrived(now)
-        self.rollouts.asked(now, service)
+        self.rollouts.request_received(now, service)
         self._advance(active, now)
 
     # Attempts
@@ -221,13 +221,13 @@
     ) -> Instance | None:
         """Chooses the version by the rollout's share, then the instance within it."""
         rollouts, service, random = self.rollouts, lifecycle.service, self.random
-        revision = rollouts.side(now, service, random(), is_retry)
+        revision = rollouts.choose_version(now, service, random(), is_retry)
         if revision is None:
             return None
         choose, tried = self.instances.choose, lifecycle.tried
         max_wait_us = lifecycle.deadline - now
         if revision == rollouts.target(service):
-            only = rollouts.machines(now, service)
+            only = rollouts.trial_instances(now, service)
             instance = choose(now, service, revision, only, tried, random, max_wait_us)
             if instance is not None or not only:
                 return instance
@@ -242,7 +242,7 @@
         number = active.attempts_made
         lifecycle.attempt_started(now, number, instance, round(hedge_after_us))
         instance.attempt_started(now)
-        self.rollouts.sent(now, lifecycle.service, instance.entry.revision)
+        self.rollouts.attempt_sent(now, lifecycle.service, instance.entry.revision)
         time_left_ms = max(1, (lifecycle.deadline - now) // MILLISECOND_US)
         attempt = Attempt(
             active,
@@ -261,7 +261,7 @@
     def may_send(self, instance: Instance) -> bool:
         """The gate right before a request is written on a new connection."""
         entry = instance.entry
-        return self.instances.is_listed(instance) and self.rollouts.allowed(
+        return self.instances.is_listed(instance) and self.rollouts.may_send(
             self.now(), entry.service, entry.revision
         )
 
@@ -300,7 +300,7 @@
             self.pool.close_idle(instance)
         elif outcome is not AttemptOutcome.CANCELLED:
             instance.ejection.failure(now, outcome is AttemptOutcome.CONNECT_FAILED)
-        self.rollouts.ended(
+        self.rollouts.attempt_ended(
             now,
             instance.entry.service,
             instance.entry.revision,
--- a/umbermoor/gateway/server/rollout_calls.py
+++ b/umbermoor/gateway/server/rollout_calls.py
@@ -11,9 +11,8 @@
 )
 from umbermoor.gateway.discovery.registry import READY, SILENT, InstanceRegistry
 from umbermoor.gateway.effects import CallResult, Outcome, Status
-from umbermoor.gateway.rollout.plan import ROLLOUT
-from umbermoor.gateway.rollout.trial import ask as make_order
-from umbermoor.gateway.rollout.trial import judge_begin
+from umbermoor.gateway.rollout.admission import judge_begin, order_request
+from umbermoor.gateway.rollout.records import ROLLOUT_KEY_PREFIX
 from umbermoor.gateway.server import events
 from umbermoor.gateway.server.call_results import (
     HTTP_STATUS,
@@ -72,8 +71,8 @@
         wanted = BeginRequest.decode(request)
         if isinstance(wanted, ApiResponse):
             return wanted
-        replica, key = self._host.replica, ROLLOUT + wanted.service
-        order = make_order(
+        replica, key = self._host.replica, ROLLOUT_KEY_PREFIX + wanted.service
+        order = order_request(
             wanted.target, wanted.ramp_s, self._present_versions(wanted.service), wanted.key
         )
         # A head of an earlier revision does not decide on `begin`: it takes the record beside it
@@ -115,7 +114,7 @@
         result = await self._host.call(self._host.replica.read)
         if result.status is not Status.OK:
             return RETRY_LATER
-        record = result.value.get(ROLLOUT + request.name)
+        record = result.value.get(ROLLOUT_KEY_PREFIX + request.name)
         if record is None:
             return error_response(404, f"no roll-out of {request.name}")
         return json_response(200, {"state": record["state"], "target": record["target"]})
