--- a/benchmarks/carriers.py
+++ b/benchmarks/carriers.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from benchmarks.common import show, spread
-from umbermoor.lab.day import Clients, Day, Fronts, Group, Load, ProfileRow, Trouble
+from umbermoor.lab.day import Clients, Day, FaultInjection, Fronts, Group, Load, ProfileRow
 from umbermoor.lab.sockets.runner import play_on_sockets
 
 RATE = 200.0
@@ -22,7 +22,7 @@
     workers = max(1, round(24 / machines))
     troubles = (
         tuple(
-            Trouble(kind="crash", at_s=2 + turn * 2.0, for_s=1, part=0.2)
+            FaultInjection(kind="crash", at_s=2 + turn * 2.0, for_s=1, part=0.2)
             for turn in range(int((seconds - 4) / 2))
         )
         if restarts
--- a/benchmarks/drains.py
+++ b/benchmarks/drains.py
@@ -16,7 +16,7 @@
 
 from benchmarks.common import show, spread
 from umbermoor.front.lifecycle.command import Unanswered, ask
-from umbermoor.lab.day import Clients, Day, Fronts, Group, Load, ProfileRow, Trouble
+from umbermoor.lab.day import Clients, Day, FaultInjection, Fronts, Group, Load, ProfileRow
 from umbermoor.lab.sockets.runner import play_on_sockets
 
 LENGTH = 10.0
@@ -26,7 +26,7 @@
     chance = random.Random(f"troubles/{seed}")
     kinds = chance.sample(["lost", "resets", "errors", "slow", "pause"], 2)
     troubles = tuple(
-        Trouble(
+        FaultInjection(
             kind=kind,
             at_s=1 + 2 * chance.random(),
             for_s=5,
--- a/umbermoor/lab/virtual/network.py
+++ b/umbermoor/lab/virtual/network.py
@@ -36,19 +36,19 @@
 
     def _accept(self, front: VirtualFront, key: AttemptKey, attempt: Attempt) -> None:
         fleet = self._fleet
-        machine = fleet.site.machines.get(attempt.go.machine)
+        machine = fleet.backend.machines.get(attempt.go.machine)
         is_up = machine is not None and machine.connect(fleet.now)
         if machine is not None:
-            fleet.site.wake(machine)
+            fleet.backend.wake(machine)
         delay = fleet.delay("connected", *key)
-        if machine is not None and not machine.plight.down and not is_up:
+        if machine is not None and not machine.faults.down and not is_up:
             delay = round(CONNECT_MS * 1000)  # its backlog is full: the front's time-out passes
         fleet.at(fleet.now + delay, front.connected, key, attempt, is_up)
 
     def send(self, front: VirtualFront, go: Go) -> None:
         """Send a query to a machine, on a connection that is there."""
         fleet, key = self._fleet, (go.query, go.number)
-        machine = fleet.site.machines[go.machine]
+        machine = fleet.backend.machines[go.machine]
         fleet.ledger.sent(fleet.now, go.query, go.machine, machine.build)
         self._senders[key] = front
         pending = fleet.clients.pending.get(go.query)
@@ -58,18 +58,18 @@
 
     def _offer(self, machine: Machine, job: Job) -> None:
         fleet = self._fleet
-        fleet.site.advance(machine)
+        fleet.backend.advance(machine)
         pending = fleet.clients.pending.get(job.key[0])
         if pending is not None:
             job = job._replace(profile=pending.journey.wish.profile)
-        had_fallen = machine.fallen
+        had_collapsed = machine.collapsed
         done = machine.offer(fleet.now, job)
-        if machine.fallen and not had_fallen:
+        if machine.collapsed and not had_collapsed:
             fleet.ledger.fell(fleet.now, machine.id)
         if done is not None:
             self.settled(machine, [done])
         else:
-            fleet.site.wake(machine)
+            fleet.backend.wake(machine)
 
     def cancel(self, go: Go) -> None:
         """Tell a machine that an attempt is cancelled."""
@@ -79,14 +79,14 @@
 
     def _cancelled(self, go: Go) -> None:
         fleet = self._fleet
-        machine = fleet.site.machines.get(go.machine)
+        machine = fleet.backend.machines.get(go.machine)
         if machine is not None:
-            fleet.site.advance(machine)
+            fleet.backend.advance(machine)
             stopped = machine.stop(fleet.now, (go.query, go.number))
             if stopped is not None and stopped.ran:
                 fleet.ledger.ran(fleet.now, go.query, go.machine)
             self._senders.pop((go.query, go.number), None)
-            fleet.site.wake(machine)
+            fleet.backend.wake(machine)
 
     def forget(self, key: AttemptKey) -> None:
         """Drop the reply to an attempt: its front is gone."""
--- a/umbermoor/planner/questions.py
+++ b/umbermoor/planner/questions.py
@@ -9,7 +9,7 @@
 
 from umbermoor.front.capture.frames import Row
 from umbermoor.lab.chance import Chance, drawn
-from umbermoor.lab.day import SECOND, Burst, Day, Group, Load, ProfileRow, Trouble
+from umbermoor.lab.day import SECOND, Burst, Day, FaultInjection, Group, Load, ProfileRow
 from umbermoor.lab.demand import Wish
 from umbermoor.lab.statistics import Interval, mean_interval
 from umbermoor.planner.fit import Demand
@@ -67,14 +67,14 @@
     if question.kind in ("loss", "cold"):
         name = question.what if any(one.name == question.what for one in groups) else groups[0].name
         if question.kind == "loss":
-            troubles = (Trouble(kind="loss", at_s=SETTLE / 2, group=name),)
+            troubles = (FaultInjection(kind="loss", at_s=SETTLE / 2, group=name),)
         else:
             warm = next(one.warm_s for one in groups if one.name == name)
             length = max(length, third + 3 + 2 * warm)
-            troubles = (Trouble(kind="crash", at_s=third, for_s=3, group=name),)
+            troubles = (FaultInjection(kind="crash", at_s=third, for_s=3, group=name),)
     elif question.kind == "replace":
         length = max(length, 20.0)
-        troubles = (Trouble(kind="replace", at_s=SETTLE, for_s=length - SETTLE - 4),)
+        troubles = (FaultInjection(kind="replace", at_s=SETTLE, for_s=length - SETTLE - 4),)
     elif question.kind == "build":
         build = fleet.build[int(question.what)]
         length = max(
--- a/umbermoor/planner/sheets.py
+++ b/umbermoor/planner/sheets.py
@@ -7,19 +7,19 @@
 
 from umbermoor.front.kdl_sheet import Record, SheetError, read_sheet
 from umbermoor.lab.day import (
-    Above0,
     Build,
     Clients,
     Cold,
     Count,
     Fronts,
     Group,
-    Least0,
     Listing,
+    Name,
     Network,
+    NonNegative,
     Platform,
+    Positive,
     Share,
-    Word,
 )
 
 
@@ -27,29 +27,31 @@
     """What the capture does not know of a profile, or should not decide."""
 
     PLACES = ("name",)
-    name: Word
-    value: Least0 = 1
+    name: Name
+    value: NonNegative = 1
     goal: Annotated[float, Meta(gt=0, lt=1)] | None = None  # in place of the fleet's
-    work_ms: Above0 | None = None  # where the capture cannot tell
+    work_ms: Positive | None = None  # where the capture cannot tell
 
 
 class Limits(Record, frozen=True, kw_only=True):
     """Rates and costs that no machine has."""
 
-    platform_calls_s: Above0 = 60  # of all fronts together
-    list_calls_s: Above0 = 1000
-    front_cpu_us: Above0 = 1400  # of a core, for a query's whole way; measured, see docs/planner.md
-    front_base_mb: Above0 = 25
-    query_kb: Above0 = 24  # that an open query holds in a front
+    platform_calls_s: Positive = 60  # of all fronts together
+    list_calls_s: Positive = 1000
+    front_cpu_us: Positive = (
+        1400  # of a core, for a query's whole way; measured, see docs/planner.md
+    )
+    front_base_mb: Positive = 25
+    query_kb: Positive = 24  # that an open query holds in a front
 
 
 class Fleet(Record, frozen=True, kw_only=True):
     PLACES = ("name",)
-    name: Word
+    name: Name
     goal: Annotated[float, Meta(gt=0, lt=1)] = (
         0.995  # the share within the target time, of every profile
     )
-    growth: tuple[Above0, ...] = (1.0, 1.5, 2.0)
+    growth: tuple[Positive, ...] = (1.0, 1.5, 2.0)
     front: Fronts = Fronts()
     network: Network = Network()
     group: Annotated[tuple[Group, ...], Meta(min_length=1)]
