--- a/tests/oncall_test.py
+++ b/tests/oncall_test.py
@@ -272,6 +272,20 @@
     assert missing == []
 
 
+def test_calls_that_pages_name_are_in_the_code():
+    missing, count = [], 0
+    for page in sorted((ROOT / "docs").glob("*.md")):
+        if page.name in RECORDS_OF_THE_PAST:
+            continue
+        text = page.read_text().split("## Earlier names\n")[0]
+        for method, path in re.findall(r"`(GET|POST) (/[A-Z][\w.]+)", text):
+            count += 1
+            if not {f"{method} {path}", f"{method} {path}/"} & calls():
+                missing.append(f"{page.name}: {method} {path}")
+    assert missing == []
+    assert count > 10
+
+
 def event_rows() -> dict[str, set[str]]:
     """The page's table of events: name, keys."""
     lines = PAGE.read_text().splitlines()
