--- a/umbermoor/gateway/server/events.py
+++ b/umbermoor/gateway/server/events.py
@@ -11,7 +11,8 @@
 
     class Pairs(logging.PythonFormatter):
         def format(self, record) -> str:
-            return f"at={record.created:.3f} level={record.levelname.lower()} node={node} {record.getMessage()}"
+            level = record.levelname.lower()
+            return f"at={record.created:.3f} level={level} node={node} {record.getMessage()}"
 
     logging.use_absl_handler()
     logging.get_absl_handler().setFormatter(Pairs())
--- a/umbermoor/gateway/server/replica_host.py
+++ b/umbermoor/gateway/server/replica_host.py
@@ -2,7 +2,7 @@
 
 The replica is a state machine without I/O. Its messages go through the peer transport, with long
 texts as deltas; its writes go to the store in a thread of their own, one after another; the results
-of its calls resolve the futures that callers wait on. Each input's effects are carried out in order.
+of its calls resolve the futures that callers wait on. Effects are carried out in their order.
 """
 
 import asyncio
