--- a/umbermoor/gateway/replication/health.py
+++ b/umbermoor/gateway/replication/health.py
@@ -2,7 +2,7 @@
 
 from umbermoor.gateway.replication.context import Context
 from umbermoor.gateway.replication.replica_set import majority
-from umbermoor.gateway.replication.timing import HEARD_WITHIN
+from umbermoor.gateway.replication.timing import SERVING_CONTACT_TIMEOUT
 
 
 def is_degraded(context: Context) -> bool:
@@ -27,7 +27,7 @@
     proven = context.contact.proven(context.now, views.active.epoch, context.others())
     if 0 < views.promise <= views.active.epoch:
         proven |= {context.name}
-    is_chain_known = views.serving or context.hears_serving(HEARD_WITHIN)
+    is_chain_known = views.serving or context.hears_serving(SERVING_CONTACT_TIMEOUT)
     return context.sets.current.quorum(proven) and is_chain_known
 
 
@@ -38,7 +38,9 @@
     """
     if not context.is_usable:
         return True
-    return context.name not in context.views.active.chain and context.hears_serving(HEARD_WITHIN)
+    return context.name not in context.views.active.chain and context.hears_serving(
+        SERVING_CONTACT_TIMEOUT
+    )
 
 
 def head_decides(context: Context) -> bool:
--- a/umbermoor/gateway/replication/learners.py
+++ b/umbermoor/gateway/replication/learners.py
@@ -1,7 +1,8 @@
 """Learners: machines that follow what is committed, and could be made members."""
 
 from umbermoor.gateway.replication.context import Context
-from umbermoor.gateway.replication.peers import STEADY, Peer
+from umbermoor.gateway.replication.peers import Peer
+from umbermoor.gateway.replication.timing import STEADY_TIME
 
 
 def known_zones(context: Context) -> dict[str, str]:
@@ -32,5 +33,5 @@
     hears = learner.heartbeat.hears
     if context.name not in hears or not set(chain) <= {context.name, *hears}:
         return False
-    is_steady = context.now - learner.steady_since >= STEADY
+    is_steady = context.now - learner.steady_since >= STEADY_TIME
     return learner.heartbeat.disk_healthy and learner.can_join and is_steady
--- a/umbermoor/gateway/replication/peers.py
+++ b/umbermoor/gateway/replication/peers.py
@@ -7,12 +7,9 @@
 
 from umbermoor.gateway.replication.messages import Heartbeat
 from umbermoor.gateway.replication.replica_set import MAX_MEMBERS
-from umbermoor.gateway.replication.timing import MILLISECOND
+from umbermoor.gateway.replication.timing import HEARD_TIMEOUT
 from umbermoor.gateway.replication.view import Version
 
-SILENT = 700 * MILLISECOND  # a gap in hearing that ends a steady time
-STEADY = 1000 * MILLISECOND  # heard for so long, one outside may be taken into the chain
-
 
 @dataclass(slots=True)
 class Peer:
@@ -38,7 +35,7 @@
     def take(self, now: int, heartbeat: Heartbeat) -> bool:
         """Take a newer heartbeat in; whether the peer was started or came back since the last."""
         is_restarted = self.heartbeat.incarnation != heartbeat.incarnation
-        is_back = now - self.heard_at > SILENT
+        is_back = now - self.heard_at > HEARD_TIMEOUT
         if is_restarted or is_back or not heartbeat.disk_healthy:
             self.steady_since = now
         self.heard_at, self.heartbeat = now, heartbeat
@@ -84,7 +81,8 @@
 
     def _evict_silent(self, now: int) -> bool:
         silent = next(
-            (name for name, peer in self._peers.items() if now - peer.heard_at > SILENT), None
+            (name for name, peer in self._peers.items() if now - peer.heard_at > HEARD_TIMEOUT),
+            None,
         )
         return silent is not None and self._peers.pop(silent) is not None
 
@@ -100,7 +98,7 @@
         """Drop all others."""
         self._peers = {name: peer for name, peer in self._peers.items() if name in names}
 
-    def heard(self, now: int, within: int = SILENT) -> dict[str, Peer]:
+    def heard(self, now: int, within: int = HEARD_TIMEOUT) -> dict[str, Peer]:
         """Those whose last heartbeat is no older than that."""
         return {name: peer for name, peer in self._peers.items() if now - peer.heard_at <= within}
 
@@ -120,7 +118,7 @@
         if listener == speaker:
             return True
         peer = self._peers.get(speaker if listener == self.own_name else listener)
-        if peer is None or now - peer.heard_at > SILENT:
+        if peer is None or now - peer.heard_at > HEARD_TIMEOUT:
             return False
         return listener == self.own_name or speaker in peer.heartbeat.hears
 
--- a/umbermoor/gateway/replication/reconfiguration.py
+++ b/umbermoor/gateway/replication/reconfiguration.py
@@ -17,7 +17,7 @@
 from umbermoor.gateway.replication.heartbeats import Heartbeats
 from umbermoor.gateway.replication.learners import known_zones, ready_learners
 from umbermoor.gateway.replication.peers import Peer
-from umbermoor.gateway.replication.timing import CHANGE_TIMEOUT, SILENCE, SUCCESSION
+from umbermoor.gateway.replication.timing import CHANGE_TIMEOUT, SUCCESSION, SUCCESSOR_START_GAP
 from umbermoor.gateway.replication.view_change import ViewChange
 
 
@@ -224,4 +224,4 @@
         return False
     if heartbeat.age is None:
         return False
-    return learner.heard_at - heartbeat.age > heard_at + SILENCE
+    return learner.heard_at - heartbeat.age > heard_at + SUCCESSOR_START_GAP
--- a/umbermoor/gateway/replication/view_triggers.py
+++ b/umbermoor/gateway/replication/view_triggers.py
@@ -9,14 +9,16 @@
 from umbermoor.gateway.replication.chain import Chain
 from umbermoor.gateway.replication.context import Context
 from umbermoor.gateway.replication.health import is_degraded
-from umbermoor.gateway.replication.peers import STEADY, Exclusions, Peer
+from umbermoor.gateway.replication.peers import Exclusions, Peer
 from umbermoor.gateway.replication.timing import (
-    HEARD_WITHIN,
+    CHAIN_MEMBER_TIMEOUT,
     MILLISECOND,
     NO_CHAIN_HEARD,
-    SILENCE,
+    SERVING_CONTACT_TIMEOUT,
     STARTUP_GRACE,
-    STEADY_WHILE_DEGRADED,
+    STEADY_TIME,
+    STEADY_TIME_WHILE_DEGRADED,
+    UNSERVED_DELAY,
 )
 
 
@@ -105,12 +107,12 @@
         """This replica is not in a chain that serves."""
         context, views = self._context, self._context.views
         is_in_active_chain = context.name in views.active.chain
-        if views.active.epoch > views.joined and context.hears_serving(HEARD_WITHIN):
+        if views.active.epoch > views.joined and context.hears_serving(SERVING_CONTACT_TIMEOUT):
             return Trigger(Cause.RESTARTED, stagger) if is_in_active_chain else NO_TRIGGER
         if views.joined and views.promise > max(views.joined, views.active.epoch):
             return Trigger(Cause.FENCED, stagger)
         if views.joined:
-            return Trigger(Cause.UNSERVED, SILENCE + stagger)
+            return Trigger(Cause.UNSERVED, UNSERVED_DELAY + stagger)
         if is_in_active_chain or self._all_in_contact():
             return Trigger(Cause.STARTED, stagger)
         patience = NO_CHAIN_HEARD if views.active.epoch else STARTUP_GRACE
@@ -157,7 +159,7 @@
         """Whether it was not heard in the view, with a healthy disk, for too long."""
         views = self._context.views
         heard_at = peer.joined_at if peer and peer.joined == views.joined else 0
-        return self._context.now - max(views.serving_since, heard_at) > SILENCE
+        return self._context.now - max(views.serving_since, heard_at) > CHAIN_MEMBER_TIMEOUT
 
     def _is_dispensable(self, name: str) -> bool:
         """Whether it is not heard, or enough others have healthy disks."""
@@ -188,7 +190,7 @@
         chain = context.views.accepted.chain
         if name in chain or not heartbeat.disk_healthy or heartbeat.leaving or not peer.can_join:
             return False
-        steady = STEADY_WHILE_DEGRADED if is_degraded(context) else STEADY
+        steady = STEADY_TIME_WHILE_DEGRADED if is_degraded(context) else STEADY_TIME
         if context.now - peer.steady_since < steady:
             return False
         if self._exclusions.holds(name, context.now):
