--- a/umbermoor/gateway/replication/heartbeats.py
+++ b/umbermoor/gateway/replication/heartbeats.py
@@ -88,12 +88,12 @@
             hears=context.hears(),
             set_number=proven.number,
             leaving=self.leaving,
-            zone=self._told_zone(),
+            zone=self._zone_if_due(),
             quorum_member=None if context.is_member else context.identity.quorum_member,
             age=None if context.is_member else context.now - context.clock.started_at,
         )
 
-    def _told_zone(self) -> str | None:
+    def _zone_if_due(self) -> str | None:
         is_due = self._sequence % ZONE_INTERVAL == 1 or not self._context.is_member
         return (self._context.identity.zone or None) if is_due else None
 
@@ -118,14 +118,14 @@
     # receiving
 
     def on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
-        """Another replica, member or stranger, tells of itself."""
+        """Another replica, member or not, tells of itself."""
         context = self._context
         was_known = sender in context.sets.names
         self._learn_set(sender, heartbeat)
         if was_known:
             self._learn_view(heartbeat)
         if context.is_member and sender not in context.sets.names:
-            self._meet_stranger(sender, heartbeat)
+            self._on_non_member(sender, heartbeat)
             return
         if not context.sets.names:
             self._meet_member(sender, heartbeat)
@@ -164,7 +164,7 @@
         is_founding = context.identity.is_founder and not context.views.promise
         return bool(has_promised and context.lifecycle.settled and is_founding)
 
-    def _meet_stranger(self, sender: str, heartbeat: Heartbeat) -> None:
+    def _on_non_member(self, sender: str, heartbeat: Heartbeat) -> None:
         """One that is no member: a learner of this system, or one to be told that it is none."""
         context = self._context
         is_of_system = (heartbeat.system or 0) in (0, context.sets.proven.replica_set.system)
--- a/umbermoor/gateway/replication/reconfiguration.py
+++ b/umbermoor/gateway/replication/reconfiguration.py
@@ -62,11 +62,11 @@
             self._change = _Change(request_id, context.now + CHANGE_TIMEOUT, add, remove)
             self.tick()
 
-    def _finish(self, request_id: int | None, status: Status, told: ChangePlan | str) -> None:
+    def _finish(self, request_id: int | None, status: Status, answer: ChangePlan | str) -> None:
         """Answer the call, if there is one, with the plan or the reason."""
         if request_id is None:
             return
-        value = {"why": told} if isinstance(told, str) else told.to_json()
+        value = {"why": answer} if isinstance(answer, str) else answer.to_json()
         self._context.outbox.finish(CallResult(request_id, status, value))
 
     def _invite(self, newcomer: str) -> None:
@@ -159,8 +159,8 @@
         joint = self._context.sets.current.changed(change.add, change.remove)
         self._view_change.propose(changed_set=joint, newcomer=change.add)
 
-    def _end(self, change: _Change, status: Status, told: ChangePlan | str) -> None:
-        self._finish(change.request_id, status, told)
+    def _end(self, change: _Change, status: Status, answer: ChangePlan | str) -> None:
+        self._finish(change.request_id, status, answer)
         self._change = None
 
     # succession
@@ -183,8 +183,8 @@
         member = self._find_missing()
         if not member:
             return None
-        gone = context.peers.get(member)
-        heard_at = gone.heard_at if gone else context.clock.started_at  # in this incarnation
+        peer = context.peers.get(member)
+        heard_at = peer.heard_at if peer else context.clock.started_at  # in this incarnation
         zone = known_zones(context).get(member)
         if not zone or context.now - heard_at < SUCCESSION or self._is_heard_by_chain(member):
             return None
--- a/umbermoor/gateway/replication/write_queue.py
+++ b/umbermoor/gateway/replication/write_queue.py
@@ -56,14 +56,9 @@
 
     @property
     def is_writing(self) -> bool:
-        """Whether a write is in flight."""
+        """Whether a write is in flight; an observer waits by it until all is synced."""
         return self._in_flight is not None
 
-    @property
-    def on_probation_until(self) -> int:
-        """Until when a disk that was slow has to be quick."""
-        return self._on_probation_until
-
     def enqueue(self, puts: Records, purpose: str, callback: Callback) -> None:
         """Sync `puts`, then call `callback`; a later one of that purpose replaces an earlier."""
         self._waiting.puts.update(puts)
