--- a/benchmarks/capacity/measures.py
+++ b/benchmarks/capacity/measures.py
@@ -33,6 +33,7 @@
 from umbermoor.gateway.distribution.subscriber import Subscriber
 from umbermoor.gateway.effects import Decision, Outcome, Send, Write
 from umbermoor.gateway.replication.replica import Replica
+from umbermoor.gateway.rollout.admission import first_record, order_request
 from umbermoor.gateway.rollout.coordinator import RolloutCoordinator
 from umbermoor.gateway.rollout.observer import RolloutObserver
 from umbermoor.gateway.rollout.records import ROLLOUT_KEY_PREFIX
@@ -858,7 +859,7 @@
 )
 def report_taken(size: int) -> Iterator[float]:
     steps, turn = RolloutCoordinator(), iter(range(1 << 40))
-    steps.apply_record(0, "a", steps.begin("a", "v2", 60.0, ["v1"]))
+    steps.apply_record(0, "a", first_record(None, order_request("v2", 60.0, ["v1"])))
 
     def act() -> None:
         at = next(turn)
@@ -876,7 +877,7 @@
     (40, 400, 4_200),
 )
 def records_told(size: int) -> Iterator[float]:
-    record = RolloutCoordinator().begin("a", "v2", 60.0, ["v1"])
+    record = first_record(None, order_request("v2", 60.0, ["v1"]))
     keys = {
         f"{ROLLOUT_KEY_PREFIX}huvo{at:04d}a": {**record, "elapsed": at * 7919 % 900 / 7}
         for at in range(size)
@@ -887,7 +888,7 @@
 @measure("the head's look at a roll-out, each 50 ms", "us", "fronts that report", (16, 64, 256))
 def rollout_look(size: int) -> Iterator[float]:
     steps = RolloutCoordinator()
-    steps.apply_record(0, "a", steps.begin("a", "v2", 60.0, ["v1"]))
+    steps.apply_record(0, "a", first_record(None, order_request("v2", 60.0, ["v1"])))
     for at in range(size):
         steps.receive_report(0, f"10.0.{at}", report(at, 1))
     yield from timed(lambda: steps.tick(1))
--- a/benchmarks/rollouts.py
+++ b/benchmarks/rollouts.py
@@ -21,6 +21,7 @@
 from typing import Any
 
 from umbermoor.gateway.rollout import SECOND, RolloutCoordinator, RolloutObserver
+from umbermoor.gateway.rollout.admission import first_record, order_request
 from umbermoor.gateway.rollout.records import RecordDocument
 
 MS = 1000
@@ -153,7 +154,7 @@
     # The controllers.
 
     def _begin(self) -> None:
-        self._put(self.coordinator.begin(SERVICE, "v2", self.ramp, ["v1"]))
+        self._put(first_record(None, order_request("v2", self.ramp, ["v1"])))
         self._lead()
 
     def _lead(self) -> None:
--- a/umbermoor/gateway/rollout/__init__.py
+++ b/umbermoor/gateway/rollout/__init__.py
@@ -10,10 +10,11 @@
 The package imports `umbermoor.statistics` and `umbermoor.gateway.effects` alone. Source: E. Feit,
 R. Berman, "Test & Roll: Profit-Maximizing A/B Tests", 2019.
 
+    >>> from umbermoor.gateway.rollout.admission import first_record, order_request
     >>> def play(bad: bool) -> tuple[str, float, float]:
     ...     proxy, controller, sent, requests = RolloutObserver(), RolloutCoordinator(), 0, 0
     ...     instances = [(f"i-{i}", "v1" if i < 4 else "v2", 0) for i in range(8)]
-    ...     record = controller.begin("maps", "v2", 12, ["v1", "v2"])
+    ...     record = first_record(None, order_request("v2", 12, ["v1", "v2"]))
     ...     for ms in range(12_000):
     ...         now = 5 * SECOND + ms * 1000
     ...         controller.apply_record(now, "maps", record)
@@ -35,7 +36,7 @@
     ...             controller.apply_record(now, "maps", record)
     ...         if record["state"] != "running":
     ...             break
-    ...     return controller.read("maps")["state"], ms / 1000, sent / (341 * 12)
+    ...     return record["state"], ms / 1000, sent / (341 * 12)
     >>> state, after_s, share = play(bad=False)
     >>> state, after_s < 11.5
     ('settled', True)
--- a/umbermoor/gateway/rollout/coordinator.py
+++ b/umbermoor/gateway/rollout/coordinator.py
@@ -11,8 +11,6 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from umbermoor.gateway.effects import Outcome, Status
-from umbermoor.gateway.rollout.admission import judge_begin, order_request
 from umbermoor.gateway.rollout.cusum import ALARM, DOUBT, SequentialTest
 from umbermoor.gateway.rollout.judgement import MIN_OUTCOMES
 from umbermoor.gateway.rollout.records import (
@@ -145,37 +143,6 @@
         self.orders: dict[str, OrderProgress] = {}
         """The last order of each service."""
 
-    def begin(
-        self, service: str, target: str, ramp_seconds: float, present: Sequence[str]
-    ) -> RecordDocument | Status:
-        """An operator's order, judged as the head does, beside this controller's own copy.
-
-        Args:
-            service: the service's name.
-            target: the version to roll out.
-            ramp_seconds: the time until it is to be settled or reverted.
-            present: the versions of the service's listed instances.
-
-        Returns:
-            The record to write; OK if nothing is to change; CONFLICT or INVALID.
-        """
-        if not _valid_order(target, ramp_seconds):
-            return Status.INVALID
-        progress = self.orders.get(service)
-        last = progress.record.document if progress else None
-        request = order_request(target, ramp_seconds, present)
-        decision = judge_begin(last, request, lambda: True)
-        if decision.outcome is Outcome.ACCEPTED:
-            return decision.value
-        return Status.OK if decision.outcome is Outcome.UNCHANGED else Status.CONFLICT
-
-    def read(self, service: str) -> dict[str, str] | Status:
-        """What an operator reads: state and target; NOT_FOUND."""
-        progress = self.orders.get(service)
-        if progress is None:
-            return Status.NOT_FOUND
-        return {"state": progress.record.state, "target": progress.record.target}
-
     def apply_record(self, now: int, service: str, document: RecordDocument | None) -> None:
         """The durable record in force; an older one is ignored."""
         progress = self.orders.get(service)
@@ -221,14 +188,6 @@
         return proposals
 
 
-def _valid_order(target: object, ramp_seconds: object) -> bool:
-    if not isinstance(target, str) or not target:
-        return False
-    if isinstance(ramp_seconds, bool) or not isinstance(ramp_seconds, (int, float)):
-        return False
-    return 0 < ramp_seconds < float("inf")
-
-
 def _awaits_write(now: int, progress: OrderProgress, ends: bool) -> bool:
     """Whether the last proposal may still be written; one that ends the order does not wait."""
     proposed = progress.proposed
--- a/umbermoor/gateway/rollout/cusum.py
+++ b/umbermoor/gateway/rollout/cusum.py
@@ -14,6 +14,7 @@
 
 from umbermoor.gateway.rollout.judgement import (
     LONE_BAD_SHARE,
+    MAX_BASELINE,
     MAX_MEAN,
     MIN_OUTCOMES,
     log_likelihood_ratio,
@@ -34,7 +35,7 @@
 """Outcomes of the earlier version fade with this time constant."""
 PRIOR_OUTCOMES, PRIOR_BAD_SHARE = 20.0, 0.02
 """The baseline leans on so many outcomes with so many bad ones."""
-MIN_BASELINE, MAX_BASELINE = 0.05, 0.9
+MIN_BASELINE = 0.05
 WEIGHING_DELAY = 150_000
 """Outcomes wait so long: those of the earlier version from the same time come first."""
 MAX_SOURCES = 256
--- a/umbermoor/gateway/rollout/judgement.py
+++ b/umbermoor/gateway/rollout/judgement.py
@@ -20,6 +20,8 @@
 """A mean above this is taken for this, so that s never vanishes."""
 LONE_BAD_SHARE = 0.08
 """The share of bad outcomes that is taken for usual while no earlier version can be compared."""
+MAX_BASELINE = 0.9
+"""A share of bad outcomes above this is taken for this, as what is usual at the earlier version."""
 
 
 def trails(mean_new: float, outcomes: float, mu: float) -> bool:
--- a/umbermoor/gateway/rollout/observer.py
+++ b/umbermoor/gateway/rollout/observer.py
@@ -60,10 +60,6 @@
         """The updates from the controllers are complete as of now, changed or not."""
         self.confirmed_at = now
 
-    def forget(self, service: str) -> None:
-        """The configuration no longer names this service."""
-        self.services.pop(service, None)
-
     def apply_record(
         self, now: int, service: str, document: RecordDocument | None, confirmed: bool = True
     ) -> None:
--- a/umbermoor/gateway/rollout/service_rollout.py
+++ b/umbermoor/gateway/rollout/service_rollout.py
@@ -12,6 +12,7 @@
 from umbermoor.gateway.rollout.judgement import (
     INITIAL_MEAN,
     LONE_BAD_SHARE,
+    MAX_BASELINE,
     MAX_MEAN,
     MIN_OUTCOMES,
     SIGMA,
@@ -53,7 +54,6 @@
 """The sum of log-likelihood ratios that is enough."""
 OWN_EXCESS_SHARE = 0.3
 """The alternative tested: the share of else good outcomes that a bad version spoils."""
-MAX_BASELINE = 0.9
 MAX_NAMED_INSTANCES = 12
 """Counted one by one in a report; the others together."""
 KEEP_OFF = -1
