--- a/umbermoor/gateway/replication/bootstrap.py
+++ b/umbermoor/gateway/replication/bootstrap.py
@@ -34,7 +34,7 @@
         least = 2 * context.identity.tolerated_losses + 1
         if not least <= len(cold) + 1 <= MAX_MEMBERS:
             return
-        quiet_since = max(self._heartbeats.peers_grew_at, context.clock.started_at)
+        quiet_since = max(self._heartbeats.peers_grew_at, context.started_at)
         if context.now - quiet_since < FOUNDING_QUIET:
             return
         system = context.rng.getrandbits(48) | 1
--- a/umbermoor/gateway/replication/context.py
+++ b/umbermoor/gateway/replication/context.py
@@ -4,7 +4,6 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from umbermoor.gateway.replication.clock import Clock
 from umbermoor.gateway.replication.leases import Contact
 from umbermoor.gateway.replication.lifecycle import Lifecycle
 from umbermoor.gateway.replication.outbox import Outbox
@@ -48,7 +47,8 @@
     ) -> None:
         self.identity, self.rng = identity, rng
         self.name = identity.name  # asked for at each message: no property
-        self.clock = Clock()
+        self.now = 0  # microseconds of the host's monotonic clock, as of the present input
+        self.started_at = -1  # when the first input came; -1: none has
         self.outbox = Outbox(identity.name)
         self.disk = WriteQueue()
         self.lifecycle = Lifecycle(self.disk, cold_start, bool(stored.members))
@@ -71,10 +71,13 @@
         self.peers.keep_only(names)
         self.learners.forget(names)
 
-    @property
-    def now(self) -> int:
-        """Microseconds, as of the present input."""
-        return self.clock.now
+    def advance(self, now: int) -> int:
+        """An input comes at that time; how long after the last one, in microseconds."""
+        if self.started_at < 0:
+            self.started_at = self.now = now
+        elapsed = now - self.now
+        self.now = max(self.now, now)
+        return elapsed
 
     @property
     def is_member(self) -> bool:
--- a/umbermoor/gateway/replication/heartbeats.py
+++ b/umbermoor/gateway/replication/heartbeats.py
@@ -90,7 +90,7 @@
             leaving=self.leaving,
             zone=self._told_zone(),
             quorum_member=None if context.is_member else context.identity.quorum_member,
-            age=None if context.is_member else context.now - context.clock.started_at,
+            age=None if context.is_member else context.now - context.started_at,
         )
 
     def _told_zone(self) -> str | None:
--- a/umbermoor/gateway/replication/leases.py
+++ b/umbermoor/gateway/replication/leases.py
@@ -52,13 +52,13 @@
 
     def proven(self, now: int, epoch: int, others: Iterable[str]) -> frozenset[str]:
         """Which of the others proved within the lease that they promised nothing above `epoch`."""
-        none = now - LEASE, DISK_LOST
-        proofs = ((name, *self._proofs.get(name, none)) for name in others)
-        return frozenset(
-            name
-            for name, proven_at, promise in proofs
-            if now - proven_at < LEASE and 0 < promise <= epoch
-        )
+        no_proof = now - LEASE, DISK_LOST
+        proven = []
+        for name in others:
+            proven_at, promise = self._proofs.get(name, no_proof)
+            if now - proven_at < LEASE and 0 < promise <= epoch:
+                proven.append(name)
+        return frozenset(proven)
 
     def void(self) -> None:
         """Nothing from before counts any more, nor an answer to a heartbeat from before."""
--- a/umbermoor/gateway/replication/reconfiguration.py
+++ b/umbermoor/gateway/replication/reconfiguration.py
@@ -184,7 +184,7 @@
         if not member:
             return None
         gone = context.peers.get(member)
-        heard_at = gone.heard_at if gone else context.clock.started_at  # in this incarnation
+        heard_at = gone.heard_at if gone else context.started_at  # in this incarnation
         zone = known_zones(context).get(member)
         if not zone or context.now - heard_at < SUCCESSION or self._is_heard_by_chain(member):
             return None
--- a/umbermoor/gateway/replication/replica.py
+++ b/umbermoor/gateway/replication/replica.py
@@ -221,7 +221,7 @@
         return self._effects() if repair_records(self.context, records) else None
 
     def _advance(self, now: int) -> None:
-        if self.context.clock.advance(now) > CLOCK_GAP:  # frozen, or starved of its processor
+        if self.context.advance(now) > CLOCK_GAP:  # frozen, or starved of its processor
             self.context.contact.void()
             self.reads.void()
 
@@ -302,9 +302,10 @@
 
     def accepts_from(self, sender: str) -> bool:
         """Whether what that one says of the chain is taken at all."""
-        context, attempt = self.context, self.view_change.attempt
+        context = self.context
         if sender in context.sets.names or sender in context.views.accepted.chain:
             return True
+        attempt = self.view_change.attempt
         is_asked = attempt is not None and sender in attempt.replica_set.names
         return is_asked or sender == context.name
 
--- a/umbermoor/gateway/replication/replica_set.py
+++ b/umbermoor/gateway/replication/replica_set.py
@@ -23,6 +23,12 @@
     return len(seats) // 2 + 1
 
 
+def has_majority(seats: Collection[Seat], who: Collection[str]) -> bool:
+    """Whether they hold a majority of the seats."""
+    held = [name for name, _ in seats if name in who]
+    return len(held) >= majority(seats)
+
+
 class ReplicaSet(NamedTuple):
     """The set of a view, or the two sets of a change; `number` rises with each change."""
 
@@ -39,7 +45,7 @@
     @property
     def members(self) -> tuple[str, ...]:
         """Those of the new set, sorted."""
-        return tuple(sorted(name for name, _ in self.new))
+        return tuple(sorted([name for name, _ in self.new]))
 
     @property
     def is_joint(self) -> bool:
@@ -59,13 +65,9 @@
         >>> change.completed().quorum({"b", "d"})
         True
         """
-        return all(
-            sum(name in who for name, _ in seats) >= majority(seats) for seats in self._sets()
-        )
-
-    def _sets(self) -> tuple[tuple[Seat, ...], ...]:
-        """The sets of which a majority each is needed; the same one is not counted twice."""
-        return (self.old, self.new) if self.is_joint else (self.new,)
+        if not has_majority(self.new, who):
+            return False
+        return not self.is_joint or has_majority(self.old, who)
 
     def blocks(self, who: Collection[str]) -> bool:
         """Whether every majority, of either set, has one of them.
--- a/umbermoor/gateway/replication/state_transfer.py
+++ b/umbermoor/gateway/replication/state_transfer.py
@@ -67,7 +67,7 @@
         context = self._context
         if self.ready_to_fill:
             return
-        if context.now - context.clock.started_at < DISK_LOSS_QUARANTINE:
+        if context.now - context.started_at < DISK_LOSS_QUARANTINE:
             return
         if context.now - self._asked_at < RETRY_INTERVAL:
             return
--- a/umbermoor/gateway/server/replica_host.py
+++ b/umbermoor/gateway/server/replica_host.py
@@ -78,7 +78,7 @@
 
     def leads(self) -> bool:
         """Whether this member orders writes, and is in touch with a majority."""
-        return self.replica.connected and self.head() == self.replica.name
+        return self.head() == self.replica.name and self.replica.connected
 
     def next_call_number(self) -> int:
         """A number for a call whose result nobody waits for."""
