--- a/umbermoor/gateway/api/decisions.py
+++ b/umbermoor/gateway/api/decisions.py
@@ -1,31 +1,36 @@
 """What operators' orders and the stages of roll-outs come to, judged at the head of the chain by
 what stands there.
 
-The one place where puts are decided (`judge`): no I/O, no clock, no copy of its own. A number
-(`revision`) has one content for good, as far back as digests are kept. Source: PROTOCOL.md, "The
-operator"; docs/consistency.md says why.
+The one place where puts are decided (`decide_write`): no I/O, no clock, no copy of its own. A
+number (`revision`) has one content for good, as far back as digests are kept. Source: PROTOCOL.md,
+"The operator"; docs/consistency.md says why.
 """
 
 import json
 from base64 import b64decode, b64encode
 from collections.abc import Generator, Mapping
 from hashlib import blake2b
-from typing import Any
+from typing import Any, NotRequired, TypedDict
 
 from umbermoor.gateway.effects import Decision, Outcome
 from umbermoor.gateway.rollout.admission import judge_begin, judge_stage
 from umbermoor.gateway.rollout.records import ROLLOUT_KEY_PREFIX, RecordDocument, supersedes
 
-CONFIG_KEY = "config"  # the register's key of the configuration
+CONFIG_KEY = "config"  # the key of the configuration in the replicated map
 MAX_PAST_REVISIONS = 128  # numbers that were in force before, whose contents are still told apart
 DIGEST_BYTES = 8  # bytes
 REVISION_BYTES = 4  # bytes of a revision
 PAST_ENTRY_BYTES = REVISION_BYTES + DIGEST_BYTES
 ROUTES_PER_STEP = 1_500  # routes digested between two yields: some 10 ms
 
-ConfigurationRecord = dict[
-    str, Any
-]  # revision, text as it was sent, digest (hexadecimal), past (see _past)
+
+class ConfigurationRecord(TypedDict):
+    """The configuration in force, as it is stored and as it is put."""
+
+    revision: int
+    text: str  # the JSON as it was sent
+    digest: NotRequired[str]  # hexadecimal; earlier releases stored none
+    past: NotRequired[str]  # base64, see _past; absent in a put, and where earlier releases stored
 
 
 def configuration_digest(body: Mapping[str, Any]) -> str:
@@ -40,7 +45,7 @@
 
 
 def configuration_digest_in_steps(body: Mapping[str, Any]) -> Generator[None, None, str]:
-    """The same in steps of some 10 ms, yielding between them; returns what digest would.
+    """As `configuration_digest`, in steps of some 10 ms, yielding between them.
 
     >>> one = {"revision": "0000000C", "routes": {"a": {"tries": 2.0}, "b": {}}, "services": {}}
     >>> other = {"services": {}, "routes": {"b": {}, "a": {"tries": 2}}, "revision": "0000000c"}
@@ -148,7 +153,7 @@
 
 
 def _past(held: ConfigurationRecord) -> bytes:
-    """The numbers in force before and their contents' digests, oldest first, EACH bytes each."""
+    """Numbers in force before and their contents' digests, oldest first; PAST_ENTRY_BYTES each."""
     return b64decode(held.get("past", ""))
 
 
--- a/umbermoor/gateway/rollout/admission.py
+++ b/umbermoor/gateway/rollout/admission.py
@@ -7,7 +7,7 @@
 """
 
 from collections.abc import Callable, Sequence
-from typing import Any
+from typing import TypedDict
 
 from umbermoor.gateway.effects import Decision, Outcome
 from umbermoor.gateway.rollout.records import RecordDocument, RolloutState, supersedes
@@ -19,8 +19,18 @@
 NOT_STORED = ("on", "epoch", "begin")
 """Keys of a stage's write that are judged and not stored."""
 
-OrderRequest = dict[str, Any]
-"""What an order asks for, as JSON: target, rampS, present, key."""
+
+class OrderRequest(TypedDict):
+    """What an order asks for, as JSON."""
+
+    target: str
+    """The version to roll out."""
+    rampS: float
+    """Seconds until it is to be settled or reverted."""
+    present: list[str]
+    """Versions of the service's listed instances."""
+    key: str
+    """What tells an order of a target from an earlier one of it; "" if nothing does."""
 
 
 def order_request(
--- a/umbermoor/gateway/rollout/coordinator.py
+++ b/umbermoor/gateway/rollout/coordinator.py
@@ -9,13 +9,13 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
-from typing import Any
 
 from umbermoor.gateway.rollout.cusum import ALARM, DOUBT, SequentialTest
 from umbermoor.gateway.rollout.judgement import MIN_OUTCOMES
 from umbermoor.gateway.rollout.records import (
     OutcomeCounts,
     ProxyReport,
+    RecordChanges,
     RecordDocument,
     ReportDocument,
     RolloutRecord,
@@ -44,9 +44,6 @@
 MAX_PROXIES = 256
 """Proxies whose reports are remembered."""
 
-Changes = dict[str, Any]
-"""Keys of the record's JSON that change."""
-
 
 @dataclass(slots=True)
 class _ReceivedReport:
@@ -196,7 +193,7 @@
     return now - progress.proposed_at < REWRITE_INTERVAL and (not ends or not proposed.running)
 
 
-def _next_changes(now: int, progress: OrderProgress) -> Changes:
+def _next_changes(now: int, progress: OrderProgress) -> RecordChanges:
     """What changes in the record now; empty: nothing."""
     stage, test = progress.record.stage, progress.test
     reports = progress.recent_reports(now)
@@ -244,7 +241,7 @@
     return warm > 0 and 2 * warm >= previous
 
 
-def _settle(now: int, progress: OrderProgress, reports: Sequence[ProxyReport]) -> Changes:
+def _settle(now: int, progress: OrderProgress, reports: Sequence[ProxyReport]) -> RecordChanges:
     """Settled once no proxy sends to the previous version, and SETTLE_DELAY has passed."""
     quiet = bool(reports) and all(
         report.stage == FINAL_STAGE and not report.previous_in_flight for report in reports
--- a/umbermoor/gateway/rollout/records.py
+++ b/umbermoor/gateway/rollout/records.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import StrEnum
-from typing import Any
+from typing import Any, TypedDict
 
 ROLLOUT_KEY_PREFIX = "rollout/"
 
@@ -92,17 +92,27 @@
         return RolloutRecord.read({**self.document, **changes, **numbered})
 
 
-def reverted(reason: str) -> dict[str, Any]:
+class RecordChanges(TypedDict, total=False):
+    """What a step changes in a record's JSON; empty: nothing."""
+
+    state: str
+    """As RolloutState has it."""
+    stage: int
+    why: str
+    """Why the order is reverted."""
+
+
+def reverted(reason: str) -> RecordChanges:
     """The change of a record that reverts its order."""
     return {"state": RolloutState.REVERTED.value, "why": reason}
 
 
-def settled() -> dict[str, Any]:
+def settled() -> RecordChanges:
     """The change of a record that settles its order."""
     return {"state": RolloutState.SETTLED.value}
 
 
-def advanced_to(stage: int) -> dict[str, Any]:
+def advanced_to(stage: int) -> RecordChanges:
     """The change of a record to a stage."""
     return {"stage": stage}
 
