--- a/umbermoor/gateway/balancing/attempt_outcomes.py
+++ b/umbermoor/gateway/balancing/attempt_outcomes.py
@@ -209,16 +209,15 @@
     return keep_alive and not (tainted or surplus or bodiless)
 
 
-def may_reject(may_have_executed: bool, in_flight: int) -> bool:
-    """Whether a client may be told one of REJECTION_STATUSES.
+def may_reject(may_have_executed: bool) -> bool:
+    """Whether a client may be told one of REJECTION_STATUSES, once each attempt has ended.
 
-    Each attempt must have ended, each proved not to have been executed.
+    Each must be proved not to have been executed.
 
     Args:
         may_have_executed: Whether that is not proved of one that ended.
-        in_flight: Attempts that have not ended, connecting ones too.
     """
-    return not may_have_executed and not in_flight
+    return not may_have_executed
 
 
 def may_retry(idempotent: bool, may_have_executed: bool) -> bool:
--- a/umbermoor/gateway/balancing/request.py
+++ b/umbermoor/gateway/balancing/request.py
@@ -245,7 +245,7 @@
             return self._wait(now, last_moment)
         if self._error_response is not None:
             return Relay(self._error_response)
-        if not may_reject(self._may_have_executed, len(self.in_flight)):
+        if not may_reject(self._may_have_executed):
             return Respond(GATEWAY_TIMEOUT if now >= last_moment else BAD_GATEWAY)
         return Respond(UNAVAILABLE, RETRY_AFTER_SOON_S if self.tried else RETRY_AFTER_LATER_S)
 
--- a/umbermoor/gateway/discovery/registry.py
+++ b/umbermoor/gateway/discovery/registry.py
@@ -143,16 +143,16 @@
     def observe(self, now: int, record: InstanceRecord) -> bool:
         """Takes a record of a heartbeat or of another controller; whether it changed anything."""
         old = self.records.get(record.id)
-        merge_records = superseding(old, record)
-        if merge_records is None or (old is None and len(self.records) >= MAX_RECORDS):
+        merged = superseding(old, record)
+        if merged is None or (old is None and len(self.records) >= MAX_RECORDS):
             return False
-        self.records[record.id] = merge_records
+        self.records[record.id] = merged
         self.sequence += 1
         self._sequences[record.id], self._changed_at[record.id] = self.sequence, now
         if old is None or (old.state, old.address, old.service) != (
-            merge_records.state,
-            merge_records.address,
-            merge_records.service,
+            merged.state,
+            merged.address,
+            merged.service,
         ):
             self.urgent_sequence = self.durable_sequence = self.sequence
         return True
@@ -218,8 +218,8 @@
     """Merges records into a table; returns those that changed it, as they now are."""
     changed = []
     for record in records:
-        merge_records = superseding(table.get(record.id), record)
-        if merge_records is not None:
-            table[record.id] = merge_records
-            changed.append(merge_records)
+        merged = superseding(table.get(record.id), record)
+        if merged is not None:
+            table[record.id] = merged
+            changed.append(merged)
     return changed
