--- a/umbermoor/gateway/rollout/coordinator.py
+++ b/umbermoor/gateway/rollout/coordinator.py
@@ -9,15 +9,13 @@
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
-from typing import Any
 
-from umbermoor.gateway.effects import Outcome, Status
-from umbermoor.gateway.rollout.admission import judge_begin, order_request
 from umbermoor.gateway.rollout.cusum import ALARM, DOUBT, SequentialTest
 from umbermoor.gateway.rollout.judgement import MIN_OUTCOMES
 from umbermoor.gateway.rollout.records import (
     OutcomeCounts,
     ProxyReport,
+    RecordChanges,
     RecordDocument,
     ReportDocument,
     RolloutRecord,
@@ -46,9 +44,6 @@
 MAX_PROXIES = 256
 """Proxies whose reports are remembered."""
 
-Changes = dict[str, Any]
-"""Keys of the record's JSON that change."""
-
 
 @dataclass(slots=True)
 class _ReceivedReport:
@@ -145,37 +140,6 @@
         self.orders: dict[str, OrderProgress] = {}
         """The last order of each service."""
 
-    def begin(
-        self, service: str, target: str, ramp_seconds: float, present: Sequence[str]
-    ) -> RecordDocument | Status:
-        """An operator's order, judged as the head does, beside this controller's own copy.
-
-        Args:
-            service: the service's name.
-            target: the version to roll out.
-            ramp_seconds: the time until it is to be settled or reverted.
-            present: the versions of the service's listed instances.
-
-        Returns:
-            The record to write; OK if nothing is to change; CONFLICT or INVALID.
-        """
-        if not _valid_order(target, ramp_seconds):
-            return Status.INVALID
-        progress = self.orders.get(service)
-        last = progress.record.document if progress else None
-        request = order_request(target, ramp_seconds, present)
-        decision = judge_begin(last, request, lambda: True)
-        if decision.outcome is Outcome.ACCEPTED:
-            return decision.value
-        return Status.OK if decision.outcome is Outcome.UNCHANGED else Status.CONFLICT
-
-    def read(self, service: str) -> dict[str, str] | Status:
-        """What an operator reads: state and target; NOT_FOUND."""
-        progress = self.orders.get(service)
-        if progress is None:
-            return Status.NOT_FOUND
-        return {"state": progress.record.state, "target": progress.record.target}
-
     def apply_record(self, now: int, service: str, document: RecordDocument | None) -> None:
         """The durable record in force; an older one is ignored."""
         progress = self.orders.get(service)
@@ -221,14 +185,6 @@
         return proposals
 
 
-def _valid_order(target: object, ramp_seconds: object) -> bool:
-    if not isinstance(target, str) or not target:
-        return False
-    if isinstance(ramp_seconds, bool) or not isinstance(ramp_seconds, (int, float)):
-        return False
-    return 0 < ramp_seconds < float("inf")
-
-
 def _awaits_write(now: int, progress: OrderProgress, ends: bool) -> bool:
     """Whether the last proposal may still be written; one that ends the order does not wait."""
     proposed = progress.proposed
@@ -237,7 +193,7 @@
     return now - progress.proposed_at < REWRITE_INTERVAL and (not ends or not proposed.running)
 
 
-def _next_changes(now: int, progress: OrderProgress) -> Changes:
+def _next_changes(now: int, progress: OrderProgress) -> RecordChanges:
     """What changes in the record now; empty: nothing."""
     stage, test = progress.record.stage, progress.test
     reports = progress.recent_reports(now)
@@ -285,7 +241,7 @@
     return warm > 0 and 2 * warm >= previous
 
 
-def _settle(now: int, progress: OrderProgress, reports: Sequence[ProxyReport]) -> Changes:
+def _settle(now: int, progress: OrderProgress, reports: Sequence[ProxyReport]) -> RecordChanges:
     """Settled once no proxy sends to the previous version, and SETTLE_DELAY has passed."""
     quiet = bool(reports) and all(
         report.stage == FINAL_STAGE and not report.previous_in_flight for report in reports
