--- a/benchmarks/control_cuts.py
+++ b/benchmarks/control_cuts.py
@@ -7,7 +7,7 @@
 from cyclopts import App
 
 from tests.gateway.operators import CALLS, troubled
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 app = App(help=__doc__)
 
--- a/benchmarks/control_world.py
+++ b/benchmarks/control_world.py
@@ -22,7 +22,7 @@
 from umbermoor.gateway.simulation.schedule_generator import draw
 from umbermoor.gateway.simulation.shrinking import shrink
 from umbermoor.gateway.simulation.violations import InvariantViolation
-from umbermoor.gateway.simulation.virtual_time import SECOND
+from umbermoor.gateway.units import SECOND
 
 SHRINK_TRIALS = 200  # schedules at most that are played to shrink one
 PROGRESS_INTERVAL_S = 30
--- a/benchmarks/long_storms.py
+++ b/benchmarks/long_storms.py
@@ -11,7 +11,7 @@
 from cyclopts import App
 
 from tests.gateway.long_world import SECOND, streamed
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 TROUBLES = "restarts", "away", "wiped", "slow", "hangs", "refuses"
 app = App(help=__doc__)
--- a/benchmarks/second_loss.py
+++ b/benchmarks/second_loss.py
@@ -18,7 +18,7 @@
 
 from tests.gateway.replica_set_world import Sets, founded_sets
 from umbermoor.gateway.effects import Status
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 SPARE = "10.0.0.100"
 
--- a/tests/gateway/features/steps/catching_up_steps.py
+++ b/tests/gateway/features/steps/catching_up_steps.py
@@ -28,7 +28,7 @@
 )
 from umbermoor.gateway.replication.write_queue import WriteQueue
 from umbermoor.gateway.server.proxy import Proxy
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 SETTINGS = """
 nodeName = "front-1"
--- a/tests/gateway/features/steps/conditional_writes_steps.py
+++ b/tests/gateway/features/steps/conditional_writes_steps.py
@@ -21,7 +21,7 @@
 from umbermoor.gateway.simulation.linearizability import NEVER, Operation, find_violation
 from umbermoor.gateway.simulation.replica_world import ReplicaWorld
 from umbermoor.gateway.simulation.violations import InvariantViolation
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 
 def put(held, key, new, epoch=5):
--- a/tests/gateway/features/steps/replica_set_steps.py
+++ b/tests/gateway/features/steps/replica_set_steps.py
@@ -10,7 +10,7 @@
 from tests.gateway.view_change_model import Broken, Order, Rules, Space
 from umbermoor.gateway.effects import Status
 from umbermoor.gateway.replication.codec import encode
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 
 def named(context: Any, number: int) -> str:
--- a/tests/gateway/features/steps/replication_steps.py
+++ b/tests/gateway/features/steps/replication_steps.py
@@ -10,7 +10,7 @@
 from umbermoor.gateway.effects import Send, Status
 from umbermoor.gateway.simulation.replica_storm import started_world, storm
 from umbermoor.gateway.simulation.replica_world import ReplicaWorld
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 
 def named(context: Any, number: int) -> str:
--- a/tests/gateway/long_world.py
+++ b/tests/gateway/long_world.py
@@ -15,7 +15,7 @@
 from umbermoor.gateway.effects import Send, Status
 from umbermoor.gateway.simulation.replica_world import ReplicaWorld
 from umbermoor.gateway.simulation.violations import Invariant, InvariantViolation
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 SECOND = 1000 * MILLISECOND
 KEY = "config/all"
--- a/tests/gateway/operators.py
+++ b/tests/gateway/operators.py
@@ -31,7 +31,7 @@
 from umbermoor.gateway.simulation.replica_storm import inject_fault
 from umbermoor.gateway.simulation.replica_world import TICK_INTERVAL, ReplicaMachine, ReplicaWorld
 from umbermoor.gateway.simulation.violations import Invariant, InvariantViolation
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 SERVICE = ROLLOUT_KEY_PREFIX + "s"
 PATIENCE = 1000 * MILLISECOND  # a caller asks another then
--- a/tests/gateway/replica_set_world.py
+++ b/tests/gateway/replica_set_world.py
@@ -12,7 +12,7 @@
 from umbermoor.gateway.simulation.replica_storm import contend, inject_fault
 from umbermoor.gateway.simulation.replica_world import ReplicaMachine, ReplicaWorld
 from umbermoor.gateway.simulation.violations import Invariant, InvariantViolation
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 
 class Sets(ReplicaWorld):
--- a/umbermoor/gateway/api/decisions.py
+++ b/umbermoor/gateway/api/decisions.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 from typing import Any, NotRequired, TypedDict
 
-from umbermoor.gateway.effects import Decision, Outcome
+from umbermoor.gateway.effects import Decision, JsonObject, Outcome
 from umbermoor.gateway.rollout.admission import judge_begin, judge_stage
 from umbermoor.gateway.rollout.records import ROLLOUT_KEY_PREFIX, RecordDocument, supersedes
 
@@ -86,8 +86,8 @@
     return [_level(one) for one in part] if type(part) is list else part
 
 
-def configuration_record(revision: int, text: str, digest: str) -> ConfigurationRecord:
-    """What is put for a configuration that was found sound."""
+def configuration_record(revision: int, text: str, digest: str) -> JsonObject:
+    """A ConfigurationRecord, as it is put for a configuration that was found sound."""
     return {"revision": revision, "text": text, "digest": digest}
 
 
--- a/umbermoor/gateway/balancing/instance.py
+++ b/umbermoor/gateway/balancing/instance.py
@@ -7,13 +7,11 @@
 from math import exp
 
 from umbermoor.gateway.discovery.registry import READY, InstanceRecord
+from umbermoor.gateway.units import MILLISECOND, SECOND
 
-MILLISECOND_US = 1_000
-SECOND_US = 1_000_000
-
-REPORT_DECAY_US = 600 * MILLISECOND_US
-EJECTION_BASE_US = 150 * MILLISECOND_US
-EJECTION_MAX_US = 3 * SECOND_US
+REPORT_DECAY_US = 600 * MILLISECOND
+EJECTION_BASE_US = 150 * MILLISECOND
+EJECTION_MAX_US = 3 * SECOND
 EJECTION_MAX_DOUBLINGS = 6
 FAILURES_TO_EJECT = 3  # in a row, of kinds that need not be the instance's fault
 
--- a/umbermoor/gateway/config/quantities.py
+++ b/umbermoor/gateway/config/quantities.py
@@ -1,11 +1,11 @@
 """Times and host names in the form that the gateway keeps them in."""
 
-MICROSECONDS_PER_SECOND = 1_000_000
+from umbermoor.gateway.units import SECOND
 
 
 def to_microseconds(seconds: float) -> int:
     """Seconds as whole microseconds, rounded to the nearest."""
-    return round(seconds * MICROSECONDS_PER_SECOND)
+    return round(seconds * SECOND)
 
 
 def normalize_host(host: str) -> str:
--- a/umbermoor/gateway/membership/__init__.py
+++ b/umbermoor/gateway/membership/__init__.py
@@ -13,6 +13,7 @@
 * `local_health`: Lifeguard's doubt of this proxy in itself.
 * `updates`: changes of membership waiting to be gossiped; `outbox`: messages that carry them.
 
-The package imports nothing of the gateway outside itself. Source: A. Das, I. Gupta, A. Motivala,
-"SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002.
+Times are whole microseconds of a clock that never goes back. Of the gateway outside itself the
+package imports `units` alone. Source: A. Das, I. Gupta, A. Motivala, "SWIM: Scalable
+Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002.
 """
--- a/umbermoor/gateway/membership/candidates.py
+++ b/umbermoor/gateway/membership/candidates.py
@@ -4,7 +4,7 @@
 
 from umbermoor.gateway.membership.codec import pack_address
 from umbermoor.gateway.membership.member_table import MemberTable
-from umbermoor.gateway.membership.timing import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 MAX_CANDIDATES = 256
 MAX_ATTEMPTS = 6
--- a/umbermoor/gateway/membership/local_health.py
+++ b/umbermoor/gateway/membership/local_health.py
@@ -4,7 +4,7 @@
 Failure Detection", DSN-W 2018, arXiv 1707.00788.
 """
 
-from umbermoor.gateway.membership.timing import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 MAX_SCORE = 4
 """Lifeguard's S: the local health score saturates here."""
--- a/umbermoor/gateway/membership/member_table.py
+++ b/umbermoor/gateway/membership/member_table.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from umbermoor.gateway.membership.messages import Incarnation, MemberState
-from umbermoor.gateway.membership.timing import MILLISECOND, SECOND
 from umbermoor.gateway.membership.updates import UpdateQueue
+from umbermoor.gateway.units import MILLISECOND, SECOND
 
 MAX_MEMBERS = 512
 MAX_DEPARTED = 256
--- a/umbermoor/gateway/membership/prober.py
+++ b/umbermoor/gateway/membership/prober.py
@@ -9,7 +9,7 @@
 from umbermoor.gateway.membership.messages import Message, MessageType
 from umbermoor.gateway.membership.outbox import Outbox
 from umbermoor.gateway.membership.probes import PingRequest, Probe, ProbeSchedule, ProbeTable
-from umbermoor.gateway.membership.timing import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 INDIRECT_PROBERS = 3
 """SWIM's k: so many others are asked to ping a target that has not answered."""
--- a/umbermoor/gateway/membership/probes.py
+++ b/umbermoor/gateway/membership/probes.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-from umbermoor.gateway.membership.timing import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 PROBE_INTERVAL = 500 * MILLISECOND
 """SWIM's protocol period: one member is probed in turn."""
--- a/umbermoor/gateway/replication/attempt.py
+++ b/umbermoor/gateway/replication/attempt.py
@@ -11,8 +11,9 @@
 
 from umbermoor.gateway.effects import JsonValue
 from umbermoor.gateway.replication.replica_set import ReplicaSet
-from umbermoor.gateway.replication.timing import MILLISECOND, YIELD
+from umbermoor.gateway.replication.timing import YIELD
 from umbermoor.gateway.replication.view import Version
+from umbermoor.gateway.units import MILLISECOND
 
 NEVER = -(2**40)  # as the time of something that has not happened
 
--- a/umbermoor/gateway/replication/leases.py
+++ b/umbermoor/gateway/replication/leases.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from umbermoor.gateway.replication.messages import Heartbeat
-from umbermoor.gateway.replication.timing import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 LEASE = 900 * MILLISECOND  # so long after it was sent, a heartbeat that was echoed proves contact
 CLOCK_GAP = 500 * MILLISECOND  # a longer time between two inputs: frozen, or starved
--- a/umbermoor/gateway/replication/requests.py
+++ b/umbermoor/gateway/replication/requests.py
@@ -18,8 +18,8 @@
 )
 from umbermoor.gateway.replication.state_transfer import StateTransfer
 from umbermoor.gateway.replication.stored_records import json_bytes
-from umbermoor.gateway.replication.timing import MILLISECOND
 from umbermoor.gateway.replication.view_activation import ViewActivation
+from umbermoor.gateway.units import MILLISECOND
 
 CALL_TIMEOUT = 700 * MILLISECOND
 RESEND_INTERVAL = 150 * MILLISECOND
--- a/umbermoor/gateway/replication/timing.py
+++ b/umbermoor/gateway/replication/timing.py
@@ -9,7 +9,7 @@
 resending of a call in `requests`; the staggering of proposals in `view_triggers`.
 """
 
-MILLISECOND = 1000
+from umbermoor.gateway.units import MILLISECOND
 
 HEARTBEAT_INTERVAL = 200 * MILLISECOND
 ZONE_INTERVAL = 8  # heartbeats from one that carries the zone to the next
--- a/umbermoor/gateway/replication/view_triggers.py
+++ b/umbermoor/gateway/replication/view_triggers.py
@@ -12,7 +12,6 @@
 from umbermoor.gateway.replication.peers import Exclusions, Peer
 from umbermoor.gateway.replication.timing import (
     CHAIN_MEMBER_TIMEOUT,
-    MILLISECOND,
     NO_CHAIN_HEARD,
     SERVING_CONTACT_TIMEOUT,
     STARTUP_GRACE,
@@ -20,6 +19,7 @@
     STEADY_TIME_WHILE_DEGRADED,
     UNSERVED_DELAY,
 )
+from umbermoor.gateway.units import MILLISECOND
 
 
 class Cause(Enum):
--- a/umbermoor/gateway/replication/write_queue.py
+++ b/umbermoor/gateway/replication/write_queue.py
@@ -13,7 +13,7 @@
 
 from umbermoor.gateway.effects import Write
 from umbermoor.gateway.replication.stored_records import Records
-from umbermoor.gateway.replication.timing import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 RETRY = 200 * MILLISECOND  # until a refused write is tried again
 HANGING = 400 * MILLISECOND  # a write that takes longer: the disk is not healthy
--- a/umbermoor/gateway/rollout/__init__.py
+++ b/umbermoor/gateway/rollout/__init__.py
@@ -7,8 +7,8 @@
 distribution of updates brings to all proxies. `stages.py` has the course of a rollout,
 `judgement.py` the statistics common to both, `records.py` the JSON of records and reports.
 
-The package imports `umbermoor.statistics` and `umbermoor.gateway.effects` alone. Source: E. Feit,
-R. Berman, "Test & Roll: Profit-Maximizing A/B Tests", 2019.
+The package imports `umbermoor.statistics` and the gateway's `effects` and `units` alone. Source:
+E. Feit, R. Berman, "Test & Roll: Profit-Maximizing A/B Tests", 2019.
 
     >>> from umbermoor.gateway.rollout.admission import first_record, order_request
     >>> def play(bad: bool) -> tuple[str, float, float]:
@@ -47,6 +47,6 @@
 
 from umbermoor.gateway.rollout.coordinator import RolloutCoordinator
 from umbermoor.gateway.rollout.observer import RolloutObserver
-from umbermoor.gateway.rollout.stages import SECOND
+from umbermoor.gateway.units import SECOND
 
 __all__ = ["SECOND", "RolloutCoordinator", "RolloutObserver"]
--- a/umbermoor/gateway/rollout/coordinator.py
+++ b/umbermoor/gateway/rollout/coordinator.py
@@ -25,7 +25,8 @@
     settled,
     supersedes,
 )
-from umbermoor.gateway.rollout.stages import FINAL_STAGE, SECOND, STAGE_STARTS
+from umbermoor.gateway.rollout.stages import FINAL_STAGE, STAGE_STARTS
+from umbermoor.gateway.units import SECOND
 
 REPORT_TIMEOUT = SECOND
 """A proxy whose last report is older than this does not count among those that are heard."""
--- a/umbermoor/gateway/rollout/cusum.py
+++ b/umbermoor/gateway/rollout/cusum.py
@@ -21,7 +21,7 @@
     trails,
 )
 from umbermoor.gateway.rollout.records import OutcomeCounts
-from umbermoor.gateway.rollout.stages import SECOND
+from umbermoor.gateway.units import SECOND
 
 EXCESS_SHARES = (0.1, 0.3, 0.6)
 """The alternatives tested: shares of else good outcomes that a bad version spoils."""
--- a/umbermoor/gateway/rollout/observer.py
+++ b/umbermoor/gateway/rollout/observer.py
@@ -17,7 +17,7 @@
     ReportKey,
     ServiceRollout,
 )
-from umbermoor.gateway.rollout.stages import SECOND
+from umbermoor.gateway.units import SECOND
 
 UPDATE_TIMEOUT = 3 * SECOND // 2
 """Without confirmed updates for longer than this, a proxy sends nothing to a trial."""
--- a/umbermoor/gateway/rollout/service_rollout.py
+++ b/umbermoor/gateway/rollout/service_rollout.py
@@ -28,7 +28,6 @@
 )
 from umbermoor.gateway.rollout.stages import (
     FINAL_STAGE,
-    SECOND,
     STAGE_SHARES,
     STEP_LEASE,
     TRIAL_SHARE,
@@ -37,6 +36,7 @@
     instances_for_share,
     oldest_first,
 )
+from umbermoor.gateway.units import SECOND
 from umbermoor.statistics.test_roll import needed
 
 JUDGE_AFTER = 4 * SECOND
--- a/umbermoor/gateway/rollout/stages.py
+++ b/umbermoor/gateway/rollout/stages.py
@@ -13,7 +13,7 @@
 from collections.abc import Sequence
 from math import ceil
 
-SECOND = 1_000_000
+from umbermoor.gateway.units import SECOND
 
 TRIAL_SHARE = 0.04
 """Of a proxy's own requests since it learnt of the order, the most that go to the trial."""
--- a/umbermoor/gateway/server/client_connection.py
+++ b/umbermoor/gateway/server/client_connection.py
@@ -13,6 +13,7 @@
 from umbermoor.gateway.routing.route_table import ClientLimits
 from umbermoor.gateway.server.http_messages import response_bytes
 from umbermoor.gateway.server.peer_transport import tune_socket
+from umbermoor.gateway.units import SECOND
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Request
 
@@ -21,7 +22,6 @@
 
 REQUEST_TIMEOUT = 408
 
-MICROSECONDS_PER_SECOND = 1_000_000
 MAX_BODY_BYTES = 8 << 20  # of a request: it is held whole until it is sent to an instance
 MAX_PIPELINED_REQUESTS = 16  # of one connection that may wait for their responses
 MAX_CONNECTIONS = 2500  # what strangers can open
@@ -90,10 +90,10 @@
 
     def apply_limits(self, limits: ClientLimits) -> None:
         """Takes over what a configuration says."""
-        idle_s = limits.idle_timeout_us / MICROSECONDS_PER_SECOND
+        idle_s = limits.idle_timeout_us / SECOND
         self.idle_timeout_s = idle_s + IDLE_GRACE_S
         self.keep_alive_s = max(1, round(idle_s) - 1)
-        self.header_timeout_s = limits.header_timeout_us / MICROSECONDS_PER_SECOND
+        self.header_timeout_s = limits.header_timeout_us / SECOND
         self.max_body_bytes = min(MAX_BODY_BYTES, limits.body_bytes)
 
     def sweep(self) -> None:
--- a/umbermoor/gateway/server/clocks.py
+++ b/umbermoor/gateway/server/clocks.py
@@ -6,7 +6,8 @@
 import time
 from collections.abc import Callable
 
-MICROSECONDS = 1_000_000  # in a second
+from umbermoor.gateway.units import SECOND
+
 # Runs on while the machine is suspended, where the system has such a clock.
 _SYSTEM_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
@@ -15,4 +16,4 @@
 
 def system_clock() -> int:
     """The time in microseconds; it never goes back."""
-    return round(time.clock_gettime(_SYSTEM_CLOCK) * MICROSECONDS)
+    return round(time.clock_gettime(_SYSTEM_CLOCK) * SECOND)
--- a/umbermoor/gateway/server/controller_link.py
+++ b/umbermoor/gateway/server/controller_link.py
@@ -21,10 +21,10 @@
 from umbermoor.gateway.server.events import event
 from umbermoor.gateway.server.peer_transport import PeerConnection, PeerTransport
 from umbermoor.gateway.server.request_handler import RequestHandler
+from umbermoor.gateway.units import SECOND
 
-SECOND_US = 1_000_000
 # Between two ticks longer than this, the process was frozen or starved.
-MAX_TICK_GAP_US = SECOND_US // 2
+MAX_TICK_GAP_US = SECOND // 2
 
 
 def controller_addresses(settings: NodeSettings) -> list[str]:
--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -33,14 +33,14 @@
 from umbermoor.gateway.server.events import event, watch
 from umbermoor.gateway.server.readiness import ReadinessConnection
 from umbermoor.gateway.server.request_handler import RequestHandler
+from umbermoor.gateway.units import SECOND
 from umbermoor.http1.buffers import Buffers
 
-SECOND_US = 1_000_000
 TICK_INTERVAL_S = 0.05
 SWEEP_INTERVAL_S = 1
 CLIENT_BACKLOG = 512  # connections that the kernel may hold until they are accepted
 # Ready without any instance known, where no update brought one in this time.
-NO_INSTANCES_GRACE_US = 3 * SECOND_US
+NO_INSTANCES_GRACE_US = 3 * SECOND
 # After SIGTERM until idle connections are closed; the platform looks once a second.
 UNREADY_S = 2.6
 DRAIN_CHECK_S = 0.05
@@ -121,7 +121,7 @@
 
     def now(self) -> int:
         """Microseconds of the steady clock."""
-        return round(self.clock() * SECOND_US)
+        return round(self.clock() * SECOND)
 
     # Running
 
--- a/umbermoor/gateway/server/registry_snapshot.py
+++ b/umbermoor/gateway/server/registry_snapshot.py
@@ -13,11 +13,11 @@
     InstanceRegistry,
     record_from_wire,
 )
-from umbermoor.gateway.server.clocks import MICROSECONDS
 from umbermoor.gateway.server.replica_host import ReplicaHost
+from umbermoor.gateway.units import SECOND
 
 INSTANCES_KEY = "machines"  # in the store
-MIN_WRITE_INTERVAL = MICROSECONDS
+MIN_WRITE_INTERVAL = SECOND
 STALE = -1  # no sequence number of a registry
 
 
--- a/umbermoor/gateway/server/request_handler.py
+++ b/umbermoor/gateway/server/request_handler.py
@@ -40,16 +40,15 @@
 from umbermoor.gateway.server.client_connection import ClientConnection, PendingRequest
 from umbermoor.gateway.server.connections import Attempt, ConnectionPool
 from umbermoor.gateway.server.http_messages import request_bytes
+from umbermoor.gateway.units import MILLISECOND, SECOND
 from umbermoor.http1.reader import Request, Response
 
 BAD_REQUEST = 400
 NOT_FOUND = 404
 
-SECOND_US = 1_000_000
-MILLISECOND_US = 1_000
 NO_ROUTES_RETRY_AFTER = {"retry-after": "0.3"}
 # Taken off the time that a client says it waits, for the way there and back.
-ROUND_TRIP_US = 10 * MILLISECOND_US
+ROUND_TRIP_US = 10 * MILLISECOND
 MAX_TIME_REMAINING_DIGITS = 8
 # After the deadline, a response at the last moment may still be on its way.
 ATTEMPT_GRACE_S = 0.1
@@ -132,7 +131,7 @@
 
     def now(self) -> int:
         """Microseconds of the steady clock."""
-        return round(self.clock() * SECOND_US)
+        return round(self.clock() * SECOND)
 
     # Accepted and routed
 
@@ -173,7 +172,7 @@
         time_left_us = route.timeout_us
         client_waits = request.headers.get("x-time-remaining", "")  # in milliseconds
         if client_waits.isdecimal() and len(client_waits) <= MAX_TIME_REMAINING_DIGITS:
-            client_waits_us = int(client_waits) * MILLISECOND_US - ROUND_TRIP_US
+            client_waits_us = int(client_waits) * MILLISECOND - ROUND_TRIP_US
             time_left_us = min(time_left_us, client_waits_us)
         service = route.service_for(self.random())
         lifecycle = RequestLifecycle(
@@ -243,7 +242,7 @@
         lifecycle.attempt_started(now, number, instance, round(hedge_after_us))
         instance.attempt_started(now)
         self.rollouts.attempt_sent(now, lifecycle.service, instance.entry.revision)
-        time_left_ms = max(1, (lifecycle.deadline - now) // MILLISECOND_US)
+        time_left_ms = max(1, (lifecycle.deadline - now) // MILLISECOND)
         attempt = Attempt(
             active,
             number,
@@ -328,7 +327,7 @@
             active.timer.cancel()
             active.timer = None
         if isinstance(step, Wait):
-            delay_s = max(0, step.until - now) / SECOND_US
+            delay_s = max(0, step.until - now) / SECOND
             active.timer = asyncio.get_running_loop().call_later(delay_s, self._wake, active)
         elif isinstance(step, Relay):
             response = step.response
@@ -370,7 +369,7 @@
         if active.attempts:
             self._cancel_unsent(active)
         if active.attempts:
-            left_s = max(0, active.lifecycle.deadline - self.now()) / SECOND_US
+            left_s = max(0, active.lifecycle.deadline - self.now()) / SECOND
             loop = asyncio.get_running_loop()
             loop.call_later(left_s + ATTEMPT_GRACE_S, self._give_up, active)
 
--- a/umbermoor/gateway/server/shutdown.py
+++ b/umbermoor/gateway/server/shutdown.py
@@ -3,8 +3,8 @@
 import asyncio
 
 from umbermoor.gateway.server import events
-from umbermoor.gateway.server.clocks import MICROSECONDS
 from umbermoor.gateway.server.replica_host import ReplicaHost
+from umbermoor.gateway.units import SECOND
 
 MAX_HAND_OVER_S = 2.0
 
@@ -19,7 +19,7 @@
     def __init__(self, host: ReplicaHost, grace_us: int) -> None:
         """`grace_us`: how long the platform waits after SIGTERM until it kills the process."""
         self._host = host
-        self._hand_over_us = round(min(MAX_HAND_OVER_S, grace_us / 3e6) * MICROSECONDS)
+        self._hand_over_us = round(min(MAX_HAND_OVER_S, grace_us / 3e6) * SECOND)
         self._hand_over_until: int | None = None
         self.requested = asyncio.Event()
 
--- a/umbermoor/gateway/server/status_calls.py
+++ b/umbermoor/gateway/server/status_calls.py
@@ -8,9 +8,10 @@
 
 from umbermoor.gateway.api.http_api import ApiRequest, ApiResponse, api_call, json_response
 from umbermoor.gateway.discovery.registry import STATE_NAMES, InstanceRecord, InstanceRegistry
-from umbermoor.gateway.server.clocks import MICROSECONDS, Clock
+from umbermoor.gateway.server.clocks import Clock
 from umbermoor.gateway.server.replica_host import ReplicaHost
 from umbermoor.gateway.server.store_sweep import StoreSweep
+from umbermoor.gateway.units import SECOND
 
 
 class StatusCalls:
@@ -115,5 +116,5 @@
             "revision": record.revision,
             "capacity": record.capacity,
             "state": STATE_NAMES[record.state],
-            "heardS": round(age / MICROSECONDS, 3),
+            "heardS": round(age / SECOND, 3),
         }
--- a/umbermoor/gateway/server/store_sweep.py
+++ b/umbermoor/gateway/server/store_sweep.py
@@ -12,12 +12,13 @@
 
 from umbermoor.gateway.replication.anti_entropy import DigestComparison
 from umbermoor.gateway.server import events
-from umbermoor.gateway.server.clocks import MICROSECONDS, Clock
+from umbermoor.gateway.server.clocks import Clock
 from umbermoor.gateway.server.peer_transport import PeerTransport
 from umbermoor.gateway.server.registry_snapshot import INSTANCES_KEY, RegistrySnapshot
 from umbermoor.gateway.server.replica_host import ReplicaHost
+from umbermoor.gateway.units import SECOND
 
-SWEEP_INTERVAL = 10 * MICROSECONDS  # from the end of a sweep to the next
+SWEEP_INTERVAL = 10 * SECOND  # from the end of a sweep to the next
 
 
 class StoreSweep:
--- a/umbermoor/gateway/simulation/control_world.py
+++ b/umbermoor/gateway/simulation/control_world.py
@@ -31,7 +31,8 @@
 from umbermoor.gateway.simulation.violations import Invariant, InvariantViolation
 from umbermoor.gateway.simulation.virtual_disk import DiskMode
 from umbermoor.gateway.simulation.virtual_network import VirtualHost, VirtualNetwork
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND, SECOND, VirtualTime
+from umbermoor.gateway.simulation.virtual_time import VirtualTime
+from umbermoor.gateway.units import MILLISECOND, SECOND
 
 TRAFFIC_BEGINS_AT = 9 * SECOND
 FIRST_CONFIGURATION_AT = 3 * SECOND
--- a/umbermoor/gateway/simulation/disk_faults.py
+++ b/umbermoor/gateway/simulation/disk_faults.py
@@ -5,7 +5,7 @@
 from umbermoor.gateway.simulation.nodes import ControllerNode
 from umbermoor.gateway.simulation.schedule import Step
 from umbermoor.gateway.simulation.virtual_disk import DiskMode
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.control_world import ControlWorld
--- a/umbermoor/gateway/simulation/exposure.py
+++ b/umbermoor/gateway/simulation/exposure.py
@@ -5,7 +5,7 @@
 
 from umbermoor.gateway.simulation.schedule import MARGINS
 from umbermoor.gateway.simulation.violations import Invariant
-from umbermoor.gateway.simulation.virtual_time import SECOND
+from umbermoor.gateway.units import SECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.control_world import ControlWorld
--- a/umbermoor/gateway/simulation/instances.py
+++ b/umbermoor/gateway/simulation/instances.py
@@ -8,7 +8,7 @@
 from umbermoor.gateway.simulation.nodes import HEARTBEAT_INTERVAL
 from umbermoor.gateway.simulation.operator_call import ANSWER_TIMEOUT
 from umbermoor.gateway.simulation.schedule import MARGINS, SERVICES, Step
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND, SECOND
+from umbermoor.gateway.units import MILLISECOND, SECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.control_world import ControlWorld
--- a/umbermoor/gateway/simulation/invariants.py
+++ b/umbermoor/gateway/simulation/invariants.py
@@ -9,7 +9,7 @@
 from umbermoor.gateway.simulation.proxy_invariants import InstanceInvariants, ProxyInvariants
 from umbermoor.gateway.simulation.state_invariants import RolloutRecords, StateInvariants
 from umbermoor.gateway.simulation.violations import Invariant
-from umbermoor.gateway.simulation.virtual_time import SECOND
+from umbermoor.gateway.units import SECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.control_world import ControlWorld
--- a/umbermoor/gateway/simulation/nodes.py
+++ b/umbermoor/gateway/simulation/nodes.py
@@ -16,7 +16,7 @@
 from umbermoor.gateway.simulation.violations import Invariant
 from umbermoor.gateway.simulation.virtual_network import Respond, VirtualHost
 from umbermoor.gateway.simulation.virtual_process import VirtualProcess
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.control_world import ControlWorld
--- a/umbermoor/gateway/simulation/operator_call.py
+++ b/umbermoor/gateway/simulation/operator_call.py
@@ -3,7 +3,7 @@
 from typing import TYPE_CHECKING
 
 from umbermoor.gateway.simulation.virtual_network import Respond
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND, SECOND
+from umbermoor.gateway.units import MILLISECOND, SECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.control_world import ControlWorld
--- a/umbermoor/gateway/simulation/operators.py
+++ b/umbermoor/gateway/simulation/operators.py
@@ -11,7 +11,7 @@
     lowest_revision_at,
 )
 from umbermoor.gateway.simulation.virtual_network import Respond
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND, SECOND
+from umbermoor.gateway.units import MILLISECOND, SECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.control_world import ControlWorld
--- a/umbermoor/gateway/simulation/process_faults.py
+++ b/umbermoor/gateway/simulation/process_faults.py
@@ -5,7 +5,7 @@
 from umbermoor.gateway.simulation.nodes import ControllerNode, ProxyNode
 from umbermoor.gateway.simulation.schedule import MARGINS, Step
 from umbermoor.gateway.simulation.virtual_network import VirtualHost
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND, SECOND
+from umbermoor.gateway.units import MILLISECOND, SECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.control_world import ControlWorld
--- a/umbermoor/gateway/simulation/proxy_invariants.py
+++ b/umbermoor/gateway/simulation/proxy_invariants.py
@@ -8,7 +8,7 @@
 from umbermoor.gateway.simulation.schedule import MARGINS, SERVICES
 from umbermoor.gateway.simulation.state_invariants import RolloutRecords
 from umbermoor.gateway.simulation.violations import Invariant
-from umbermoor.gateway.simulation.virtual_time import SECOND
+from umbermoor.gateway.units import SECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.control_world import ControlWorld
--- a/umbermoor/gateway/simulation/replica_storm.py
+++ b/umbermoor/gateway/simulation/replica_storm.py
@@ -4,7 +4,7 @@
 
 from umbermoor.gateway.simulation.replica_world import LATENESS, ReplicaWorld
 from umbermoor.gateway.simulation.violations import Invariant, InvariantViolation
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 
 def started_world(seed: int, members: int = 3, bear: int | None = None) -> ReplicaWorld:
--- a/umbermoor/gateway/simulation/replica_world.py
+++ b/umbermoor/gateway/simulation/replica_world.py
@@ -18,7 +18,7 @@
 from umbermoor.gateway.replication.replica import Replica
 from umbermoor.gateway.simulation.reference_model import ReferenceModel
 from umbermoor.gateway.simulation.violations import Invariant, InvariantViolation
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 TICK_INTERVAL = 50 * MILLISECOND
 LATENESS = (20, 200, 2000, 8000)  # late messages are late by up to one of these, in ms
--- a/umbermoor/gateway/simulation/rollouts.py
+++ b/umbermoor/gateway/simulation/rollouts.py
@@ -10,7 +10,7 @@
 from umbermoor.gateway.simulation.operator_call import OperatorCall
 from umbermoor.gateway.simulation.order_invariants import RUNNING
 from umbermoor.gateway.simulation.schedule import Step
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND, SECOND
+from umbermoor.gateway.units import MILLISECOND, SECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.control_world import ControlWorld
--- a/umbermoor/gateway/simulation/state_invariants.py
+++ b/umbermoor/gateway/simulation/state_invariants.py
@@ -13,7 +13,7 @@
 from umbermoor.gateway.simulation.observations import NO_VERSION, RolloutDecisions
 from umbermoor.gateway.simulation.order_invariants import RUNNING
 from umbermoor.gateway.simulation.violations import Invariant
-from umbermoor.gateway.simulation.virtual_time import SECOND
+from umbermoor.gateway.units import SECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.control_world import ControlWorld
--- a/umbermoor/gateway/simulation/traffic.py
+++ b/umbermoor/gateway/simulation/traffic.py
@@ -8,7 +8,7 @@
 from umbermoor.gateway.simulation.schedule import SERVICES
 from umbermoor.gateway.simulation.violations import Invariant
 from umbermoor.gateway.simulation.virtual_process import VirtualProcess
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 from umbermoor.http1.reader import Request, Response
 
 if TYPE_CHECKING:
--- a/umbermoor/gateway/simulation/violations.py
+++ b/umbermoor/gateway/simulation/violations.py
@@ -2,7 +2,7 @@
 
 from enum import Enum
 
-from umbermoor.gateway.simulation.virtual_time import SECOND
+from umbermoor.gateway.units import SECOND
 
 
 class Invariant(Enum):
--- a/umbermoor/gateway/simulation/virtual_disk.py
+++ b/umbermoor/gateway/simulation/virtual_disk.py
@@ -10,7 +10,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND, VirtualTime
+from umbermoor.gateway.simulation.virtual_time import VirtualTime
+from umbermoor.gateway.units import MILLISECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.virtual_process import VirtualProcess
--- a/umbermoor/gateway/simulation/virtual_process.py
+++ b/umbermoor/gateway/simulation/virtual_process.py
@@ -9,7 +9,8 @@
 from enum import IntEnum
 from typing import TYPE_CHECKING, Any
 
-from umbermoor.gateway.simulation.virtual_time import SECOND, Action
+from umbermoor.gateway.simulation.virtual_time import Action
+from umbermoor.gateway.units import SECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.virtual_network import VirtualHost
--- a/umbermoor/gateway/simulation/virtual_time.py
+++ b/umbermoor/gateway/simulation/virtual_time.py
@@ -9,8 +9,8 @@
 from collections import deque
 from collections.abc import Callable
 
-MILLISECOND = 1000
-SECOND = 1_000_000
+from umbermoor.gateway.units import SECOND
+
 EPOCH_SECONDS = 1_700_000_000  # the time of day at which every simulation starts
 
 Action = Callable[[], None]
--- a/umbermoor/gateway/simulation/virtual_transport.py
+++ b/umbermoor/gateway/simulation/virtual_transport.py
@@ -8,7 +8,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any
 
-from umbermoor.gateway.simulation.virtual_time import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 if TYPE_CHECKING:
     from umbermoor.gateway.simulation.virtual_network import VirtualNetwork
