--- a/umbermoor/gateway/replication/leases.py
+++ b/umbermoor/gateway/replication/leases.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from umbermoor.gateway.replication.messages import Heartbeat
-from umbermoor.gateway.replication.timing import MILLISECOND
+from umbermoor.gateway.units import MILLISECOND
 
 LEASE = 900 * MILLISECOND  # so long after it was sent, a heartbeat that was echoed proves contact
 CLOCK_GAP = 500 * MILLISECOND  # a longer time between two inputs: frozen, or starved
@@ -52,13 +52,13 @@
 
     def proven(self, now: int, epoch: int, others: Iterable[str]) -> frozenset[str]:
         """Which of the others proved within the lease that they promised nothing above `epoch`."""
-        none = now - LEASE, DISK_LOST
-        proofs = ((name, *self._proofs.get(name, none)) for name in others)
-        return frozenset(
-            name
-            for name, proven_at, promise in proofs
-            if now - proven_at < LEASE and 0 < promise <= epoch
-        )
+        no_proof = now - LEASE, DISK_LOST
+        proven = []
+        for name in others:
+            proven_at, promise = self._proofs.get(name, no_proof)
+            if now - proven_at < LEASE and 0 < promise <= epoch:
+                proven.append(name)
+        return frozenset(proven)
 
     def void(self) -> None:
         """Nothing from before counts any more, nor an answer to a heartbeat from before."""
