--- a/umbermoor/gateway/server/configuration_calls.py
+++ b/umbermoor/gateway/server/configuration_calls.py
@@ -52,7 +52,7 @@
             return error_response(400, str(body))
         error = await run_in_steps(check_in_steps(body))
         if error is not None:
-            events.event("refused", what="configuration", why=str(error))
+            events.event("validation_failed", kind="configuration", reason=str(error))
             return error_response(400, str(error))
         digest = await run_in_steps(configuration_digest_in_steps(body))
         record = configuration_record(int(body["revision"], 16), request.body.decode(), digest)
@@ -67,10 +67,10 @@
     @staticmethod
     def _log(revision: str, result: CallResult) -> None:
         events.event(
-            "taken" if result.status is Status.OK else "untaken",
-            what="configuration",
+            "write_accepted" if result.status is Status.OK else "write_not_accepted",
+            kind="configuration",
             revision=revision,
-            code=result.status.value,
+            status=result.status.value,
             **outcome_pairs(result),
         )
 
--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -92,7 +92,7 @@
         stored = self.store.load()
         instances = decode_snapshot(stored.pop(INSTANCES_KEY, b"[]"))
         if self.store.lost:  # a disk that cannot be believed counts as lost, and as no new system's
-            events.event("disk_lost", why=self.store.lost)
+            events.event("disk_lost", reason=self.store.lost)
         seeds = [seed.rpartition(":")[0] for seed in settings.seeds]
         self.replica = Replica(
             settings.ip,
@@ -241,7 +241,7 @@
         loop = asyncio.get_running_loop()
         events.watch(loop)
         loop.add_signal_handler(signal.SIGTERM, lambda: self.shutdown.hand_over(self.clock()))
-        loop.add_signal_handler(signal.SIGHUP, lambda: events.event("sighup"))
+        loop.add_signal_handler(signal.SIGHUP, lambda: events.event("sighup_ignored"))
         with contextlib.ExitStack() as resources:
             resources.callback(self.store.close)
             resources.callback(self.host.close)
@@ -260,7 +260,7 @@
                     ticking.result()
             finally:
                 ticking.cancel()
-            events.event("end")
+            events.event("stopped")
 
 
 def _http_config(address: tuple[str, int]) -> "Config":
--- a/umbermoor/gateway/server/controller_link.py
+++ b/umbermoor/gateway/server/controller_link.py
@@ -139,7 +139,7 @@
             if self._logged_stages.get(key) != stage:
                 self._logged_stages[key] = stage
                 state, target, number = stage
-                event("rollout", service=service, state=state, target=target, stage=number)
+                event("rollout_changed", service=service, state=state, target=target, stage=number)
 
     def _list_instances(self, now: int, update: Update) -> None:
         """Tells the rollouts of services whose instances changed."""
--- a/umbermoor/gateway/server/events.py
+++ b/umbermoor/gateway/server/events.py
@@ -17,7 +17,7 @@
     logging.use_absl_handler()
     logging.get_absl_handler().setFormatter(Pairs())
     logging.set_verbosity(logging.INFO)
-    event("start", program=program)
+    event("started", program=program)
 
 
 def event(name: str, **pairs: Any) -> None:
@@ -30,13 +30,16 @@
 
 
 def watch(loop: Any) -> None:
-    """What no handler caught becomes an event too: it ended the connection that it came on, nothing
-    more."""
+    """Logs exceptions that no handler caught: each ended only the connection that it came on."""
 
-    def caught(_: Any, context: dict[str, Any]) -> None:
-        event("caught", what=context.get("message", ""), why=repr(context.get("exception")))
+    def log_exception(_: Any, context: dict[str, Any]) -> None:
+        event(
+            "unhandled_exception",
+            message=context.get("message", ""),
+            exception=repr(context.get("exception")),
+        )
 
-    loop.set_exception_handler(caught)
+    loop.set_exception_handler(log_exception)
 
 
 def _text(value: Any) -> str:
--- a/umbermoor/gateway/server/membership_calls.py
+++ b/umbermoor/gateway/server/membership_calls.py
@@ -84,13 +84,13 @@
         )
         outlook = result.value or {}
         events.event(
-            "members",
+            "replica_set_change_requested",
             add=wanted.add or "none",
             remove=wanted.remove or "none",
-            dry=wanted.dry_run,
-            code=result.status.value,
-            set=outlook.get("number", ""),
-            why=outlook.get("why", ""),
+            dry_run=wanted.dry_run,
+            status=result.status.value,
+            number=outlook.get("number", ""),
+            reason=outlook.get("why", ""),
         )
         if result.status is Status.UNAVAILABLE:
             return RETRY_LATER
--- a/umbermoor/gateway/server/peer_messages.py
+++ b/umbermoor/gateway/server/peer_messages.py
@@ -101,7 +101,7 @@
             try:
                 self._rollouts.receive_report(self._clock(), connection.peer, report)
             except MALFORMED_REPORT as error:
-                events.event("garbled", what="report", source=connection.peer, why=error)
+                events.event("message_malformed", kind="report", peer=connection.peer, reason=error)
 
     def _receive_replica_frame(self, connection: PeerConnection, message: Message) -> None:
         self._host.receive(connection.peer, message)
--- a/umbermoor/gateway/server/replica_host.py
+++ b/umbermoor/gateway/server/replica_host.py
@@ -143,9 +143,9 @@
         if synced:
             self.carry_out(self.replica.written(self._clock(), token))
             return
-        events.event("unwritten", token=token, why="full" if self.store.full else "refused")
+        events.event("write_failed", token=token, reason="full" if self.store.full else "refused")
         if self.store.lost and not self.store.open:
-            events.event("disk_lost", why=self.store.lost)
+            events.event("disk_lost", reason=self.store.lost)
             self._on_store_lost()
             return
         self.carry_out(self.replica.write_failed(self._clock(), token))
--- a/umbermoor/gateway/server/rollout_calls.py
+++ b/umbermoor/gateway/server/rollout_calls.py
@@ -100,11 +100,11 @@
     @staticmethod
     def _log(wanted: BeginRequest, result: CallResult) -> None:
         events.event(
-            "begin",
+            "rollout_requested",
             service=wanted.service,
             target=wanted.target,
             ramp_s=wanted.ramp_s,
-            code=result.status.value,
+            status=result.status.value,
             **outcome_pairs(result),
         )
 
--- a/umbermoor/gateway/server/shutdown.py
+++ b/umbermoor/gateway/server/shutdown.py
@@ -35,7 +35,9 @@
             return
         replica = self._host.replica
         if replica.handed_over or now >= self._hand_over_until:
-            events.event("left", handed_over=replica.handed_over, epoch=replica.status().epoch)
+            events.event(
+                "hand_over_ended", handed_over=replica.handed_over, epoch=replica.status().epoch
+            )
             self.requested.set()
 
     def request(self) -> None:
--- a/umbermoor/gateway/server/status_log.py
+++ b/umbermoor/gateway/server/status_log.py
@@ -24,10 +24,10 @@
         if current != self._logged_set:
             self._logged_set = current
             events.event(
-                "set",
+                "replica_set_changed",
                 number=status.set_number,
                 members=",".join(status.members) or "none",
-                thin=status.degraded,
+                degraded=status.degraded,
             )
 
     def _log_view(self, status: ReplicaStatus) -> None:
@@ -36,7 +36,7 @@
         if current != self._logged_view:
             self._logged_view = current
             events.event(
-                "view",
+                "view_changed",
                 epoch=status.epoch,
                 chain=",".join(status.chain) or "none",
                 role=status.role.value,
--- a/umbermoor/gateway/server/store_sweep.py
+++ b/umbermoor/gateway/server/store_sweep.py
@@ -58,7 +58,7 @@
         """Compares a member's digest with the records held here."""
         replica = self._host.replica
         if self.comparison.differs(sender, message, replica.version, replica.committed):
-            events.event("differs", source=sender, version=message["version"])
+            events.event("digest_mismatch", peer=sender, version=message["version"])
 
     def _ended(self, damaged: list[str] | None) -> None:
         """`damaged`: the records that are not what was written; None: the store's pages are not."""
@@ -87,10 +87,10 @@
         if INSTANCES_KEY in damaged:
             self._snapshot.write_again()
         self.repaired += len(damaged)
-        events.event("mended", records=",".join(damaged))
+        events.event("records_repaired", records=",".join(damaged))
         self._host.carry_out(effects)
 
     def _give_up(self, what: str) -> None:
         """The process ends; its next start finds the same, and the other members fill its store."""
-        events.event("disk_lost", why=f"a sweep found it rotten: {what}")
+        events.event("disk_lost", reason=f"a sweep found it rotten: {what}")
         self._on_store_lost()
