--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -17,7 +17,7 @@
 from umbermoor.gateway.api.decisions import CONFIG_KEY, decide_write
 from umbermoor.gateway.api.http_api import HttpApi
 from umbermoor.gateway.config.node_settings import NodeSettings
-from umbermoor.gateway.discovery.registry import InstanceRegistry
+from umbermoor.gateway.discovery.registry import InstanceRecord, InstanceRegistry
 from umbermoor.gateway.distribution.subscriber import Subscriber
 from umbermoor.gateway.replication.replica import Replica
 from umbermoor.gateway.replication.store import Store
@@ -94,7 +94,29 @@
         if self.store.lost:  # a disk that cannot be believed counts as lost, and as no new system's
             events.event("disk_lost", why=self.store.lost)
         seeds = [seed.rpartition(":")[0] for seed in settings.seeds]
-        self.replica = Replica(
+        self.replica = self._make_replica(seeds, stored, rng)
+        self.registry = self._make_registry(instances, rng)
+        self.rollouts = RolloutCoordinator()
+        self.subscriber = Subscriber(seeds, settings.ip)
+        self.transport = PeerTransport(
+            settings.ip, settings.port_range[0], self._receive, self._connection_lost
+        )
+        self.host = self._make_host(rng)
+        self.shutdown = Shutdown(self.host, settings.margin_us("graceS", DEFAULT_GRACE_S))
+        self.snapshot = RegistrySnapshot(self.registry, self.host)
+        self.sweep = StoreSweep(self.host, self.snapshot, self.transport, clock, self._store_lost)
+        self.publisher = UpdatePublisher(self.registry, self.host, rng, clock)
+        self.replication = InstanceReplication(self.host, self.transport)
+        self.peers = self._make_peers()
+        self.status_log = StatusLog(self.replica)
+
+    # The parts; those that draw from `rng` are made in a fixed order
+
+    def _make_replica(
+        self, seeds: list[str], stored: dict[str, bytes], rng: random.Random
+    ) -> Replica:
+        settings = self.settings
+        return Replica(
             settings.ip,
             seeds,
             settings.tolerated_machine_losses,
@@ -105,32 +127,31 @@
             settings.zone,
             settings.quorum_member,
         )
-        self.registry = InstanceRegistry(
-            rng.getrandbits(RANDOM_BITS) | 1, settings.heartbeat_interval_us
+
+    def _make_registry(
+        self, instances: list[InstanceRecord], rng: random.Random
+    ) -> InstanceRegistry:
+        registry = InstanceRegistry(
+            rng.getrandbits(RANDOM_BITS) | 1, self.settings.heartbeat_interval_us
         )
         for record in instances:
-            self.registry.observe(clock(), record)
-        self.rollouts = RolloutCoordinator()
-        self.subscriber = Subscriber(seeds, settings.ip)
-        self.transport = PeerTransport(
-            settings.ip, settings.port_range[0], self._receive, self._connection_lost
-        )
-        self.host = ReplicaHost(
+            registry.observe(self.clock(), record)
+        return registry
+
+    def _make_host(self, rng: random.Random) -> ReplicaHost:
+        return ReplicaHost(
             self.replica,
             self.store,
             self.transport,
-            clock,
+            self.clock,
             rng.getrandbits(RANDOM_BITS),
             on_commit=self._committed,
             on_effects=self._publish_soon,
             on_store_lost=self._store_lost,
         )
-        self.shutdown = Shutdown(self.host, settings.margin_us("graceS", DEFAULT_GRACE_S))
-        self.snapshot = RegistrySnapshot(self.registry, self.host)
-        self.sweep = StoreSweep(self.host, self.snapshot, self.transport, clock, self._store_lost)
-        self.publisher = UpdatePublisher(self.registry, self.host, rng, clock)
-        self.replication = InstanceReplication(self.host, self.transport)
-        self.peers = PeerMessages(
+
+    def _make_peers(self) -> PeerMessages:
+        return PeerMessages(
             self.registry,
             self.subscriber,
             self.rollouts,
@@ -138,9 +159,8 @@
             self.publisher,
             self.replication,
             self.sweep,
-            clock,
+            self.clock,
         )
-        self.status_log = StatusLog(self.replica)
 
     def make_api(self) -> HttpApi:
         """The HTTP API, for instances and operators."""
