--- a/benchmarks/members_replaced.py
+++ b/benchmarks/members_replaced.py
@@ -22,8 +22,8 @@
 from collections.abc import Awaitable, Callable
 from pathlib import Path
 
-from umbermoor.gateway.cli.command import main as command
 from umbermoor.gateway.cli.control_client import ControlClient, ControlResponse
+from umbermoor.gateway.cli.main import main as command
 from umbermoor.gateway.local.gateway import HOST, PREFIX, SERVICE, LocalGateway, StepFailedError
 from umbermoor.gateway.local.node import ZONES, Node, free_addresses, send_signal
 from umbermoor.gateway.local.traffic import send_requests
@@ -77,7 +77,7 @@
                 "/Config.Replace",
                 body,
             )
-            if isinstance(told, ControlResponse) and told.done:
+            if isinstance(told, ControlResponse) and told.succeeded:
                 self.acks.append(time.monotonic())
                 self.acknowledged = self.revision
             else:
@@ -95,10 +95,10 @@
 
     async def ready() -> bool:
         for place in gateway.control_addresses:
-            told = await asyncio.to_thread(ControlClient(()).once, place, "GET", "/Members")
+            told = await asyncio.to_thread(ControlClient(()).call_once, place, "GET", "/Members")
             if (
                 isinstance(told, ControlResponse)
-                and told.done
+                and told.succeeded
                 and json.loads(told.body)["learners"].get(new.ip)
             ):
                 return True
@@ -141,9 +141,9 @@
 
     async def in_force() -> bool:
         told = await asyncio.to_thread(
-            ControlClient(()).once, f"{new.ip}:{gateway.ports.control}", "GET", "/Members"
+            ControlClient(()).call_once, f"{new.ip}:{gateway.ports.control}", "GET", "/Members"
         )
-        held = json.loads(told.body) if isinstance(told, ControlResponse) and told.done else {}
+        held = json.loads(told.body) if isinstance(told, ControlResponse) and told.succeeded else {}
         return (
             new.ip in held.get("members", ()) and old.ip not in held["members"] and not held["thin"]
         )
@@ -187,7 +187,7 @@
     )
     held = (
         int(json.loads(told.body)["revision"], 16)
-        if isinstance(told, ControlResponse) and told.done
+        if isinstance(told, ControlResponse) and told.succeeded
         else -1
     )
     for task in tasks[1:]:
--- a/benchmarks/rolling_upgrade.py
+++ b/benchmarks/rolling_upgrade.py
@@ -110,7 +110,7 @@
         least = self.stream.acknowledged
         call = ControlClient(self.gateway.control_addresses, 5.0).call
         told = await asyncio.to_thread(call, "GET", "/Config.Read")
-        if not isinstance(told, ControlResponse) or not told.done:
+        if not isinstance(told, ControlResponse) or not told.succeeded:
             self.faults.append(f"{when}: the configuration was not read: {told}")
             return
         held = int(json.loads(told.body)["revision"], 16)
--- a/tests/gateway/compatibility/store_test.py
+++ b/tests/gateway/compatibility/store_test.py
@@ -10,7 +10,7 @@
 
 from tests.gateway.compatibility.this_revision import FIXTURES
 from tests.gateway.compatibility.writes import WRITES
-from umbermoor.gateway.cli.command import main as command
+from umbermoor.gateway.cli.main import main as command
 from umbermoor.gateway.local.gateway import LocalGateway
 from umbermoor.gateway.local.node import ZONES, Node, free_addresses
 from umbermoor.gateway.replication import pages
--- a/tests/gateway/features/logbook.feature
+++ b/tests/gateway/features/cli.feature
@@ -50,6 +50,11 @@
       | rollout watch a                  | GET /Rollouts.Read/a     | 200 {"state":"reverted","target":"v2"} | 1      | s a reverted v2      |
       | configuration read               | GET /Config.Read         | 200 {"revision":"0000000c"}            | 0      | "revision":"0000000c" |
       | configuration read --to to.json  | GET /Config.Read         | 200 {"revision":"0000000c"}            | 0      | to.json: revision 0000000c |
+      | instances                        | GET /Instances           | 200 {"instances":{"i-1":{"service":"a","address":"1.1.1.1:1","zone":"z","revision":"v1","capacity":1,"state":"ready","heardS":1.25}}} | 0 | i-1 a 1.1.1.1:1 z v1 ready 1.2 |
+      | instances                        | GET /Instances           | 200 {"instances":{"i-1":{"service":"","address":"","zone":"","revision":"","capacity":1,"state":"gone","heardS":2}}} | 0 | i-1 - - - - gone 2.0 |
+      | instances --service a            | GET /Instances           | 200 {"instances":{"i-1":{"service":"a","address":"1.1.1.1:1","zone":"z","revision":"v1","capacity":1,"state":"ready","heardS":1.25}}} | 0 | i-1 a 1.1.1.1:1 z v1 ready 1.2 |
+      | instances --service b            | GET /Instances           | 200 {"instances":{"i-1":{"service":"a","address":"1.1.1.1:1","zone":"z","revision":"v1","capacity":1,"state":"ready","heardS":1.25}}} | 0 |  |
+      | status                           | GET /Status              | 200 {"epoch":7,"chain":["a","b"],"role":"out","version":[7,2],"instances":3,"connected":true,"name":"n"} | 0 | n epoch=7 chain=a,b role=out version=7.2 instances=3 connected=true |
       | machines                         | GET /Machines            | 200 {"machines":{"i-1":{"service":"a","address":"1.1.1.1:1","zone":"z","revision":"v1","capacity":1,"state":"ready","heardS":1.25}}} | 0 | i-1 a 1.1.1.1:1 z v1 ready 1.2 |
       | machines --service b             | GET /Machines            | 200 {"machines":{}}                    | 0      |                      |
       | member list                      | GET /Members             | 200 {"set":2,"members":["a","b"],"chain":["a"],"learners":{"c":true},"thin":true,"bear":1,"connected":true} | 1 | c learner ready |
@@ -134,6 +139,30 @@
     And the command line says "127.0.0.2:"
     And the command line says "silent"
 
+  Scenario: the command line asks the controllers that a controller names
+    Given the command line meets a core that answers "GET /Status" with "200 {"epoch":7,"chain":[],"replicaSet":{"addresses":["127.0.0.1","127.0.0.2"]}}"
+    When the command line is "status --at CORE"
+    Then the command line ends with 0 and says "chain=none"
+    And the command line says "127.0.0.2:"
+    And the command line says "silent"
+    And the command line complains of nothing
+
+  Scenario: the command line says that no controller answered
+    When the command line is "instances --within-s 0.3 --at 127.0.0.1:1 --at 127.0.0.1:2"
+    Then the command line ends with 3 and complains in one line "nobody answered; the last: 127.0.0.1:"
+    When the command line is "status --at 127.0.0.1:1"
+    Then the command line ends with 3 and says "127.0.0.1:1 silent"
+
+  Scenario Outline: the command line says that "<words>" is deprecated
+    Given the command line meets a core that answers "<call>" with "<told>"
+    When the command line is "<words> --at CORE"
+    Then the command line ends with 0 and complains in one line "deprecated: <words>, use <replacement>"
+
+    Examples:
+      | words    | call          | told                 | replacement |
+      | story    | GET /Story    | 200 {"epoch":7}      | status      |
+      | machines | GET /Machines | 200 {"machines":{}}  | instances   |
+
   Scenario: the command line plays a whole gateway, and its head is killed
     When the command line plays "local --kill-head" for at most 30 s
     Then the command line ends with 0 and says "killed core-"
--- a/umbermoor/gateway/__main__.py
+++ b/umbermoor/gateway/__main__.py
@@ -20,7 +20,7 @@
         arguments[0] in REQUIRED_LISTEN_ADDRESSES or arguments[0] in DEPRECATED_PROGRAMS
     ):
         return run(arguments[0])
-    from umbermoor.gateway.cli.command import main as command
+    from umbermoor.gateway.cli.main import main as command
 
     return command()
 
--- a/umbermoor/gateway/cli/control_client.py
+++ b/umbermoor/gateway/cli/control_client.py
@@ -1,116 +1,153 @@
-"""Calls to the core, as callers of `controller` make them (PROTOCOL.md, "The operator"): one
-address after another."""
+"""Calls to the controllers, as PROTOCOL.md ("The operator") asks of callers of `controller`.
+
+One address is asked after another, with a growing delay between attempts.
+"""
 
 import time
 from collections.abc import Callable, Sequence
+from http import HTTPStatus
 from typing import NamedTuple
 
 import httpcore
 
-ATTEMPT_TIMEOUT_S = 1.0  # s: then another is asked
+ATTEMPT_TIMEOUT_S = 1.0  # then another address is asked
 BODY_BYTES_PER_SECOND = 1_000_000  # bytes of a body that get another second
-RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.1, 1.0  # s: between moves, growing
+RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.1, 1.0  # between attempts
+RETRY_DELAY_GROWTH = 1.5
 MAX_REDIRECTS = 2  # 307 in a row
 RETRIED_STATUSES = 408, 429  # and every 5xx: asked at another address
 
 
 class ControlResponse(NamedTuple):
-    """An answer that ends a call."""
+    """A response that ends a call."""
 
     status: int
     body: bytes
-    at: str  # who gave it
-    tries: int  # addresses asked, this one included
+    address: str  # of the controller that gave it
+    attempts: int  # addresses asked, this one included
 
     @property
-    def done(self) -> bool:
+    def succeeded(self) -> bool:
+        """Whether the status is a 2xx."""
         return 200 <= self.status < 300
 
 
 class NoResponse(NamedTuple):
-    """No address gave a clear answer in time."""
+    """No address gave a clear response in time."""
 
-    why: str  # what the last one did
+    reason: str  # what the last one did
 
 
 class ControlClient:
-    """Asks one control address after another, `ip:port` each, for `within` seconds at most."""
+    """Asks one control address after another.
+
+    Args:
+        addresses: ip:port each.
+        timeout_s: seconds after which no further attempt is made.
+        retry_delay_s: seconds between the first two attempts; it grows from there.
+        sleep: waits for so many seconds.
+    """
 
     def __init__(
         self,
-        places: Sequence[str],
-        within: float = 8.0,
-        pause: float = RETRY_DELAY_S,
-        rest: Callable[[float], None] = time.sleep,
+        addresses: Sequence[str],
+        timeout_s: float = 8.0,
+        retry_delay_s: float = RETRY_DELAY_S,
+        sleep: Callable[[float], None] = time.sleep,
     ) -> None:
-        self.places, self.within, self.pause, self.rest = list(places), within, pause, rest
+        self.addresses = list(addresses)
+        self.timeout_s, self.retry_delay_s = timeout_s, retry_delay_s
+        self.sleep = sleep
 
     def call(
-        self, method: str, path: str, body: bytes = b"", first: str | None = None
+        self, method: str, path: str, body: bytes = b"", first_address: str | None = None
     ) -> ControlResponse | NoResponse:
-        """One call; `first` is asked before the others. What answered is asked first the next
-        time."""
-        places = [first, *self.places] if first else self.places
-        until, pause, tries, why = time.monotonic() + self.within, self.pause, 0, "no address"
+        """Make one call; the address that responds is asked first the next time.
+
+        Args:
+            method: of HTTP.
+            path: of the call.
+            body: JSON; empty for none.
+            first_address: asked before the others.
+        """
+        addresses = [first_address, *self.addresses] if first_address else self.addresses
+        deadline, delay_s = time.monotonic() + self.timeout_s, self.retry_delay_s
+        attempts, reason = 0, "no address"
         with httpcore.ConnectionPool(max_keepalive_connections=0) as pool:
-            while places:
-                for place in places:
-                    if tries and time.monotonic() >= until:
-                        return NoResponse(why)
-                    if tries:
-                        self.rest(pause)
-                        pause = min(MAX_RETRY_DELAY_S, pause * 1.5)
-                    tries += 1
-                    found = self._ask(pool, method, place, path, body)
-                    if isinstance(found, NoResponse):
-                        why = found.why
+            while addresses:
+                for address in addresses:
+                    if attempts and time.monotonic() >= deadline:
+                        return NoResponse(reason)
+                    if attempts:
+                        self.sleep(delay_s)
+                        delay_s = min(MAX_RETRY_DELAY_S, delay_s * RETRY_DELAY_GROWTH)
+                    attempts += 1
+                    response = _attempt(pool, method, address, path, body)
+                    if isinstance(response, NoResponse):
+                        reason = response.reason
                         continue
-                    if place in self.places:
-                        self.places.sort(key=lambda one: one != place)
-                    return found._replace(tries=tries)
-                places = self.places
-        return NoResponse(why)
-
-    def once(self, place: str, method: str, path: str) -> ControlResponse | NoResponse:
-        """One call to one address."""
-        with httpcore.ConnectionPool(max_keepalive_connections=0) as pool:
-            return self._ask(pool, method, place, path, b"")
+                    self._prefer(address)
+                    return response._replace(attempts=attempts)
+                addresses = self.addresses
+        return NoResponse(reason)
 
-    @staticmethod
-    def _ask(
-        pool: httpcore.ConnectionPool, method: str, place: str, path: str, body: bytes
-    ) -> ControlResponse | NoResponse:
-        silence = ATTEMPT_TIMEOUT_S + len(body) / BODY_BYTES_PER_SECOND
-        limits = {"timeout": dict.fromkeys(("connect", "read", "write", "pool"), silence)}
-        headers = [("Content-Type", "application/json"), ("Connection", "close")]
-        where = f"http://{place}{path}"
-        for _ in range(MAX_REDIRECTS + 1):
-            try:
-                answer = pool.request(
-                    method, where, headers=headers, content=body or None, extensions=limits
-                )
-            except httpcore.TimeoutException:
-                return NoResponse(f"{place}: {silence:.3g} s of silence")
-            except (
-                httpcore.NetworkError,
-                httpcore.ProtocolError,
-                httpcore.UnsupportedProtocol,
-            ) as error:
-                return NoResponse(f"{place}: {str(error) or type(error).__name__}")
-            if answer.status != 307:
-                break
-            where = next(
-                (
-                    value.decode("latin-1")
-                    for name, value in answer.headers
-                    if name.lower() == b"location"
-                ),
-                "",
-            )
-            if not where.startswith("http://"):
-                return NoResponse(f"{place}: answered 307 without an address")
-        if answer.status == 307:
-            return NoResponse(f"{place}: answered 307 more than {MAX_REDIRECTS} times")
-        if answer.status >= 500 or answer.status in RETRIED_STATUSES:
-            return NoResponse(f"{place}: answered {answer.status}")
-        return ControlResponse(answer.status, answer.content, place, 1)
+    def call_once(self, address: str, method: str, path: str) -> ControlResponse | NoResponse:
+        """Make one call at one address, without retries."""
+        with httpcore.ConnectionPool(max_keepalive_connections=0) as pool:
+            return _attempt(pool, method, address, path, b"")
+
+    def _prefer(self, address: str) -> None:
+        if address in self.addresses:
+            self.addresses.sort(key=lambda other: other != address)
+
+
+def _attempt(
+    pool: httpcore.ConnectionPool, method: str, address: str, path: str, body: bytes
+) -> ControlResponse | NoResponse:
+    """Ask one address, and follow its redirects."""
+    timeout_s = ATTEMPT_TIMEOUT_S + len(body) / BODY_BYTES_PER_SECOND
+    url = f"http://{address}{path}"
+    for _ in range(MAX_REDIRECTS + 1):
+        try:
+            response = _request(pool, method, url, body, timeout_s)
+        except httpcore.TimeoutException:
+            return NoResponse(f"{address}: {timeout_s:.3g} s of silence")
+        except (
+            httpcore.NetworkError,
+            httpcore.ProtocolError,
+            httpcore.UnsupportedProtocol,
+        ) as error:
+            return NoResponse(f"{address}: {str(error) or type(error).__name__}")
+        if response.status != HTTPStatus.TEMPORARY_REDIRECT:
+            return _judge(response, address)
+        url = _location(response)
+        if not url.startswith("http://"):
+            return NoResponse(f"{address}: answered 307 without an address")
+    return NoResponse(f"{address}: answered 307 more than {MAX_REDIRECTS} times")
+
+
+def _request(
+    pool: httpcore.ConnectionPool, method: str, url: str, body: bytes, timeout_s: float
+) -> httpcore.Response:
+    return pool.request(
+        method,
+        url,
+        headers=[("Content-Type", "application/json"), ("Connection", "close")],
+        content=body or None,
+        extensions={"timeout": dict.fromkeys(("connect", "read", "write", "pool"), timeout_s)},
+    )
+
+
+def _judge(response: httpcore.Response, address: str) -> ControlResponse | NoResponse:
+    """Take a response as final, or as a reason to ask another address."""
+    if response.status >= 500 or response.status in RETRIED_STATUSES:
+        return NoResponse(f"{address}: answered {response.status}")
+    return ControlResponse(response.status, response.content, address, 1)
+
+
+def _location(response: httpcore.Response) -> str:
+    """Where a redirect leads; empty if it does not say."""
+    for name, value in response.headers:
+        if name.lower() == b"location":
+            return value.decode("latin-1")
+    return ""
--- a/umbermoor/gateway/local/gateway.py
+++ b/umbermoor/gateway/local/gateway.py
@@ -156,14 +156,16 @@
         client = ControlClient(())
         responses = await asyncio.gather(
             *(
-                asyncio.to_thread(client.once, f"{node.ip}:{self.ports.control}", "GET", "/Status")
+                asyncio.to_thread(
+                    client.call_once, f"{node.ip}:{self.ports.control}", "GET", "/Status"
+                )
                 for node in running
             )
         )
         return {
             node.name: json.loads(response.body)
             for node, response in zip(running, responses)
-            if isinstance(response, ControlResponse) and response.done
+            if isinstance(response, ControlResponse) and response.succeeded
         }
 
     async def agreed_chain(self, least: int) -> list[str] | None:
@@ -201,18 +203,18 @@
         response = await asyncio.to_thread(
             client.call, "POST", "/Config.Replace", configuration(revision)
         )
-        if not isinstance(response, ControlResponse) or not response.done:
+        if not isinstance(response, ControlResponse) or not response.succeeded:
             raise StepFailedError(f"configuration {revision:08x} was not accepted: {response}")
-        self.report(f"configuration {revision:08x} accepted by {response.at}")
+        self.report(f"configuration {revision:08x} accepted by {response.address}")
 
     async def check_configuration(self, revision: int) -> None:
         """Read the configuration back: it must have that revision."""
         client = ControlClient(self.control_addresses, WAIT_LIMIT_S)
         response = await asyncio.to_thread(client.call, "GET", "/Config.Read")
-        if not isinstance(response, ControlResponse) or not response.done:
+        if not isinstance(response, ControlResponse) or not response.succeeded:
             raise StepFailedError(f"the configuration was not read: {response}")
         read = json.loads(response.body)["revision"]
-        self.report(f"configuration {read} read at {response.at}")
+        self.report(f"configuration {read} read at {response.address}")
         if read != f"{revision:08x}":
             raise StepFailedError(f"configuration {revision:08x} was put, and {read} is read")
 
--- a/umbermoor/gateway/local/instance.py
+++ b/umbermoor/gateway/local/instance.py
@@ -129,7 +129,7 @@
         if response is None:
             self._report_to = None
             return False
-        if response.at != self._report_to:
+        if response.address != self._report_to:
             self._report_to = None
         self._report_to = _named_controller(response.body) or self._report_to
         return True
@@ -142,7 +142,7 @@
         response = await asyncio.to_thread(
             self.control_client.call, "POST", path, data, self._report_to
         )
-        if not isinstance(response, ControlResponse) or not response.done:
+        if not isinstance(response, ControlResponse) or not response.succeeded:
             return None
         return response if len(response.body) <= LONGEST_ACKNOWLEDGEMENT else None
 
--- a/umbermoor/gateway/local/traffic.py
+++ b/umbermoor/gateway/local/traffic.py
@@ -104,7 +104,7 @@
     while True:
         await asyncio.sleep(POLL_INTERVAL_S)
         response = await asyncio.to_thread(client.call, "GET", f"/Rollouts.Read/{service}")
-        if not isinstance(response, ControlResponse) or not response.done:
+        if not isinstance(response, ControlResponse) or not response.succeeded:
             continue
         record = json.loads(response.body)
         state, target = record["state"], record["target"]
