--- a/tests/gateway/operators.py
+++ b/tests/gateway/operators.py
@@ -23,7 +23,8 @@
 from umbermoor.gateway.replication.decided_writes import DecidedWrites
 from umbermoor.gateway.replication.head import Decider, Head
 from umbermoor.gateway.replication.messages import PutRequest
-from umbermoor.gateway.replication.reads import Reads, send_decision
+from umbermoor.gateway.replication.put_replies import send_decision
+from umbermoor.gateway.replication.reads import Reads
 from umbermoor.gateway.replication.replica import Replica
 from umbermoor.gateway.rollout.admission import order_request, stage_write
 from umbermoor.gateway.rollout.records import ROLLOUT_KEY_PREFIX
--- a/umbermoor/gateway/replication/chain.py
+++ b/umbermoor/gateway/replication/chain.py
@@ -12,7 +12,7 @@
 from umbermoor.gateway.effects import Decision, Outcome
 from umbermoor.gateway.replication.context import Context
 from umbermoor.gateway.replication.messages import Acknowledge, Append, Entry
-from umbermoor.gateway.replication.reads import send_decision
+from umbermoor.gateway.replication.put_replies import send_decision
 from umbermoor.gateway.replication.stored_records import Records, version_record
 from umbermoor.gateway.replication.timing import ACKNOWLEDGE_TIMEOUT, APPEND_RETRY
 from umbermoor.gateway.replication.view_activation import ViewActivation
@@ -117,6 +117,9 @@
         self.commit(message.committed)
         expected = context.map.last_sequence + 1
         entries = message.entries[max(0, expected - message.first) :]
+        # Fencing: a later view needs the promises of a quorum, each synced before it is sent
+        # (acceptor), and this chain is a quorum too. So once a later view can be active, a replica
+        # here has promised its epoch and refuses what an earlier head still sends.
         if entries and message.first <= expected and views.promise == views.joined:
             self.append(entries)
         else:
--- a/umbermoor/gateway/replication/head.py
+++ b/umbermoor/gateway/replication/head.py
@@ -12,7 +12,8 @@
 from umbermoor.gateway.replication.context import Context
 from umbermoor.gateway.replication.decided_writes import DecidedWrites
 from umbermoor.gateway.replication.messages import CallId, Entry, PutRefused, PutRequest
-from umbermoor.gateway.replication.reads import Reads, send_decision
+from umbermoor.gateway.replication.put_replies import send_decision
+from umbermoor.gateway.replication.reads import Reads
 
 MAX_UNCOMMITTED = 64  # writes on their way that a head takes
 
--- a/umbermoor/gateway/replication/reads.py
+++ b/umbermoor/gateway/replication/reads.py
@@ -11,10 +11,10 @@
     CallId,
     Confirm,
     Confirmed,
-    PutDone,
     ReadReply,
     ReadRequest,
 )
+from umbermoor.gateway.replication.put_replies import send_decision
 from umbermoor.gateway.replication.quorum_rounds import Question, QuorumRounds
 from umbermoor.gateway.replication.timing import READ_WAIT, RETRY_INTERVAL
 from umbermoor.gateway.replication.view import Version
@@ -108,9 +108,3 @@
         state = None if callers_version == version else dict(self._context.map.committed)
         reply = ReadReply(call.incarnation, call.number, version, state)
         self._context.outbox.send(call.origin, reply)
-
-
-def send_decision(context: Context, call: CallId, decision: Decision) -> None:
-    """Tell the caller what its conditional write came to."""
-    done = PutDone(call.incarnation, call.number, decision.outcome, decision.reason)
-    context.outbox.send(call.origin, done)
