--- a/umbermoor/gateway/cli/status.py
+++ b/umbermoor/gateway/cli/status.py
@@ -126,8 +126,8 @@
     """
     client = ControlClient(())
     statuses: dict[str, ControllerStatus | NoResponse] = {}
-    to_ask = list(addresses)
-    for address in to_ask:
+    pending = list(addresses)  # grows while it is read
+    for address in pending:
         if address in statuses:
             continue
         response = client.call_once(address, "GET", path)
@@ -137,7 +137,7 @@
             continue
         controller = statuses[address] = from_wire(body)
         port = address.rpartition(":")[2]
-        to_ask.extend(f"{ip}:{port}" for ip in controller.controllers)
+        pending.extend(f"{ip}:{port}" for ip in controller.controllers)
     return statuses
 
 
--- a/umbermoor/gateway/local/walkthrough.py
+++ b/umbermoor/gateway/local/walkthrough.py
@@ -97,7 +97,7 @@
     gateway.report(f"settings and logs: {gateway.folder}")
     url = f"http://{gateway.proxies[0].ip}:{gateway.ports.proxy}{PREFIX}a"
     gateway.report(f"curl -i -H 'Host: {HOST}' -H 'X-Attempt-Id: 1' {url}")
-    gateway.report(f"{command} story {addresses}")
+    gateway.report(f"{command} status {addresses}")
     gateway.report(f"{command} rollout begin {SERVICE} v2 --ramp-s 10 {addresses}")
     gateway.report("a trickle of requests; versions named bad... fail; up until Ctrl-C")
 
