--- a/tests/front/lifecycle_test.py
+++ b/tests/front/lifecycle_test.py
@@ -18,7 +18,7 @@
     DrainKeeper,
     Due,
 )
-from umbermoor.front.lifecycle.scheduler import PRESSED_WAIT, SLICE_MOST, Scheduler
+from umbermoor.front.lifecycle.scheduler import PRESSED_WAIT, SLICE_MOST, Scheduler, Task
 from umbermoor.front.lifecycle.snapshot import (
     OLD,
     SPEEDS_FOR,
@@ -34,7 +34,9 @@
 )
 from umbermoor.front.lifecycle.states import CLOSES, TABLE, UP, Event, State
 from umbermoor.front.lifecycle.timing_wheel import Wheel
+from umbermoor.front.server.operations import note_background_work
 from umbermoor.http1.reader import Request
+from umbermoor.logs import KeyValueFormatter
 
 
 def test_every_event_is_defined_in_every_state_and_there_is_no_way_back_from_leaving():
@@ -383,3 +385,10 @@
     ).decode()
     assert 'umbermoor_a_total{p="x\\"y"} 2.0' in text and "umbermoor_b 3.0" in text
     assert "# TYPE umbermoor_b gauge" in text
+
+
+def test_what_the_scheduler_reports_of_a_task_is_logged_beside_the_event(caplog):
+    note_background_work(Task("snapshot", 1, lambda: iter(())), "a slice of 9000 us")
+    line = KeyValueFormatter().format(caplog.records[-1])
+    assert 'what="background work"' in line and "task=snapshot" in line
+    assert 'detail="a slice of 9000 us"' in line
--- a/umbermoor/front/server/operations.py
+++ b/umbermoor/front/server/operations.py
@@ -12,7 +12,7 @@
 from umbermoor.front.interface import Ending, Entry
 from umbermoor.front.lifecycle.admin_calls import AdminCalls, metrics_text
 from umbermoor.front.lifecycle.drain_keeper import SECOND, DrainKeeper, Due
-from umbermoor.front.lifecycle.scheduler import Scheduler
+from umbermoor.front.lifecycle.scheduler import Scheduler, Task
 from umbermoor.front.lifecycle.snapshot import (
     MachineMemory,
     Memory,
@@ -32,6 +32,11 @@
 STATUSES = {0: "left", 200: "done", 429: "denied", 503: "denied", 502: "abandoned"}
 
 
+def note_background_work(task: Task, detail: str) -> None:
+    """Log what the scheduler reports of a task: a slice over its bound, or a failure."""
+    note(log, "background work", logging.WARNING, task=task.name, detail=detail)
+
+
 class Operations:
     """It is a witness of the exchange, too: it counts."""
 
@@ -58,9 +63,7 @@
         self._timer = self._work_timer = None
         self._scheduler = Scheduler(
             clock,
-            told=lambda task, what: note(
-                log, "background work", logging.WARNING, task=task.name, what=what
-            ),
+            told=note_background_work,
         )
         self._door = self._where = None
         if house.door is not None:
