--- a/tests/pins/runner.py
+++ b/tests/pins/runner.py
@@ -2,6 +2,7 @@
 
 import contextlib
 import json
+import os
 from collections.abc import Iterable
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
@@ -22,6 +23,9 @@
 
 RECORDED = Path(__file__).with_name("recorded")
 WORKERS = 2
+# A proxy's report on two rollouts names them in the order of a set, which follows the hash seed (at
+# 496b6e6 too), so cases are played with the one that they were recorded with.
+HASH_SEED = "1"
 SUBJECTS: dict[str, ModuleType] = {
     module.__name__.rpartition(".")[2]: module
     for module in (
@@ -74,6 +78,7 @@
     """Plays the short form's cases, or every case, in processes beside one another."""
     work = [(subject, case) for subject in subjects for case in SUBJECTS[subject].cases(every)]
     recorded = {subject: recorded_digests(subject) for subject in SUBJECTS}
+    os.environ["PYTHONHASHSEED"] = HASH_SEED  # of the worker processes
     with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
         digests = pool.map(_digest_or_error, *zip(*work, strict=True))
         for (subject, case), digest in zip(work, digests, strict=True):
