--- a/umbermoor/gateway/api/decisions.py
+++ b/umbermoor/gateway/api/decisions.py
@@ -13,7 +13,7 @@
 from typing import Any, NotRequired, TypedDict
 
 from umbermoor.gateway.effects import Decision, JsonObject, Outcome
-from umbermoor.gateway.rollout.admission import judge_begin, judge_stage
+from umbermoor.gateway.rollout.admission import decide_begin, decide_stage
 from umbermoor.gateway.rollout.records import ROLLOUT_KEY_PREFIX, RecordDocument, supersedes
 
 CONFIG_KEY = "config"  # the key of the configuration in the replicated map
@@ -180,9 +180,9 @@
     # `on` first: a head of an earlier release stored records with their `begin`, and the stages
     # that follow carry it on.
     if "on" in new:
-        return judge_stage(last, new, epoch)
+        return decide_stage(last, new, epoch)
     if "begin" in new:
-        return judge_begin(last, new["begin"], lambda: _names(held.get(CONFIG_KEY), service))
+        return decide_begin(last, new["begin"], lambda: _names(held.get(CONFIG_KEY), service))
     return Decision(Outcome.ACCEPTED, new) if supersedes(new, last) else Decision(Outcome.STALE)
 
 
--- a/umbermoor/gateway/rollout/admission.py
+++ b/umbermoor/gateway/rollout/admission.py
@@ -83,7 +83,7 @@
     return [] if last is None else last.get("known") or [[last["target"], ""]]
 
 
-def judge_begin(
+def decide_begin(
     last: RecordDocument | None, request: OrderRequest, is_configured: Callable[[], bool]
 ) -> Decision:
     """What an order comes to; an accepted one's value is the record to store.
@@ -96,19 +96,19 @@
     Raises:
         TypeError: target or key are no text.
 
-    >>> first = judge_begin(None, order_request("v2", 12, ["v1", "v2"]), lambda: True)
+    >>> first = decide_begin(None, order_request("v2", 12, ["v1", "v2"]), lambda: True)
     >>> first.outcome.value, first.value["from"]
     ('taken', ['v1'])
-    >>> judge_begin(first.value, order_request("v2", 12, []), lambda: True).outcome.value
+    >>> decide_begin(first.value, order_request("v2", 12, []), lambda: True).outcome.value
     'same'
-    >>> judge_begin(first.value, order_request("v3", 12, []), lambda: True).reason
+    >>> decide_begin(first.value, order_request("v3", 12, []), lambda: True).reason
     'target: another is under way, v2'
     >>> settled = first.value | {"state": "settled"}
-    >>> third = judge_begin(settled, order_request("v3", 12, []), lambda: True).value
-    >>> judge_begin(third, order_request("v2", 12, []), lambda: True).outcome.value
+    >>> third = decide_begin(settled, order_request("v3", 12, []), lambda: True).value
+    >>> decide_begin(third, order_request("v2", 12, []), lambda: True).outcome.value
     'same'
     >>> again = order_request("v2", 12, [], "again")
-    >>> back = judge_begin(third | {"state": "reverted"}, again, lambda: True)
+    >>> back = decide_begin(third | {"state": "reverted"}, again, lambda: True)
     >>> back.outcome.value, back.value["order"], back.value["from"]
     ('taken', 3, ['v2'])
     """
@@ -129,7 +129,7 @@
     return record | {"on": [decided_on["order"], decided_on["serial"]], "epoch": epoch}
 
 
-def judge_stage(last: RecordDocument | None, write: RecordDocument, epoch: int) -> Decision:
+def decide_stage(last: RecordDocument | None, write: RecordDocument, epoch: int) -> Decision:
     """Whether a stage's write still stands upon the record and the epoch that it was decided on."""
     if write["epoch"] != epoch:
         return Decision(Outcome.STALE, None, "epoch: it was decided under another")
--- a/umbermoor/gateway/server/rollout_calls.py
+++ b/umbermoor/gateway/server/rollout_calls.py
@@ -11,7 +11,7 @@
 )
 from umbermoor.gateway.discovery.registry import READY, SILENT, InstanceRegistry
 from umbermoor.gateway.effects import CallResult, Outcome, Status
-from umbermoor.gateway.rollout.admission import judge_begin, order_request
+from umbermoor.gateway.rollout.admission import decide_begin, order_request
 from umbermoor.gateway.rollout.records import ROLLOUT_KEY_PREFIX
 from umbermoor.gateway.server import events
 from umbermoor.gateway.server.call_results import (
@@ -79,7 +79,7 @@
         # where that is newer than what it holds. So the record is what this member's copy makes of
         # the order, or the one that it holds, where the order changes nothing.
         held = replica.committed.get(key)
-        decision = judge_begin(held, order, lambda: True)
+        decision = decide_begin(held, order, lambda: True)
         if decision.outcome is Outcome.CONFLICT and not replica.head_decides:
             if not self._host.is_connected():
                 return RETRY_LATER
