--- a/umbermoor/gateway/rollout/__init__.py
+++ b/umbermoor/gateway/rollout/__init__.py
@@ -1,13 +1,14 @@
-"""Progressive delivery: rolls a service's new version out, or reverts it, alike on all proxies.
+"""Progressive delivery: rolls out or reverts a service's new version on all proxies in step.
 
-Every proxy runs a `RolloutObserver` (`observer.py`; one service's state: `service_rollout.py`):
-which version each attempt goes to, its own scores, its vote. The controller that leads runs a
-`RolloutCoordinator` (`coordinator.py`): it pools what proxies report (`cusum.py`), and
-proposes the next step of the durable record, which the replica set judges (`admission.py`) and the
-distribution of updates brings to all proxies. `stages.py` has the course of a rollout,
-`judgement.py` the statistics common to both, `records.py` the JSON of records and reports.
+Every proxy runs a `RolloutObserver` (`observer.py`; the state of one service is in
+`service_rollout.py`): it chooses the version of each attempt, scores the outcomes and votes. The
+leading controller runs a `RolloutCoordinator` (`coordinator.py`): it pools the proxies' reports
+(`cusum.py`) and proposes the next change of the durable record. The replica set accepts or rejects
+that change (`admission.py`), and the distribution of updates carries it to all proxies. `stages.py`
+defines the stages of a rollout, `judgement.py` the statistics that proxies and controller share,
+`records.py` the JSON of records and reports.
 
-The package imports `umbermoor.statistics` and the gateway's `effects` and `units` alone. Source:
+The package imports only `umbermoor.statistics` and the gateway's `effects` and `units`. Source:
 E. Feit, R. Berman, "Test & Roll: Profit-Maximizing A/B Tests", 2019.
 
     >>> from umbermoor.gateway.rollout.admission import first_record, order_request
--- a/umbermoor/gateway/rollout/admission.py
+++ b/umbermoor/gateway/rollout/admission.py
@@ -1,9 +1,10 @@
-"""How the head of the chain judges orders and stages, against the record that stands there.
+"""Decides at the head of the chain whether a rollout order or a stage change is accepted.
 
-An order is known again by its target, and by the key that the operator may give it: a target that
-was ordered before is a repetition, unless it comes with a new key. A stage carries the record that
-it was decided on and the epoch of the head that decided; a later epoch, or another record, makes it
-void. No clock, no input or output: the head judges while it applies the write.
+Each decision compares the write with the stored record. An order is identified by its target and by
+the optional key that the operator gives: a target that was ordered before is a repetition, unless
+it comes with a new key. A stage change names the record that it was based on and the epoch of the
+head that proposed it; it is rejected if the epoch or the stored record has changed since. The
+decisions use no clock and no I/O, because the head makes them while it applies the write.
 """
 
 from collections.abc import Callable, Sequence
@@ -14,41 +15,41 @@
 from umbermoor.gateway.rollout.stages import oldest_first
 
 MAX_KNOWN_ORDERS = 32
-"""Orders of a service that are known again."""
+"""How many past orders of a service are kept to recognize repetitions."""
 
 NOT_STORED = ("on", "epoch", "begin")
-"""Keys of a stage's write that are judged and not stored."""
+"""Keys of a stage change that are checked but not stored."""
 
 
 class OrderRequest(TypedDict):
-    """What an order asks for, as JSON."""
+    """The content of an order, as JSON."""
 
     target: str
     """The version to roll out."""
     rampS: float
-    """Seconds until it is to be settled or reverted."""
+    """Seconds within which the rollout must be settled or reverted."""
     present: list[str]
     """Versions of the service's listed instances."""
     key: str
-    """What tells an order of a target from an earlier one of it; "" if nothing does."""
+    """Distinguishes this order from an earlier one with the same target; "" if not given."""
 
 
 def order_request(
     target: str, ramp_seconds: float, present: Sequence[str], key: str = ""
 ) -> OrderRequest:
-    """What an order asks for.
+    """Build the JSON of an order.
 
     Args:
         target: the version to roll out.
-        ramp_seconds: the time until it is to be settled or reverted.
+        ramp_seconds: the time within which the rollout must be settled or reverted.
         present: versions of the service's listed instances.
-        key: what tells an order of a target from an earlier one of it.
+        key: distinguishes this order from an earlier one with the same target.
     """
     return {"target": target, "rampS": ramp_seconds, "present": list(present), "key": key}
 
 
 def first_record(last: RecordDocument | None, request: OrderRequest) -> RecordDocument:
-    """The record of an order that is accepted after `last`."""
+    """Return the first record of an accepted order; `last` is the stored record before it."""
     target = request["target"]
     return {
         "order": last["order"] + 1 if last else 1,
@@ -65,7 +66,7 @@
 
 
 def _previous_versions(last: RecordDocument | None, request: OrderRequest) -> list[str]:
-    """The versions in use before the order."""
+    """Return the versions in use before the order, in order of preference."""
     if last and last["state"] == RolloutState.SETTLED:
         return [last["target"]]
     if last:
@@ -76,9 +77,9 @@
 
 
 def _known_orders(last: RecordDocument | None) -> list[list[str]]:
-    """Target and key of the orders so far, the last one last.
+    """Return target and key of the recent orders, oldest first.
 
-    Records of an earlier revision of the software name their own alone.
+    Records written by an earlier release name only their own target.
     """
     return [] if last is None else last.get("known") or [[last["target"], ""]]
 
@@ -86,15 +87,15 @@
 def decide_begin(
     last: RecordDocument | None, request: OrderRequest, is_configured: Callable[[], bool]
 ) -> Decision:
-    """What an order comes to; an accepted one's value is the record to store.
+    """Decide on an order; the value of an accepted one is the record to store.
 
     Args:
-        last: the record that stands there.
-        request: what the order asks for.
-        is_configured: whether the configuration in force names the service.
+        last: the stored record of the service, if any.
+        request: the content of the order.
+        is_configured: returns whether the configuration in force names the service.
 
     Raises:
-        TypeError: target or key are no text.
+        TypeError: target or key is not a string.
 
     >>> first = decide_begin(None, order_request("v2", 12, ["v1", "v2"]), lambda: True)
     >>> first.outcome.value, first.value["from"]
@@ -112,10 +113,12 @@
     >>> back.outcome.value, back.value["order"], back.value["from"]
     ('taken', 3, ['v2'])
     """
-    target, key, known = request["target"], request["key"], _known_orders(last)
+    target, key, known_orders = request["target"], request["key"], _known_orders(last)
     if not (isinstance(target, str) and isinstance(key, str)):
         raise TypeError
-    if [target, key] in known or (not key and any(target == earlier for earlier, _ in known)):
+    if [target, key] in known_orders or (
+        not key and any(target == earlier for earlier, _ in known_orders)
+    ):
         return Decision(Outcome.UNCHANGED)
     if last and last["state"] == RolloutState.RUNNING:
         return Decision(Outcome.CONFLICT, None, f"target: another is under way, {last['target']}")
@@ -125,12 +128,12 @@
 
 
 def stage_write(record: RecordDocument, decided_on: RecordDocument, epoch: int) -> RecordDocument:
-    """What is written for a stage that was decided on a record, by the head of that epoch."""
+    """Return the write that proposes `record`, based on `decided_on` by the head of that epoch."""
     return record | {"on": [decided_on["order"], decided_on["serial"]], "epoch": epoch}
 
 
 def decide_stage(last: RecordDocument | None, write: RecordDocument, epoch: int) -> Decision:
-    """Whether a stage's write still stands upon the record and the epoch that it was decided on."""
+    """Decide on a stage change; it is stale if its base record or epoch is no longer current."""
     if write["epoch"] != epoch:
         return Decision(Outcome.STALE, None, "epoch: it was decided under another")
     if last is None or write["on"] != [last["order"], last["serial"]]:
--- a/umbermoor/gateway/rollout/coordinator.py
+++ b/umbermoor/gateway/rollout/coordinator.py
@@ -1,8 +1,8 @@
-"""The controller's part in rollouts: pools the proxies' reports, and decides the next step.
+"""The controller's side of rollouts: pools the proxies' reports and decides the next step.
 
-A proxy's vote alone moves nothing: `cusum` judges the outcomes of all proxies together.
-A step forward needs, besides, that its stage's time has come, that most proxies follow the present
-stage, and that they do not vote against it.
+A single proxy's vote never changes the stage: `cusum` tests the pooled outcomes of all proxies. To
+advance, the next stage's start time must also have come, most proxies must act by the current
+stage, and the proxies' votes must not oppose the step.
 
 Times are whole microseconds, unless a name says seconds.
 """
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from umbermoor.gateway.rollout.cusum import ALARM, DOUBT, SequentialTest
+from umbermoor.gateway.rollout.cusum import ALARM_THRESHOLD, MAX_ADVANCE_EVIDENCE, SequentialTest
 from umbermoor.gateway.rollout.judgement import MIN_OUTCOMES
 from umbermoor.gateway.rollout.records import (
     OutcomeCounts,
@@ -29,21 +29,24 @@
 from umbermoor.gateway.units import SECOND
 
 REPORT_TIMEOUT = SECOND
-"""A proxy whose last report is older than this does not count among those that are heard."""
+"""A proxy whose last report is older than this is ignored in votes and counts of proxies."""
 SETTLE_DELAY = 7 * SECOND // 10
-"""After all proxies said that nothing goes to the previous version, before it may be stopped."""
+"""How long no proxy may have attempts at the previous version before the rollout is settled.
+
+Instances of the previous version may be stopped once the rollout is settled.
+"""
 MIN_STAGE_SHARE = 0.03
-"""A stage lasts this part of the ramp time at least."""
+"""Each stage lasts at least this fraction of the ramp time."""
 VOTE_WAIT_SHARE = 0.04
-"""A stage waits this part of the ramp time longer for votes to turn."""
+"""Adverse votes delay the next stage by at most this fraction of the ramp time."""
 RENEW_INTERVAL = SECOND
-"""The record is written again after this long, for its elapsed time."""
+"""Without other changes, the record is written this often to store its elapsed time."""
 REWRITE_INTERVAL = 3 * SECOND // 10
-"""So is one that was to be written and has not come back."""
+"""A proposed record that has not been applied after this long is proposed again."""
 LIGHT_TRAFFIC_REQUESTS = 300
-"""Up to so many requests since the order, one outcome is enough to leave the trial stage."""
+"""Up to this many requests since the order, one outcome suffices to leave the trial stage."""
 MAX_PROXIES = 256
-"""Proxies whose reports are remembered."""
+"""How many proxies' last reports are kept; the one reported longest ago is dropped first."""
 
 
 @dataclass(slots=True)
@@ -54,64 +57,67 @@
 
 @dataclass(slots=True)
 class OrderProgress:
-    """What this controller knows of a service's last order."""
+    """This controller's state for a service's last order."""
 
     record: RolloutRecord
     recorded_at: int
-    """When the record's elapsed time was true, on this controller's clock."""
+    """The time on this controller's clock that corresponds to the record's elapsed time."""
     stage_since: int
-    """When this controller learnt of the stage."""
+    """When this controller learned of the current stage."""
     proposed: RolloutRecord | None = None
-    """The record that was last returned to be written."""
+    """The last record that `RolloutCoordinator.tick` returned to be written."""
     proposed_at: int = 0
     reports: dict[str, _ReceivedReport] = field(default_factory=dict)
-    """The last of each proxy."""
+    """The last report of each proxy."""
     test: SequentialTest = field(default_factory=SequentialTest)
-    quiet_since: int | None = None
-    """Since when no proxy sends to the previous version."""
+    previous_idle_since: int | None = None
+    """Since when no proxy has attempts at the previous version; None if one has."""
 
     def elapsed_seconds(self, now: int) -> float:
-        """Since the order."""
+        """Return the seconds since the order."""
         return self.record.elapsed_seconds + (now - self.recorded_at) / SECOND
 
     def update(self, now: int, record: RolloutRecord) -> None:
-        """A later record of the same order is in force."""
+        """Apply a later record of the same order."""
         if record.stage != self.record.stage:
-            self.stage_since, self.quiet_since = now, None
-        own = self.proposed is not None and self.proposed.document == record.document
-        recorded_at = self.proposed_at if own else now
+            self.stage_since, self.previous_idle_since = now, None
+        is_own_proposal = self.proposed is not None and self.proposed.document == record.document
+        recorded_at = self.proposed_at if is_own_proposal else now
         elapsed = self.elapsed_seconds(now)
         if record.elapsed_seconds + (now - recorded_at) / SECOND < elapsed:
-            # time does not go back
+            # The elapsed time must not decrease.
             recorded_at = now - round((elapsed - record.elapsed_seconds) * SECOND)
         self.record, self.recorded_at = record, recorded_at
 
     def receive(self, now: int, proxy: str, report: ProxyReport) -> None:
-        """Counts what a proxy reports, unless a later report of it came before."""
-        known = self._known_report(proxy, report)
-        if known is not None and (
-            report.trial.total < known.trial.total or report.baseline.total < known.baseline.total
+        """Count a proxy's report, unless a later one of that proxy was received before it."""
+        earlier = self._comparable_report(proxy, report)
+        if earlier is not None and (
+            report.trial.total < earlier.trial.total
+            or report.baseline.total < earlier.baseline.total
         ):
             return
         if proxy not in self.reports and len(self.reports) >= MAX_PROXIES:
             del self.reports[min(self.reports, key=lambda name: self.reports[name].at)]
         self.reports[proxy] = _ReceivedReport(now, report)
         if report.elapsed_seconds > self.elapsed_seconds(now):
-            # proxies count on while another controller takes over
-            behind = report.elapsed_seconds - self.record.elapsed_seconds
-            self.recorded_at = now - round(behind * SECOND)
-        self._count(now, proxy, known, report)
+            # Proxies keep counting while the leadership moves to another controller.
+            since_record = report.elapsed_seconds - self.record.elapsed_seconds
+            self.recorded_at = now - round(since_record * SECOND)
+        self._count(now, proxy, earlier, report)
 
-    def _known_report(self, proxy: str, report: ProxyReport) -> ProxyReport | None:
-        """The proxy's last report, if it belongs to the same count."""
+    def _comparable_report(self, proxy: str, report: ProxyReport) -> ProxyReport | None:
+        """Return the proxy's last report if both count from the same start, else None."""
         last = self.reports.get(proxy)
         return last.report if last is not None and last.report.since == report.since else None
 
-    def _count(self, now: int, proxy: str, known: ProxyReport | None, report: ProxyReport) -> None:
+    def _count(
+        self, now: int, proxy: str, earlier: ProxyReport | None, report: ProxyReport
+    ) -> None:
         test = self.test
-        trial = known.trial if known is not None else OutcomeCounts()
-        previous = known.baseline if known is not None else OutcomeCounts()
-        by_instance = known.by_instance if known is not None else {}
+        trial = earlier.trial if earlier is not None else OutcomeCounts()
+        previous = earlier.baseline if earlier is not None else OutcomeCounts()
+        by_instance = earlier.by_instance if earlier is not None else {}
         test.trial.add_difference(report.trial, trial)
         test.previous.add_difference(report.baseline, previous)
         test.baseline.add(
@@ -123,7 +129,7 @@
                 test.add_pending(now, proxy, instance, outcomes - outcomes_before, bad - bad_before)
 
     def recent_reports(self, now: int) -> list[ProxyReport]:
-        """The last reports of proxies that reported lately."""
+        """Return the last reports of the proxies that reported within REPORT_TIMEOUT."""
         return [
             received.report
             for received in self.reports.values()
@@ -132,9 +138,10 @@
 
 
 class RolloutCoordinator:
-    """Rollouts at the controller that leads them.
+    """Runs the rollouts of all services at the leading controller.
 
-    Any controller can go on from the durable records and the proxies' reports.
+    Another controller can take over at any time: the durable records and the proxies' reports
+    contain all state that it needs.
     """
 
     def __init__(self) -> None:
@@ -142,7 +149,7 @@
         """The last order of each service."""
 
     def apply_record(self, now: int, service: str, document: RecordDocument | None) -> None:
-        """The durable record in force; an older one is ignored."""
+        """Apply the durable record in force; an older one is ignored."""
         progress = self.orders.get(service)
         if document is None:
             return
@@ -155,28 +162,28 @@
             progress.update(now, record)
 
     def receive_report(self, now: int, proxy: str, document: ReportDocument) -> None:
-        """What a proxy reports; that of an unknown order is ignored.
+        """Receive a proxy's report; a report on an unknown order is ignored.
 
         Raises:
-            KeyError, TypeError, ValueError, IndexError, AttributeError: it is malformed.
+            KeyError, TypeError, ValueError, IndexError, AttributeError: the report is malformed.
         """
         progress = self.orders.get(document.get("service", ""))
         if progress is not None and progress.record.order == document["order"]:
             progress.receive(now, proxy, ProxyReport.read(document))
 
     def tick(self, now: int) -> list[tuple[str, RecordDocument]]:
-        """Records to be written now, by service.
+        """Return the records to be written now, with their services.
 
-        Each is to take only the place of the record that it was decided on (`admission`): then two
-        controllers that both believe they lead do no harm. To be called at the controller that
-        leads, after each report or some ten times a second.
+        Each may replace only the record that it was decided on (see `admission`), so that two
+        controllers that both believe they lead do no harm. Call this at the leading controller,
+        after each report or about ten times a second.
         """
         proposals = []
         for service, progress in self.orders.items():
             if not progress.record.running:
                 continue
             changes = _next_changes(now, progress)
-            if _awaits_write(now, progress, ends="state" in changes):
+            if _awaits_write(now, progress, ends_order="state" in changes):
                 continue
             if not changes and now - progress.recorded_at < RENEW_INTERVAL:
                 continue
@@ -186,23 +193,25 @@
         return proposals
 
 
-def _awaits_write(now: int, progress: OrderProgress, ends: bool) -> bool:
-    """Whether the last proposal may still be written; one that ends the order does not wait."""
+def _awaits_write(now: int, progress: OrderProgress, ends_order: bool) -> bool:
+    """Whether to wait for the last proposal; a record that ends the order waits for no other."""
     proposed = progress.proposed
     if proposed is None or not supersedes(proposed.document, progress.record.document):
         return False
-    return now - progress.proposed_at < REWRITE_INTERVAL and (not ends or not proposed.running)
+    return now - progress.proposed_at < REWRITE_INTERVAL and (
+        not ends_order or not proposed.running
+    )
 
 
 def _next_changes(now: int, progress: OrderProgress) -> RecordChanges:
-    """What changes in the record now; empty: nothing."""
+    """Return the changes due in the record now; empty if there are none."""
     stage, test = progress.record.stage, progress.test
     reports = progress.recent_reports(now)
     instances = max((report.warm_instances for report in reports), default=1)
-    test.weigh(now, lone=stage == FINAL_STAGE)
+    test.evaluate_pending(now, no_baseline=stage == FINAL_STAGE)
     evidence = test.evidence(instances, len(reports))
     counts = f"{test.trial.to_json()}, before {test.previous.to_json()}"
-    if evidence.against >= ALARM:
+    if evidence.against >= ALARM_THRESHOLD:
         return reverted(f"bad answers: {counts}")
     votes = [report.vote for report in reports]
     reverts, advances = votes.count(Vote.REVERT), votes.count(Vote.ADVANCE)
@@ -215,17 +224,17 @@
         return {}
     if trails:
         return reverted(f"behind: {counts}")
-    following = sum(report.stage == stage for report in reports)
-    if evidence.confirmed >= DOUBT or 2 * following <= len(reports):
+    at_stage = sum(report.stage == stage for report in reports)
+    if evidence.confirmed >= MAX_ADVANCE_EVIDENCE or 2 * at_stage <= len(reports):
         return {}
-    ramp_part = progress.elapsed_seconds(now) / progress.record.ramp_seconds
-    if reverts > advances and ramp_part < STAGE_STARTS[stage + 1] + VOTE_WAIT_SHARE:
+    ramp_fraction = progress.elapsed_seconds(now) / progress.record.ramp_seconds
+    if reverts > advances and ramp_fraction < STAGE_STARTS[stage + 1] + VOTE_WAIT_SHARE:
         return {}
     return advanced_to(stage + 1)
 
 
 def _next_stage_due(now: int, progress: OrderProgress, reports: Sequence[ProxyReport]) -> bool:
-    """Whether the next stage's time has come, with outcomes and instances enough."""
+    """Whether the next stage may begin by its time, the outcomes so far and the warm instances."""
     record = progress.record
     if not reports:
         return False
@@ -243,13 +252,13 @@
 
 
 def _settle(now: int, progress: OrderProgress, reports: Sequence[ProxyReport]) -> RecordChanges:
-    """Settled once no proxy sends to the previous version, and SETTLE_DELAY has passed."""
-    quiet = bool(reports) and all(
+    """Settle the order once no proxy has used the previous version for SETTLE_DELAY."""
+    previous_idle = bool(reports) and all(
         report.stage == FINAL_STAGE and not report.previous_in_flight for report in reports
     )
-    if not quiet:
-        progress.quiet_since = None
+    if not previous_idle:
+        progress.previous_idle_since = None
         return {}
-    if progress.quiet_since is None:
-        progress.quiet_since = now
-    return settled() if now - progress.quiet_since >= SETTLE_DELAY else {}
+    if progress.previous_idle_since is None:
+        progress.previous_idle_since = now
+    return settled() if now - progress.previous_idle_since >= SETTLE_DELAY else {}
--- a/umbermoor/gateway/rollout/observer.py
+++ b/umbermoor/gateway/rollout/observer.py
@@ -1,4 +1,4 @@
-"""A proxy's part in rollouts: the version of each attempt, its outcomes, and reports of them.
+"""A proxy's side of rollouts: chooses the version of each attempt and reports the outcomes.
 
 Times are whole microseconds.
 """
@@ -12,7 +12,7 @@
     supersedes,
 )
 from umbermoor.gateway.rollout.service_rollout import (
-    KEEP_OFF,
+    NO_TRIAL,
     ListedInstance,
     ReportKey,
     ServiceRollout,
@@ -20,20 +20,24 @@
 from umbermoor.gateway.units import SECOND
 
 UPDATE_TIMEOUT = 3 * SECOND // 2
-"""Without confirmed updates for longer than this, a proxy sends nothing to a trial."""
+"""A proxy without confirmed updates for longer than this sends nothing to a trial."""
 REPORT_INTERVAL = SECOND // 4
-"""A report is sent again after this long."""
+"""A report is sent at least this often."""
 MIN_REPORT_INTERVAL = SECOND // 25
-"""The least time between reports when bad outcomes come."""
+"""The minimum time between reports, unless the stage or the vote has changed.
+
+Reports of which only the baseline's bad outcomes changed wait twice as long.
+"""
 
 
 class RolloutObserver:
-    """Rollouts at one proxy.
+    """Runs the rollouts of all services at one proxy.
 
-    For each attempt, `choose_version` names the version, `trial_instances` narrows the choice
-    within the new one, `may_send` is asked right before the sending, then `attempt_sent` and,
-    however it ends, `attempt_ended`. Nothing raises; an unknown service has no version until
-    instances are listed.
+    For each attempt, the caller gets the version from `choose_version` and, for the new version,
+    the eligible instances from `trial_instances`. It checks `may_send` right before sending, and
+    then calls `attempt_sent` and, when the attempt has ended, `attempt_ended` or
+    `attempt_abandoned`. No method raises; an unknown service has no version until instances are
+    listed.
     """
 
     def __init__(self) -> None:
@@ -47,28 +51,28 @@
         return state
 
     def _stage(self, now: int, state: ServiceRollout) -> int:
-        """The stage this proxy acts by; KEEP_OFF if it lacks updates or saw too much."""
-        if state.record is None or now < state.kept_off_until:
-            return KEEP_OFF
+        """Return the stage to act by: NO_TRIAL without recent updates or after an alarm."""
+        if state.record is None or now < state.no_trial_until:
+            return NO_TRIAL
         if self.confirmed_at is None or now - self.confirmed_at > UPDATE_TIMEOUT:
-            return KEEP_OFF
+            return NO_TRIAL
         return state.record.stage
 
     # Updates
 
     def confirm(self, now: int) -> None:
-        """The updates from the controllers are complete as of now, changed or not."""
+        """Note that the updates from the controllers are complete as of now."""
         self.confirmed_at = now
 
     def apply_record(
         self, now: int, service: str, document: RecordDocument | None, confirmed: bool = True
     ) -> None:
-        """The durable record in force, or that there is none; an older one is ignored.
+        """Apply the durable record in force; an older one is ignored.
 
         Args:
             now: microseconds.
             service: the service's name.
-            document: the record's JSON.
+            document: the record's JSON; None if there is no record.
             confirmed: whether the updates are complete as of now.
         """
         if confirmed:
@@ -87,39 +91,39 @@
     def update_instances(
         self, now: int, service: str, instances: Sequence[tuple[str, str, int]]
     ) -> None:
-        """All instances of a service that may be used: id, version, when it was first listed."""
+        """Replace a service's usable instances: id, version and time of the first listing."""
         listed = [ListedInstance(*instance) for instance in instances]
         self._service(service).update_instances(listed)
 
     # Requests and attempts
 
     def request_received(self, now: int, service: str) -> None:
-        """A client's request for the service came; retries are none."""
+        """Count a client's request for the service; do not call this for retries."""
         self._service(service).request_received(now)
 
     def target(self, service: str) -> str | None:
-        """The new version that an order under way names."""
+        """Return the target version of the rollout under way; None if there is none."""
         state = self._service(service)
         return state.record.target if state.record is not None and state.running else None
 
     def trial_instances(self, now: int, service: str) -> tuple[str, ...]:
-        """Ids of the new version's instances that carry its share now."""
+        """Return the ids of the new version's instances that may be sent attempts now."""
         return self._service(service).trial_instances(now)
 
     def choose_version(
         self, now: int, service: str, draw: float, retry: bool = False
     ) -> str | None:
-        """The version that an attempt must go to; `draw` is from 0 to 1, at random."""
+        """Return the version an attempt must go to; `draw` is a random number from 0 to 1."""
         state = self._service(service)
         return state.choose_version(now, self._stage(now, state), draw, retry)
 
     def may_send(self, now: int, service: str, version: str) -> bool:
-        """Whether this version may be sent an attempt now; to be asked right before the sending."""
+        """Whether this version may be sent an attempt now; check right before sending."""
         state = self._service(service)
         return state.may_send(self._stage(now, state), version)
 
     def attempt_sent(self, now: int, service: str, version: str) -> None:
-        """An attempt was sent to an instance of this version."""
+        """Note that an attempt was sent to an instance of this version."""
         self._service(service).attempt_sent(version)
 
     def attempt_ended(
@@ -133,7 +137,7 @@
         failed: bool,
         retry: bool,
     ) -> None:
-        """An attempt that was sent has ended.
+        """Record the end of an attempt that was sent.
 
         Args:
             now: microseconds.
@@ -142,8 +146,8 @@
             instance: its id.
             listed_at: when this proxy first had it listed.
             in_time: whether it met the route's latency target.
-            failed: whether no complete and good response came.
-            retry: whether its outcome does not count: a retry, or never executed.
+            failed: whether it got no complete and successful response.
+            retry: whether its outcome is not counted: it was a retry, or was never executed.
         """
         state = self._service(service)
         state.attempt_ended(now, version, instance, listed_at, in_time, failed, retry)
@@ -158,7 +162,7 @@
         in_time: bool,
         retry: bool,
     ) -> None:
-        """An attempt that was sent was broken off, as its client left: it has no outcome.
+        """Record that a sent attempt was abandoned because its client left, without an outcome.
 
         Args:
             now: microseconds.
@@ -166,9 +170,9 @@
             version: the instance's version.
             instance: its id.
             listed_at: when this proxy first had it listed.
-            in_time: whether it could still have met the route's latency target; else it is known
-                to have missed it, and counts so.
-            retry: whether it does not count.
+            in_time: whether it could still have met the route's latency target; if not, it is
+                counted as late.
+            retry: whether it is not counted.
         """
         state = self._service(service)
         state.attempt_abandoned(now, version, instance, listed_at, in_time, retry)
@@ -176,9 +180,9 @@
     # Reports
 
     def reports(self, now: int) -> list[ReportDocument]:
-        """What to tell the controller now; to be called several times a second.
+        """Return the reports to send to the controller now.
 
-        Besides after bad outcomes and after updates.
+        Call this several times a second, and also after bad outcomes and after updates.
         """
         documents = []
         for service, state in self.services.items():
@@ -195,7 +199,7 @@
 
 
 def _report_due(now: int, state: ServiceRollout, key: ReportKey) -> bool:
-    """Whether the last report is old, or what it said has changed; the more urgent, the sooner."""
+    """Whether a report is due: the last is old, or has changed. Urgent changes are sent sooner."""
     last = state.last_reported
     if state.reported_at is None or last is None:
         return True
--- a/umbermoor/gateway/rollout/records.py
+++ b/umbermoor/gateway/rollout/records.py
@@ -1,7 +1,7 @@
-"""What the replica set stores of a rollout, and what proxies report: their JSON, read and written.
+"""The JSON of stored rollout records and of proxies' reports.
 
-The stored record is the register's value under ROLLOUT_KEY_PREFIX and the service's name. Its keys:
-order, serial, target, from, rampS, state, stage, elapsed, why, known.
+The record is stored in the replicated map under ROLLOUT_KEY_PREFIX followed by the service's name.
+Its keys: order, serial, target, from, rampS, state, stage, elapsed, why, known.
 """
 
 from collections.abc import Mapping
@@ -18,7 +18,7 @@
 
 
 class RolloutState(StrEnum):
-    """How far an order has come; only RUNNING ones change."""
+    """The state of an order; only a RUNNING one changes."""
 
     RUNNING = "running"
     SETTLED = "settled"
@@ -33,7 +33,7 @@
 
 
 def supersedes(new: Mapping[str, Any], current: Mapping[str, Any] | None) -> bool:
-    """Whether a record may take the place of `current`; what has ended stays so for its order."""
+    """Whether a record may replace `current`. An order that has ended never runs again."""
     if current is None or new["order"] != current["order"]:
         return current is None or new["order"] > current["order"]
     return current["state"] == RolloutState.RUNNING and (
@@ -43,28 +43,28 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutRecord:
-    """One order's durable record, as it was at one serial number."""
+    """One order's durable record at one serial number."""
 
     document: RecordDocument
-    """The JSON it was read from; keys unknown here are kept when it is changed."""
+    """The JSON that it was read from; unknown keys are kept when the record changes."""
     order: int
-    """Counts the orders of the service."""
+    """Number of the order, counted per service."""
     serial: int
-    """Counts the changes within the order."""
+    """Number of the change, counted per order."""
     target: str
-    """The version that is rolled out."""
+    """The version to roll out."""
     previous: list[str]
-    """Versions in use before."""
+    """Versions in use before the order."""
     ramp_seconds: float
-    """The time from the order until it is to be settled or reverted."""
+    """The time from the order within which it must be settled or reverted."""
     state: str
     stage: int
     elapsed_seconds: float
-    """Since the order, when this was written."""
+    """Time from the order to the writing of this record."""
 
     @classmethod
     def read(cls, document: RecordDocument) -> "RolloutRecord":
-        """Reads the JSON.
+        """Read a record from its JSON.
 
         Raises:
             KeyError: a key is missing.
@@ -87,39 +87,39 @@
         return self.state == RolloutState.RUNNING
 
     def next(self, changes: Mapping[str, Any], elapsed_seconds: float) -> "RolloutRecord":
-        """The record after this one; `changes` has keys of the JSON."""
+        """Return the next record; `changes` are keyed as in the JSON."""
         numbered = {"serial": self.serial + 1, "elapsed": elapsed_seconds}
         return RolloutRecord.read({**self.document, **changes, **numbered})
 
 
 class RecordChanges(TypedDict, total=False):
-    """What a step changes in a record's JSON; empty: nothing."""
+    """Changes to a record's JSON; empty for none."""
 
     state: str
-    """As RolloutState has it."""
+    """A value of RolloutState."""
     stage: int
     why: str
-    """Why the order is reverted."""
+    """The reason why the order is reverted."""
 
 
 def reverted(reason: str) -> RecordChanges:
-    """The change of a record that reverts its order."""
+    """Return the changes that revert an order."""
     return {"state": RolloutState.REVERTED.value, "why": reason}
 
 
 def settled() -> RecordChanges:
-    """The change of a record that settles its order."""
+    """Return the changes that settle an order."""
     return {"state": RolloutState.SETTLED.value}
 
 
 def advanced_to(stage: int) -> RecordChanges:
-    """The change of a record to a stage."""
+    """Return the changes that move an order to a stage."""
     return {"stage": stage}
 
 
 @dataclass(slots=True)
 class OutcomeCounts:
-    """Outcomes of attempts: how many, how many of them good, how many failed."""
+    """Counts of attempts' outcomes: all, the good ones and the failed ones."""
 
     total: int = 0
     good: int = 0
@@ -127,60 +127,60 @@
 
     @property
     def bad(self) -> int:
-        """Those that failed or came late."""
+        """The outcomes that failed or came late."""
         return self.total - self.good
 
     def add(self, good: bool, failed: bool) -> None:
-        """Counts one outcome."""
+        """Count one outcome."""
         self.total += 1
         self.good += good
         self.failed += failed
 
     def add_difference(self, later: "OutcomeCounts", earlier: "OutcomeCounts") -> None:
-        """Counts what was counted between two states of another."""
+        """Add the difference between an earlier and a later state of other counts."""
         self.total += later.total - earlier.total
         self.good += later.good - earlier.good
         self.failed += later.failed - earlier.failed
 
     def to_json(self) -> list[int]:
-        """As it is written."""
+        """Return the counts as they are written in JSON."""
         return [self.total, self.good, self.failed]
 
 
 @dataclass(slots=True)
 class ProxyReport:
-    """What a proxy tells of an order.
+    """A proxy's report on an order.
 
-    Counts are sums since `since`, so that a lost report does no harm.
+    Counts are totals from `since` on, so that a lost report does no harm.
     """
 
     service: str
     target: str
     order: int
     stage: int
-    """The stage it acts by; -1 where it keeps off the trial."""
+    """The stage that the proxy acts by; -1 if it sends nothing to the trial."""
     since: int
-    """When it began to count; names this count."""
+    """When the proxy began to count; identifies this series of counts."""
     elapsed_seconds: float
     vote: str | None
     trial: OutcomeCounts
     baseline: OutcomeCounts
     by_instance: dict[str, list[int]]
-    """Outcomes and bad ones of the new version, by instance."""
+    """The new version's outcomes and bad outcomes, by instance."""
     previous_in_flight: int
-    """Attempts under way at previous versions."""
+    """Attempts in flight at previous versions."""
     requests: int
-    """Of clients, since the order."""
+    """Clients' requests since the order."""
     previous_instances: int
     warm_instances: int
-    """Of the new version."""
+    """Instances of the new version whose warm-up time is over."""
 
     @classmethod
     def read(cls, document: ReportDocument) -> "ProxyReport":
-        """Reads the JSON.
+        """Read a report from its JSON.
 
         Raises:
-            KeyError, TypeError, ValueError, IndexError: it is not a report's.
+            KeyError, TypeError, ValueError, IndexError: it is not the JSON of a report.
         """
         previous_instances, warm_instances = document["listed"]
         return cls(
@@ -201,7 +201,7 @@
         )
 
     def to_document(self) -> ReportDocument:
-        """As JSON."""
+        """Return the report as JSON."""
         return {
             "service": self.service,
             "target": self.target,
--- a/umbermoor/gateway/rollout/service_rollout.py
+++ b/umbermoor/gateway/rollout/service_rollout.py
@@ -1,4 +1,4 @@
-"""One service's rollout at one proxy: which version an attempt goes to, its scores, its vote.
+"""The rollout of one service at one proxy: the version of each attempt, the scores and the vote.
 
 Times are whole microseconds, unless a name says seconds.
 """
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from umbermoor.gateway.rollout.judgement import (
+    ASSUMED_BAD_SHARE,
     INITIAL_MEAN,
-    LONE_BAD_SHARE,
     MAX_BASELINE,
     MAX_MEAN,
     MIN_OUTCOMES,
@@ -40,24 +40,24 @@
 from umbermoor.statistics.test_roll import needed
 
 JUDGE_AFTER = 4 * SECOND
-"""A stage is judged this long after its newest instance was listed, short of n* or not."""
+"""Proxies vote this long after the newest target instance was listed, even without n* outcomes."""
 HORIZON = 20 * SECOND
-"""The requests expected in this time are the paper's N."""
+"""The paper's N is the number of requests expected in this time."""
 MAX_TRIAL_SHARE = 0.25
-"""Of the requests, the most that the trial's bursts take, where there are few instances."""
+"""The largest share of the requests that go to the trial in a burst, if there are few instances."""
 EJECTION_FAILURES = 3
-"""Consecutive failures that set an instance aside while there is another (outlier ejection)."""
+"""Consecutive failures that eject an instance while another one is left (outlier ejection)."""
 EJECTION_TIME = 2 * SECOND
 BACK_OFF_TIME = SECOND * 3 // 2
-"""A proxy that sees enough bad outcomes itself keeps off the trial for so long, by itself."""
-OWN_ALARM = log(300)
-"""The sum of log-likelihood ratios that is enough."""
-OWN_EXCESS_SHARE = 0.3
-"""The alternative tested: the share of else good outcomes that a bad version spoils."""
+"""How long a proxy stops using the trial after its own test raised an alarm."""
+LOCAL_ALARM_THRESHOLD = log(300)
+"""The sum of log-likelihood ratios at which the proxy's own test raises an alarm."""
+LOCAL_EXCESS_SHARE = 0.3
+"""The alternative hypothesis: a bad version turns this share of otherwise good outcomes bad."""
 MAX_NAMED_INSTANCES = 12
-"""Counted one by one in a report; the others together."""
-KEEP_OFF = -1
-"""The stage of a proxy that leaves the trial alone."""
+"""How many instances a report counts separately; further ones are counted together."""
+NO_TRIAL = -1
+"""The stage of a proxy that sends nothing to the trial."""
 
 
 class ListedInstance(NamedTuple):
@@ -66,11 +66,11 @@
     id: str
     version: str
     listed_at: int
-    """When this proxy first had it listed."""
+    """When it was first listed at this proxy."""
 
 
 class ReportKey(NamedTuple):
-    """What makes a report urgent when it changes, the most urgent first."""
+    """Values whose change makes a report due, the most urgent first."""
 
     stage: int
     vote: str | None
@@ -88,59 +88,62 @@
 
 @dataclass(slots=True)
 class ServiceRollout:
-    """What one proxy knows of a service: its versions' instances, and the last order."""
+    """One proxy's state for a service: the instances of its versions and the last order."""
 
     record: RolloutRecord | None = None
     received_at: int = 0
-    """When the record came."""
+    """When the record was received."""
     stage_since: int = 0
-    """When this proxy learnt of the stage."""
+    """When this proxy learned of the current stage."""
     elapsed_at_receipt: float = 0.0
-    """Seconds since the order that had passed when the record came, at the least."""
+    """Lower bound of the seconds between the order and the receipt of the record."""
     order_known: bool = False
-    """Whether any update came of this service, be it that there is no order."""
+    """Whether an update on this service was received, even one that says there is no order."""
     version_in_use: str | None = None
-    """Where no order says more."""
+    """The version to use while there is no record."""
     instances: list[ListedInstance] = field(default_factory=list)
     instance_ids: frozenset[str] = frozenset()
     counting_since: int = 0
-    """When this proxy began to count for the order; names the count in reports."""
+    """When this proxy began to count for the order; identifies the series of counts in reports."""
     requests: int = 0
     trial_credit: float = 0.0
-    """Requests that the trial may still be sent."""
+    """How many attempts the trial may still be sent."""
     trial_threshold: float | None = None
-    """At this credit one is sent; drawn, so that many lightly loaded proxies keep the sum."""
+    """The trial is sent an attempt when its credit reaches this.
+
+    It is drawn at random, so that the sum over many lightly loaded proxies has the intended share.
+    """
     reserved: int = 0
-    """Attempts promised to the trial and not sent yet."""
+    """Attempts assigned to the trial that have not been sent yet."""
     in_flight: Counter[str] = field(default_factory=Counter)
-    """Attempts under way, by version."""
+    """Attempts in flight, by version."""
     trial: OutcomeCounts = field(default_factory=OutcomeCounts)
     baseline: OutcomeCounts = field(default_factory=OutcomeCounts)
     by_instance: dict[str, list[int]] = field(default_factory=dict)
-    """Outcomes and bad ones of the trial's instances."""
+    """Outcomes and bad outcomes, by instance of the trial."""
     failures: dict[str, ConsecutiveFailures] = field(default_factory=dict)
     evidence_against: float = 0.0
-    """What this proxy's own outcomes since the trial stage say against the new version."""
-    kept_off_until: int = 0
+    """CUSUM of this proxy's own outcomes against the new version, since the trial stage."""
+    no_trial_until: int = 0
     request_rate: float = 0.0
-    """Requests in half the HORIZON, decaying."""
+    """Exponentially decaying count of requests, with half the HORIZON as its time constant."""
     rate_at: int = 0
     reported_at: int | None = None
     last_reported: ReportKey | None = None
     base_version: str | None = None
-    """The version in use: the one from before the order until that is settled."""
+    """The version in use: the one before the order, until the order is settled."""
     base_instances: int = 0
     target_instances: list[ListedInstance] = field(default_factory=list)
 
     @property
     def running(self) -> bool:
-        """Whether an order is under way."""
+        """Whether a rollout is under way."""
         return self.record is not None and self.record.state == RolloutState.RUNNING
 
-    # Inputs
+    # Updates and requests
 
     def successor(self, now: int) -> "ServiceRollout":
-        """The state at the beginning of a new order: what does not belong to the last one stays."""
+        """Return the initial state for a new order; keeps what is not specific to the last one."""
         return ServiceRollout(
             version_in_use=self.version_in_use,
             instances=self.instances,
@@ -154,7 +157,7 @@
         )
 
     def apply(self, now: int, record: RolloutRecord) -> None:
-        """A later record is in force."""
+        """Apply a later record."""
         elapsed = 0.0
         if self.record is not None:
             elapsed = self.elapsed_at_receipt + (now - self.received_at) / SECOND
@@ -165,7 +168,7 @@
         self._derive_versions()
 
     def update_instances(self, instances: Sequence[ListedInstance]) -> None:
-        """All instances of the service that may be used."""
+        """Replace the instances of the service that may be used."""
         self.instances = sorted(instances)
         self.instance_ids = frozenset(instance.id for instance in instances)
         for id in self.failures.keys() - self.instance_ids:
@@ -174,13 +177,13 @@
         if self.record is None and present:
             outdated = self.version_in_use not in present and self.order_known
             if self.version_in_use is None or outdated:
-                # An order may be under way that this proxy has not heard of: the lower version is
-                # the earlier one.
+                # A rollout may be under way that this proxy does not know of yet. The lower version
+                # is assumed to be the earlier one.
                 self.version_in_use = oldest_first(list(present))[0]
         self._derive_versions()
 
     def _derive_versions(self) -> None:
-        """What the record and the listed instances say together."""
+        """Derive the base version and the target instances from the record and the instances."""
         record, present = self.record, Counter(instance.version for instance in self.instances)
         if record is None:
             self.base_version = self.version_in_use
@@ -202,17 +205,20 @@
         ]
 
     def request_received(self, now: int) -> None:
-        """A client's request came; retries are none."""
+        """Count a client's request; do not call this for retries."""
         self.requests += 1
         self.request_rate = self.request_rate * exp((self.rate_at - now) / (HORIZON / 2)) + 1
         self.rate_at = now
         if self.running:
             self.trial_credit += TRIAL_SHARE
 
-    # Which version
+    # Choice of the version
 
     def trial_instances(self, now: int) -> tuple[str, ...]:
-        """The new version's instances that carry its share now: few, so that their load is real."""
+        """Return the new version's instances that may be sent attempts now.
+
+        They are few, so that each has a realistic load.
+        """
         record = self.record
         if record is None:
             return ()
@@ -223,13 +229,13 @@
             for instance in self.target_instances
             if now - instance.listed_at >= WARM_UP_TIME
         ]
-        sound = [id for id in warm if not self._ejected(now, id)] or warm
+        healthy = [id for id in warm if not self._ejected(now, id)] or warm
         if record.stage:
-            return tuple(sound[: instances_for_share(record.stage, self.base_instances)])
+            return tuple(healthy[: instances_for_share(record.stage, self.base_instances)])
         turn = int(self.elapsed_at_receipt * SECOND + now - self.received_at) // TRIAL_TURN
         if turn % 3 == 2:
             return ()
-        return tuple(sound[:2][turn % 2 :][:1] or sound[:1])
+        return tuple(healthy[:2][turn % 2 :][:1] or healthy[:1])
 
     def _ejected(self, now: int, id: str) -> bool:
         failures = self.failures.get(id)
@@ -238,20 +244,20 @@
         return failures.attempts >= EJECTION_FAILURES and now - failures.at < EJECTION_TIME
 
     def choose_version(self, now: int, stage: int, draw: float, retry: bool) -> str | None:
-        """The version that this attempt must go to, at the stage that the proxy acts by."""
+        """Return the version this attempt must go to; `stage` is the one the proxy acts by."""
         record, base = self.record, self.base_version
         if record is None or record.state != RolloutState.RUNNING:
             return base
         if stage == FINAL_STAGE:
             return record.target
-        if stage == KEEP_OFF or retry or not self.trial_instances(now):
+        if stage == NO_TRIAL or retry or not self.trial_instances(now):
             return base
         if stage and now - self.stage_since <= STEP_LEASE * record.ramp_seconds * SECOND:
             return record.target if draw < STAGE_SHARES[stage] else base
         return record.target if self._take_credit(draw) else base
 
     def _take_credit(self, draw: float) -> bool:
-        """Whether the trial gets this attempt, within its share of the requests so far."""
+        """Whether to send this attempt to the trial, within its share of the requests so far."""
         if self.trial_threshold is None:
             self.trial_threshold = draw
             return False
@@ -263,7 +269,7 @@
         return True
 
     def may_send(self, stage: int, version: str) -> bool:
-        """Whether this version may be sent an attempt now; asked right before the sending."""
+        """Whether this version may be sent an attempt now; checked right before sending."""
         record = self.record
         if record is None or record.state != RolloutState.RUNNING:
             return version == self.base_version
@@ -277,7 +283,7 @@
     # Attempts
 
     def attempt_sent(self, version: str) -> None:
-        """An attempt was sent to an instance of this version."""
+        """Note that an attempt was sent to an instance of this version."""
         self.in_flight[version] += 1
         record = self.record
         if record is None or record.state != RolloutState.RUNNING or version != record.target:
@@ -297,7 +303,7 @@
         failed: bool,
         retry: bool,
     ) -> None:
-        """An attempt that was sent has ended, see `RolloutObserver.attempt_ended`."""
+        """Record the end of a sent attempt, see `RolloutObserver.attempt_ended`."""
         self._no_longer_in_flight(version)
         self._note_failure(now, instance, failed)
         if not retry:
@@ -306,7 +312,7 @@
     def attempt_abandoned(
         self, now: int, version: str, instance: str, listed_at: int, in_time: bool, retry: bool
     ) -> None:
-        """An attempt was broken off, see `RolloutObserver.attempt_abandoned`."""
+        """Record an abandoned attempt, see `RolloutObserver.attempt_abandoned`."""
         self._no_longer_in_flight(version)
         if not (in_time or retry):
             self._count_outcome(now, version, instance, listed_at, good=False, failed=False)
@@ -319,7 +325,7 @@
     def _count_outcome(
         self, now: int, version: str, instance: str, listed_at: int, good: bool, failed: bool
     ) -> None:
-        """Scores an attempt by which its version is judged."""
+        """Score an attempt for its version, unless the instance is still warming up."""
         record = self.record
         if record is None or record.state != RolloutState.RUNNING:
             return
@@ -342,27 +348,27 @@
     def _count_trial_outcome(
         self, now: int, record: RolloutRecord, instance: str, good: bool
     ) -> None:
-        named = instance in self.by_instance or len(self.by_instance) < MAX_NAMED_INSTANCES
-        count = self.by_instance.setdefault(instance if named else "", [0, 0])
+        counted_alone = instance in self.by_instance or len(self.by_instance) < MAX_NAMED_INSTANCES
+        count = self.by_instance.setdefault(instance if counted_alone else "", [0, 0])
         count[0] += 1
         count[1] += not good
         if not record.stage:
             return
         bad_share = self.baseline.bad / max(self.baseline.total, MIN_OUTCOMES)
-        usual = min(MAX_BASELINE, LONE_BAD_SHARE + bad_share)
-        ratio = log_likelihood_ratio(usual, OWN_EXCESS_SHARE, 1, not good)
+        baseline_share = min(MAX_BASELINE, ASSUMED_BAD_SHARE + bad_share)
+        ratio = log_likelihood_ratio(baseline_share, LOCAL_EXCESS_SHARE, 1, not good)
         self.evidence_against = max(0.0, self.evidence_against + ratio)
-        if self.evidence_against >= OWN_ALARM:
-            # The controllers may be changing their leader while the version turns bad.
-            self.evidence_against, self.kept_off_until = 0.0, now + BACK_OFF_TIME
+        if self.evidence_against >= LOCAL_ALARM_THRESHOLD:
+            # The proxy acts by itself because the controllers may be without a leader just now.
+            self.evidence_against, self.no_trial_until = 0.0, now + BACK_OFF_TIME
 
-    # Vote and report
+    # Votes and reports
 
     def vote(self, now: int) -> Vote | None:
-        """Test & Roll on this proxy's own outcomes; None while they cannot be judged.
+        """Return the vote by Test & Roll on this proxy's own outcomes; None if there are too few.
 
-        They can once the trial has n* outcomes (the paper's equation 10, test_roll.needed), or
-        JUDGE_AFTER its newest instance was listed.
+        There are enough once the trial has n* outcomes (the paper's equation 10, test_roll.needed),
+        or JUDGE_AFTER its newest instance was listed. At least MIN_OUTCOMES are always needed.
         """
         if not self.running:
             return None
@@ -372,27 +378,27 @@
             mu = baseline.good / baseline.total
         mu = min(MAX_MEAN, mu)
         newest = max((instance.listed_at for instance in self.target_instances), default=now)
-        waited = bool(self.target_instances) and now - newest >= JUDGE_AFTER
+        waited_enough = bool(self.target_instances) and now - newest >= JUDGE_AFTER
         expected = 2 * self.request_rate * exp((self.rate_at - now) / (HORIZON / 2))
         if trial.total < MIN_OUTCOMES:
             return None
-        if not waited and trial.total < needed(expected, mu, SIGMA, MIN_OUTCOMES):
+        if not waited_enough and trial.total < needed(expected, mu, SIGMA, MIN_OUTCOMES):
             return None
-        behind = trails(trial.good / trial.total, trial.total, mu)
-        return Vote.REVERT if behind else Vote.ADVANCE
+        inferior = trails(trial.good / trial.total, trial.total, mu)
+        return Vote.REVERT if inferior else Vote.ADVANCE
 
     def previous_in_flight(self, target: str) -> int:
-        """Attempts under way at other versions than the target."""
+        """Return the number of attempts in flight at versions other than the target."""
         return sum(count for version, count in self.in_flight.items() if version != target)
 
     def report_key(self, stage: int, vote: Vote | None, previous_in_flight: int) -> ReportKey:
-        """What is compared with the last report to see whether a new one is due."""
+        """Return the values that are compared with the last report to see if a new one is due."""
         return ReportKey(stage, vote, previous_in_flight > 0, self.trial.bad, self.baseline.bad)
 
     def report(
         self, now: int, service: str, record: RolloutRecord, key: ReportKey, previous: int
     ) -> ProxyReport:
-        """What is told to the controller; `previous`: attempts in flight at previous versions."""
+        """Return the report to the controller; `previous` counts attempts at other versions."""
         elapsed = self.elapsed_at_receipt + (now - self.received_at) / SECOND
         warm = sum(now - instance.listed_at >= WARM_UP_TIME for instance in self.target_instances)
         return ProxyReport(
