--- a/umbermoor/gateway/membership/candidates.py
+++ b/umbermoor/gateway/membership/candidates.py
@@ -1,4 +1,4 @@
-"""Addresses at which a proxy may run: each is probed, and becomes a member once it has answered."""
+"""Candidate addresses: each is probed, and its proxy becomes a member once it has answered."""
 
 from dataclasses import dataclass
 
@@ -8,32 +8,35 @@
 
 MAX_CANDIDATES = 256
 MAX_ATTEMPTS = 6
-"""A candidate that has not answered so many probes is given up."""
+"""A candidate that has not answered this many probes is dropped."""
 RETRY_INTERVAL = 400 * MILLISECOND
 PROBE_BURST = 16
-"""Further probes of each kind at most a tick, and of unknown senders between two ticks."""
+"""Limit of probes to candidates per tick, and also of probes to suspects per tick.
+
+It also limits the probes to unknown senders between two ticks.
+"""
 
 
 @dataclass(slots=True)
 class Candidate:
-    """Somebody who has not answered yet."""
+    """An address from which no probe has been answered yet."""
 
     next_probe: int
     attempts: int = 0
 
     @property
     def exhausted(self) -> bool:
-        """Whether it has had all its probes."""
+        """Whether MAX_ATTEMPTS probes were sent."""
         return self.attempts >= MAX_ATTEMPTS
 
     def attempted(self, now: int) -> None:
-        """A probe of it is sent now."""
+        """Note that a probe is sent now."""
         self.attempts += 1
         self.next_probe = now + RETRY_INTERVAL
 
 
 class CandidateTable:
-    """Candidates by address, at most MAX_CANDIDATES."""
+    """Up to MAX_CANDIDATES candidates by address."""
 
     def __init__(self, own_address: str, table: MemberTable) -> None:
         self._own_address = own_address
@@ -44,7 +47,7 @@
         return len(self._candidates)
 
     def add(self, now: int, address: str) -> None:
-        """Takes an address on, to be probed at once, unless it is a member's or of no use."""
+        """Add an address to probe at once, unless it is known or invalid or the table is full."""
         if (
             address != self._own_address
             and not self._table.has(address)
@@ -55,13 +58,13 @@
             self._candidates[address] = Candidate(now)
 
     def get(self, address: str) -> Candidate | None:
-        """The candidate at that address."""
+        """Return the candidate at an address, or None."""
         return self._candidates.get(address)
 
     def items(self) -> list[tuple[str, Candidate]]:
-        """All, earliest first; candidates may be discarded while the list is gone through."""
+        """Return a copy of all entries, oldest first; candidates may be discarded meanwhile."""
         return list(self._candidates.items())
 
     def discard(self, address: str) -> None:
-        """It has answered, or was given up."""
+        """Remove a candidate that has answered or is given up."""
         self._candidates.pop(address, None)
--- a/umbermoor/gateway/membership/codec.py
+++ b/umbermoor/gateway/membership/codec.py
@@ -1,8 +1,8 @@
-"""The bytes of messages between proxies: 33 for a message, and 17 for each update in it.
+"""Encoding of the messages between proxies: 33 bytes per message and 17 per update in it.
 
 Big-endian: magic "us", format version, message type, sender, the sender's generation and
-incarnation number, sequence number, subject, count of updates; the updates; CRC-32 of all before.
-The checksum finds what was corrupted, not what was forged: proxies share no secret.
+incarnation number, sequence number, subject, count of updates; the updates; CRC-32 of all the bytes
+before it. The checksum detects corruption but not forgery: proxies share no secret.
 """
 
 import struct
@@ -18,9 +18,9 @@
 )
 
 MAX_DATAGRAM_BYTES = 1200
-"""Below IPv6's least MTU (1280, RFC 8200), so that a datagram is never fragmented."""
+"""Below IPv6's minimum MTU (1280, RFC 8200), so that a datagram is never fragmented."""
 GENERATION_LIMIT = 1 << 62
-"""Generations are below this."""
+"""Generations must be below this."""
 MAX_INCARNATION_NUMBER = (1 << 32) - 1
 
 _HEADER = struct.Struct(">2sBB4sQII4sB")
@@ -33,7 +33,7 @@
 
 
 def pack_address(address: str) -> bytes | None:
-    """The four bytes of a dotted IPv4 address; None where it is not that of a single host."""
+    """Return the four bytes of a dotted IPv4 address; None if it is not that of a single host."""
     try:
         octets = inet_pton(AF_INET, address)
     except (OSError, ValueError, TypeError):
@@ -46,9 +46,10 @@
 
 
 def encode(message: Message) -> bytes:
-    """The message's bytes, at most MAX_DATAGRAM_BYTES.
+    """Return the message's bytes, at most MAX_DATAGRAM_BYTES.
 
-    It holds at most MAX_UPDATES updates, and only addresses that `pack_address` takes.
+    The message must have at most MAX_UPDATES updates, and only addresses that `pack_address`
+    accepts.
     """
     parts = [
         _HEADER.pack(
@@ -71,7 +72,7 @@
 
 
 def decode(data: bytes) -> Message | None:
-    """The message that `encode` made these bytes of; None for what it cannot have made."""
+    """Return the message that `encode` turned into these bytes; None for any other bytes."""
     if not _HEADER.size + _CHECKSUM.size <= len(data) <= MAX_DATAGRAM_BYTES:
         return None
     magic, version, kind, sender, generation, incarnation_number, number, subject, count = (
--- a/umbermoor/gateway/membership/failure_detector.py
+++ b/umbermoor/gateway/membership/failure_detector.py
@@ -1,20 +1,20 @@
 """A SWIM failure detector with suspicion: one proxy's view of which other proxies are alive.
 
-After SWIM (Das, Gupta, Motivala, DSN 2002): a ping to one member in turn, ping requests through
-others, suspicion before removal, incarnation numbers, updates carried on the messages.
+From SWIM (Das, Gupta, Motivala, DSN 2002): pings to the members in turn, indirect pings through
+other members, suspicion before removal, incarnation numbers, updates piggybacked on the messages.
 
-Of Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018, arXiv 1707.00788) there are:
+From Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018, arXiv 1707.00788):
 
-* the local health aware probe: intervals and time-outs grow with the local health multiplier;
-  those asked for a ping say at once that they received the request (its nack, sent earlier);
-* of local health aware suspicion only this: the suspicion time-out grows with the multiplier, and
-  is halved once another member has declared the suspect dead. It does not shrink step by step with
+* the local health aware probe: intervals and time-outs grow with the local health multiplier.
+  Members asked for an indirect ping confirm the request at once; Lifeguard's nack comes later;
+* a part of local health aware suspicion: the suspicion time-out grows with the multiplier, and is
+  halved once another member has declared the suspect dead. It does not shrink step by step with
   each further suspicion, nor depend on the size of the group;
-* the buddy system: a suspect is told of the suspicion first, on every message to it.
+* the buddy system: every message to a suspect carries the suspicion as its first update.
 
-Where this detector differs from both: an address is believed alive, or again alive, only once it
-has answered this proxy itself; each proxy pings a suspect itself before it removes it; a proxy that
-was stalled or cut off declares nobody dead for a while.
+Differences from both: an address counts as alive, or as alive again, only once it has answered this
+proxy itself; each proxy pings a suspect itself before it removes it; a proxy that was stalled or
+cut off declares nobody dead for a while.
 
 Times are whole microseconds. `docs/failure-detector.md` weighs the alternatives.
 """
@@ -50,12 +50,12 @@
 from umbermoor.gateway.membership.updates import UpdateQueue
 
 LEAVE_ANNOUNCEMENTS = 4
-"""How often a leaving proxy says so, and to how many members each time."""
+"""How many times a leaving proxy announces it, and to how many members each time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Statistics:
-    """Figures for operators: present sizes, and events since the start."""
+    """Statistics for operators: current sizes, and counts of events since the start."""
 
     alive: int
     suspects: int
@@ -68,15 +68,16 @@
 
 
 class FailureDetector:
-    """Which proxies are alive, as seen by the one at `address`.
+    """Tracks which proxies are alive, as seen by the one at `address`.
 
-    A state machine without input, output or clock of its own: its methods return the datagrams to
-    send, best effort. All its state is bounded.
+    A state machine without I/O or a clock of its own: its methods return the datagrams to send,
+    best effort. All its state is bounded.
 
     Args:
         address: this proxy's IPv4 address, as the others see it.
-        generation: later than that of any earlier process at this address, such as the wall time
-            of its start in microseconds. Where that clock went back, what others say corrects it.
+        generation: greater than that of any earlier process at this address, such as the wall
+            time of its start in microseconds. If that clock went back, other members' updates
+            correct the generation.
         rng: the source of all random choices.
 
     Raises:
@@ -97,37 +98,37 @@
 
     @property
     def address(self) -> str:
-        """This proxy's own."""
+        """This proxy's own address."""
         return self._local.address
 
     @property
     def incarnation(self) -> Incarnation:
-        """This proxy's own."""
+        """This proxy's own incarnation."""
         return self._local.incarnation
 
-    # What it knows
+    # Queries
 
     def alive(self) -> tuple[str, ...]:
-        """The addresses believed alive and not suspect, this one's included, sorted."""
+        """Return the sorted addresses of this proxy and of all members that are not suspect."""
         return tuple(sorted([self.address, *self._table.alive()]))
 
     def member_count(self) -> int:
-        """How many proxies there are at most: suspects count, and so does this one.
+        """Return the largest plausible number of proxies: with suspects, and with this one.
 
-        A proxy that hears nobody keeps its count.
+        A proxy that is cut off from all others keeps its count.
         """
         return len(self._table.members) + 1
 
     def is_member(self, address: str) -> bool:
-        """Whether another proxy counts as a member, suspect or not."""
+        """Whether another proxy is a member, suspect or not."""
         return self._table.has(address)
 
     def departed(self) -> tuple[str, ...]:
-        """Addresses that were removed, left, or never answered, as far as remembered."""
+        """Return the remembered addresses that were removed, have left, or never answered."""
         return tuple(self._table.departed)
 
     def statistics(self) -> Statistics:
-        """Figures for operators."""
+        """Return statistics for operators."""
         alive = len(self.alive())
         return Statistics(
             alive=alive,
@@ -143,13 +144,13 @@
     # Inputs
 
     def discovered(self, now: int, addresses: Iterable[str]) -> None:
-        """Addresses where proxies may run; each is probed. To be called as often as wanted."""
+        """Add addresses where proxies may run, to be probed. May be called at any rate."""
         for address in addresses:
             if self._table.may_reconsider(now, address):
                 self._candidates.add(now, address)
 
     def receive(self, now: int, source: str, data: bytes) -> list[Datagram]:
-        """Takes a datagram in; what no proxy at `source` can have sent changes nothing."""
+        """Process a datagram; one that no proxy at `source` can have sent changes nothing."""
         message = decode(data)
         if message is None or message.sender != source or source == self.address:
             return []
@@ -168,9 +169,10 @@
         return self._outbox.drain()
 
     def tick(self, now: int) -> list[Datagram]:
-        """What is due by now; to be called about every 100 ms.
+        """Do what is due by now; call this about every 100 ms.
 
-        A call that comes late makes this proxy doubt itself, not the others.
+        A late call makes no others suspect: it postpones all time-outs and, after a stall, worsens
+        this proxy's local health.
         """
         self._prober.renew_burst()
         if self.health.awaits_first_contact:
@@ -190,9 +192,9 @@
         return self._outbox.drain()
 
     def leave(self, now: int) -> list[Datagram]:
-        """This proxy ends of its own accord: it tells some members, and acknowledges no more pings.
+        """Announce to some members that this proxy leaves, and stop acknowledging pings.
 
-        Later ticks repeat it.
+        Later ticks repeat the announcement.
         """
         if not self._local.leaving:
             self._announce_leave()
@@ -206,7 +208,7 @@
             self._postpone_timeouts(cut_off_for)
 
     def _postpone_timeouts(self, delay: int) -> None:
-        """No time-out may end by this proxy's own absence."""
+        """Extend all time-outs, so that none expires because this proxy itself was absent."""
         self._prober.postpone(delay)
         self._table.postpone(delay)
 
@@ -227,7 +229,7 @@
         self._updates.enqueue(MemberState.ALIVE, self.address, self.incarnation)
 
     def _apply_update(self, now: int, update: MemberUpdate) -> None:
-        """What a member says of another proxy."""
+        """Apply a member's update on another proxy."""
         state, address, incarnation = update
         member = self._table.members.get(address)
         if member is None:
@@ -248,14 +250,14 @@
             self._table.suspect(now, address, member, incarnation, self.health.multiplier)
 
     def _confirms_suspicion(self, now: int, member: Member) -> bool:
-        """Whether another's word that the member is dead suffices to remove it now."""
-        if member.suspicion is None or not self.health.fit_to_judge(now):
+        """Whether another member's DEAD update suffices to remove this member now."""
+        if member.suspicion is None or not self.health.can_declare_failures(now):
             return False
         return member.suspicion.since <= now - CONFIRMED_SUSPICION_TIMEOUT
 
     def _remove_unrefuted(self, now: int) -> None:
-        """Removes suspects whose suspicion time-out is over."""
-        if not self.health.fit_to_judge(now):
+        """Remove the suspects whose suspicion time-out has expired."""
+        if not self.health.can_declare_failures(now):
             return
         for address, member in list(self._table.members.items()):
             if member.suspicion is not None and now >= member.suspicion.deadline:
@@ -268,7 +270,7 @@
             self._acknowledge(message)
         if not self._table.has(message.sender):
             if message.type.is_ping:
-                self._prober.meet_unknown_sender(now, message)
+                self._prober.receive_ping_from_unknown(now, message)
         elif message.type is MessageType.PING_REQUEST:
             self._prober.receive_ping_request(now, message)
         elif message.type is MessageType.PING_REQUEST_RECEIVED:
--- a/umbermoor/gateway/membership/local_health.py
+++ b/umbermoor/gateway/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Whether this proxy is itself fit to judge others: Lifeguard's local health.
+"""Lifeguard's local health: whether this proxy itself is healthy enough to declare failures.
 
 Source: A. Dadgar, J. Phillips, J. Currey, "Lifeguard: Local Health Awareness for More Accurate
 Failure Detection", DSN-W 2018, arXiv 1707.00788.
@@ -9,17 +9,17 @@
 MAX_SCORE = 4
 """Lifeguard's S: the local health score saturates here."""
 LATE_TICK_GAP = 200 * MILLISECOND
-"""Between two ticks: above this, all that waits is postponed by the gap."""
+"""If two ticks are further apart, all time-outs are postponed by the gap."""
 STALLED_TICK_GAP = 500 * MILLISECOND
-"""Between two ticks: above this, the proxy was stalled and distrusts itself."""
+"""If two ticks are further apart, the proxy was stalled and its local health worsens."""
 ISOLATION_TIMEOUT = 1000 * MILLISECOND
-"""Without a message from any member for longer than this, the proxy is cut off."""
+"""Without a message from any member for longer than this, the proxy counts as cut off."""
 RECOVERY_TIME = 1000 * MILLISECOND
 """After a stall or an isolation the proxy declares nobody dead or suspect for this long."""
 
 
 class LocalHealth:
-    """The local health score of 0 (well) to MAX_SCORE, and what this proxy noticed of itself."""
+    """The local health score, from 0 (healthy) to MAX_SCORE, and stalls and isolation."""
 
     def __init__(self) -> None:
         self.score = 0
@@ -30,30 +30,30 @@
 
     @property
     def multiplier(self) -> int:
-        """Lifeguard's local health multiplier: probe intervals and time-outs are so much longer."""
+        """Lifeguard's local health multiplier of probe intervals and time-outs."""
         return 1 + self.score
 
     @property
     def awaits_first_contact(self) -> bool:
-        """Whether there was neither a tick nor a message from a member yet."""
+        """Whether there has been neither a tick nor a message from a member yet."""
         return self._last_contact is None
 
     def worsen(self) -> None:
-        """Something suggests that this proxy is slow or badly connected."""
+        """Raise the score: something suggests that this proxy is slow or badly connected."""
         self.score = min(MAX_SCORE, self.score + 1)
 
     def improve(self) -> None:
-        """A probe of its own was answered in time."""
+        """Lower the score: a probe of this proxy was answered in time."""
         self.score = max(0, self.score - 1)
 
-    def fit_to_judge(self, now: int) -> bool:
+    def can_declare_failures(self, now: int) -> bool:
         """Whether this proxy may declare others suspect or dead now."""
         if now < self._recovered_at or self._last_contact is None:
             return False
         return now - self._last_contact <= ISOLATION_TIMEOUT
 
     def tick(self, now: int) -> int:
-        """Notes a tick; returns microseconds since the last one, 0 for the first."""
+        """Note a tick; return the microseconds since the last one, 0 for the first."""
         gap = 0 if self._last_tick is None else now - self._last_tick
         self._last_tick = now
         if self._last_contact is None:
@@ -61,10 +61,10 @@
         return gap
 
     def contact(self, now: int) -> int:
-        """Notes a message from a member.
+        """Note a message from a member.
 
         Returns:
-            Microseconds that this proxy was cut off before it; 0 if it was not.
+            The microseconds for which this proxy was cut off before the message; 0 if it was not.
         """
         last = self._last_contact
         self._last_contact = now if last is None else max(now, last)
@@ -74,7 +74,7 @@
         return now - last
 
     def degrade(self, now: int) -> None:
-        """This proxy stalled or was cut off: it worsens, and judges nobody for RECOVERY_TIME."""
+        """Raise the score after a stall or isolation; declare no failures for RECOVERY_TIME."""
         self._recovered_at = now + RECOVERY_TIME
         self.worsen()
         self.times_degraded += 1
--- a/umbermoor/gateway/membership/local_member.py
+++ b/umbermoor/gateway/membership/local_member.py
@@ -9,7 +9,7 @@
 
 
 class LocalMember:
-    """What this proxy says of itself.
+    """This proxy's own state as a member.
 
     Raises:
         ValueError: the address is not that of a host, or the generation is out of range.
@@ -24,16 +24,16 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether it has announced that it ends."""
+        """Whether it has announced that it leaves."""
         return self.leave_announcements > 0
 
     def refute(self, update: MemberUpdate, from_member: bool) -> bool:
-        """Outbids what is said of this proxy, unless it is true.
+        """Refute a false update on this proxy by moving to a later incarnation.
 
-        A sender that is no member cannot make it change its generation.
+        An update from a sender that is not a member cannot change the generation.
 
         Returns:
-            Whether it took a later incarnation.
+            Whether the incarnation changed.
         """
         if self.leaving or update.incarnation < self.incarnation:
             return False
--- a/umbermoor/gateway/membership/member_table.py
+++ b/umbermoor/gateway/membership/member_table.py
@@ -1,4 +1,4 @@
-"""Members, suspicion of them, and those that have departed; every change is queued for gossip."""
+"""Members, suspicions and departed proxies; every change is queued for gossip."""
 
 import random
 from dataclasses import dataclass
@@ -10,27 +10,27 @@
 MAX_MEMBERS = 512
 MAX_DEPARTED = 256
 SUSPICION_TIMEOUT = 2000 * MILLISECOND
-"""From suspicion to removal, times the local health multiplier."""
+"""Time from suspicion to removal; multiplied by the local health multiplier."""
 CONFIRMED_SUSPICION_TIMEOUT = 1000 * MILLISECOND
-"""The same once another member has declared the suspect dead."""
+"""Time from suspicion to removal once another member has declared the suspect dead."""
 SUSPECT_PROBE_INTERVAL = 700 * MILLISECOND
-"""Between this proxy's own probes of a suspect."""
+"""Interval between this proxy's own probes of a suspect."""
 DEPARTED_RETENTION = 600 * SECOND
 """A departed member is forgotten after this long."""
 UNANSWERED_RETENTION = 60 * SECOND
-"""So is an address where nobody ever answered."""
+"""An address that never answered is forgotten after this long."""
 RECONSIDER_INTERVAL = 5 * SECOND
 """A departed address that discovery still names becomes a candidate again after this long."""
 REJOIN_SAMPLE = 4
-"""Departed members of which the one probed longest ago is probed next."""
+"""Size of the random sample of departed members; the one probed longest ago is probed next."""
 
 NEVER_ANSWERED = Incarnation(0, 0)
-"""Stands for the incarnation of an address where nobody ever answered."""
+"""Placeholder incarnation of an address that never answered."""
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """Since when a member is suspect, and what follows."""
+    """Since when a member is suspect, when it is removed, and when it is probed next."""
 
     since: int
     deadline: int
@@ -39,12 +39,12 @@
 
 @dataclass(slots=True)
 class Member:
-    """A proxy that has answered a probe of this one and was not removed since."""
+    """A proxy that has answered a probe of this one and has not been removed since."""
 
     incarnation: Incarnation
     suspicion: Suspicion | None = None
     outdated: bool = False
-    """It last sent an incarnation earlier than the one known here, and is to be told."""
+    """Whether its last message had an earlier incarnation than the known one; it must be told."""
 
     @property
     def state(self) -> MemberState:
@@ -59,7 +59,7 @@
     incarnation: Incarnation
     since: int
     left: bool
-    """Of its own accord."""
+    """Whether it announced that it leaves."""
     last_probe: int
 
     @property
@@ -69,11 +69,11 @@
 
     @property
     def never_answered(self) -> bool:
-        """Whether no proxy was ever known there."""
+        """Whether no proxy ever answered at this address."""
         return self.incarnation == NEVER_ANSWERED
 
     def rules_out(self, incarnation: Incarnation) -> bool:
-        """Whether a proxy of that incarnation is the one that left."""
+        """Whether a proxy of that incarnation is the one that has left."""
         return self.left and incarnation <= self.incarnation
 
     def expired(self, now: int) -> bool:
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True)
 class Transitions:
-    """How often members changed state, since the start."""
+    """Counts of members' state changes since the start."""
 
     joined: int = 0
     suspected: int = 0
@@ -96,7 +96,7 @@
 
 
 class MemberTable:
-    """Members and departed proxies by address. Both are bounded."""
+    """Members and departed proxies by address; the numbers of both are bounded."""
 
     def __init__(self, rng: random.Random, updates: UpdateQueue) -> None:
         self.members: dict[str, Member] = {}
@@ -107,19 +107,19 @@
 
     @property
     def full(self) -> bool:
-        """Whether no member can join."""
+        """Whether no further member can join."""
         return len(self.members) >= MAX_MEMBERS
 
     def has(self, address: str) -> bool:
-        """Whether a member is there, suspect or not."""
+        """Whether the proxy at an address is a member, suspect or not."""
         return address in self.members
 
     def alive(self) -> list[str]:
-        """Members that are not suspect."""
+        """Return the addresses of members that are not suspect."""
         return [address for address, member in self.members.items() if member.suspicion is None]
 
     def admit(self, address: str, incarnation: Incarnation) -> None:
-        """A proxy that is no member has answered: it joins, or rejoins."""
+        """Add a proxy that has answered a probe; it joins or rejoins."""
         former = self.departed.pop(address, None)
         self.members[address] = Member(incarnation)
         if former is None or former.incarnation.generation != incarnation.generation:
@@ -129,13 +129,13 @@
         self._updates.enqueue(MemberState.ALIVE, address, incarnation)
 
     def observe(self, address: str, member: Member, incarnation: Incarnation) -> None:
-        """A message of the member itself carries this incarnation."""
+        """Note the incarnation that a member's own message carries."""
         member.outdated = incarnation < member.incarnation
         if incarnation > member.incarnation:
             self.renew(address, member, incarnation)
 
     def renew(self, address: str, member: Member, incarnation: Incarnation) -> None:
-        """The member is alive at a later incarnation: restarted, or it refutes a suspicion."""
+        """Mark a member alive at a later incarnation: it restarted or refuted a suspicion."""
         if incarnation.generation != member.incarnation.generation:
             self.transitions.restarted += 1
         elif member.suspicion is not None:
@@ -148,14 +148,14 @@
     def suspect(
         self, now: int, address: str, member: Member, incarnation: Incarnation, multiplier: int
     ) -> None:
-        """The member is suspect at this incarnation, known or later.
+        """Mark a member suspect at this incarnation.
 
         Args:
             now: microseconds.
-            address: the member's.
-            member: its record.
-            incarnation: at least the one known.
-            multiplier: the local health multiplier; the suspicion lasts so much longer.
+            address: the member's address.
+            member: its entry.
+            incarnation: not earlier than the known one.
+            multiplier: the local health multiplier, which extends the suspicion time-out.
         """
         if incarnation.generation != member.incarnation.generation:
             self.transitions.restarted += 1
@@ -169,7 +169,7 @@
         self._updates.enqueue(MemberState.SUSPECT, address, incarnation)
 
     def remove(self, now: int, address: str, state: MemberState, incarnation: Incarnation) -> None:
-        """The member was declared DEAD, or has LEFT, at this incarnation."""
+        """Remove a member that was declared DEAD or has LEFT at this incarnation."""
         del self.members[address]
         if address not in self.departed and len(self.departed) >= MAX_DEPARTED:
             self._forget_one_departed()
@@ -182,7 +182,7 @@
         self._updates.enqueue(state, address, incarnation)
 
     def _forget_one_departed(self) -> None:
-        """The earliest of those that never answered; else the earliest of all."""
+        """Drop the oldest departed address that never answered; without one, the oldest of all."""
 
         def rank(address: str) -> tuple[bool, int]:
             departed = self.departed[address]
@@ -191,7 +191,7 @@
         del self.departed[min(self.departed, key=rank)]
 
     def note_unanswered(self, now: int, address: str) -> None:
-        """A candidate was given up."""
+        """Remember a candidate that never answered."""
         if address not in self.departed and len(self.departed) < MAX_DEPARTED:
             self.departed[address] = Departed(NEVER_ANSWERED, now, False, now)
 
@@ -203,16 +203,16 @@
         return now - max(departed.since, departed.last_probe) >= RECONSIDER_INTERVAL
 
     def forget_expired(self, now: int) -> None:
-        """Drops departed proxies whose retention is over."""
+        """Drop the departed proxies whose retention time is over."""
         for address, departed in list(self.departed.items()):
             if departed.expired(now):
                 del self.departed[address]
 
     def next_rejoin_target(self, now: int) -> str | None:
-        """A departed proxy to probe now, lest a healed partition stays unseen, or None.
+        """Return a departed proxy to probe now, or None; this detects that a partition has healed.
 
-        Those that were members come before addresses that never answered; those that left of
-        their own accord are not probed.
+        Former members come before addresses that never answered; proxies that have left are not
+        probed.
         """
         removed = [address for address, departed in self.departed.items() if not departed.left]
         former_members = [
@@ -227,7 +227,7 @@
         return target
 
     def postpone(self, delay: int) -> None:
-        """Puts off the end of every suspicion."""
+        """Extend the deadline of every suspicion."""
         for member in self.members.values():
             if member.suspicion is not None:
                 member.suspicion.deadline += delay
--- a/umbermoor/gateway/membership/messages.py
+++ b/umbermoor/gateway/membership/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the proxies' failure detectors; `codec` has their bytes."""
+"""Messages between the proxies' failure detectors; `codec` encodes them."""
 
 from collections.abc import Sequence
 from enum import IntEnum
@@ -6,7 +6,7 @@
 
 
 class Incarnation(NamedTuple):
-    """SWIM's incarnation number of a proxy; the higher one is the later.
+    """SWIM's incarnation number of a proxy; a later incarnation compares greater.
 
     Only the proxy itself raises it: `generation` when its process starts (the wall time in
     microseconds), `number` when it refutes a suspicion within that process.
@@ -22,26 +22,26 @@
     PING = 1
     """Asks for an ACK."""
     SYNC_PING = 2
-    """Asks for an ACK that is filled up with members that its sender knows."""
+    """Asks for an ACK whose free space is filled with members known to the receiver."""
     ACK = 3
     """Answers a PING or SYNC_PING."""
     PING_REQUEST = 4
     """Asks the receiver to ping the subject on the sender's behalf."""
     PING_REQUEST_RECEIVED = 5
-    """Answers a PING_REQUEST at once; says nothing of the subject."""
+    """Confirms a PING_REQUEST at once; says nothing about the subject."""
     INDIRECT_ACK = 6
-    """The subject has answered the ping that was asked for."""
+    """Says that the subject has answered the requested ping."""
     GOSSIP = 7
-    """Carries updates alone."""
+    """Carries only updates."""
 
     @property
     def is_ping(self) -> bool:
-        """Whether an ACK is asked for."""
+        """Whether the message asks for an ACK."""
         return self in (MessageType.PING, MessageType.SYNC_PING)
 
 
 class MemberState(IntEnum):
-    """What an update says of a proxy. The values are those on the wire."""
+    """The state of a proxy in an update. The values are those on the wire."""
 
     ALIVE = 1
     SUSPECT = 2
@@ -64,11 +64,11 @@
     sender: str
     """The sender's IPv4 address."""
     incarnation: Incarnation
-    """The sender's own."""
+    """The sender's own incarnation."""
     sequence_number: int
-    """Chosen by who asks, repeated by who answers; 0 where neither is so."""
+    """Chosen for a request and repeated in its answer; 0 for other messages."""
     subject: str
-    """The third proxy that a PING_REQUEST or INDIRECT_ACK is about; else the sender."""
+    """The third proxy that a PING_REQUEST or INDIRECT_ACK is about; otherwise the sender."""
     updates: Sequence[MemberUpdate] = ()
 
 
--- a/umbermoor/gateway/membership/outbox.py
+++ b/umbermoor/gateway/membership/outbox.py
@@ -1,4 +1,4 @@
-"""Messages on their way out, with the updates that each carries."""
+"""Outgoing messages and the updates that they carry."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 class Outbox:
-    """Collects the datagrams that one input to the failure detector leads to."""
+    """Collects the datagrams that result from one input to the failure detector."""
 
     def __init__(
         self, local: LocalMember, table: MemberTable, updates: UpdateQueue, rng: random.Random
@@ -35,14 +35,14 @@
         subject: str = "",
         fill_with_members: bool = False,
     ) -> None:
-        """Adds a message; `subject` "" stands for this proxy itself.
+        """Add a message.
 
         Args:
             to: the receiver's address.
-            kind: what the message is for.
-            sequence_number: 0 where nothing is asked or answered.
-            subject: the third proxy it is about.
-            fill_with_members: whether the room left is filled up with members.
+            kind: the type of the message.
+            sequence_number: 0 if the message is neither a request nor an answer.
+            subject: the third proxy that the message is about; "" for this proxy itself.
+            fill_with_members: whether to fill the free space with members.
         """
         updates = self._updates_for(to, fill_with_members)
         local = self._local
@@ -57,10 +57,10 @@
         self._datagrams.append(Datagram(to, encode(message)))
 
     def _updates_for(self, to: str, fill_with_members: bool) -> list[MemberUpdate]:
-        """The updates that a message to this address carries.
+        """Return the updates for a message to this address.
 
-        Only members are sent gossip. Whoever is suspect, departed, or known at a later incarnation
-        than its own is told that first (Lifeguard's buddy system).
+        Only members are sent gossip. A receiver that is suspect, departed, or known at a later
+        incarnation than its own gets that as the first update (Lifeguard's buddy system).
         """
         updates: list[MemberUpdate] = []
         if self._local.leaving:
@@ -81,7 +81,7 @@
         return updates
 
     def _sample_members(self, to: str, updates: list[MemberUpdate]) -> list[MemberUpdate]:
-        """Members that these updates do not name yet, as many as there is room for."""
+        """Return random members that these updates do not name, as many as fit."""
         named = {to, *(update.address for update in updates)}
         members = self._table.members
         others = [address for address in members if address not in named]
@@ -92,6 +92,6 @@
         ]
 
     def drain(self) -> list[Datagram]:
-        """Returns what was collected, and empties the outbox."""
+        """Return the collected datagrams and empty the outbox."""
         datagrams, self._datagrams = self._datagrams, []
         return datagrams
--- a/umbermoor/gateway/membership/prober.py
+++ b/umbermoor/gateway/membership/prober.py
@@ -1,4 +1,4 @@
-"""Probing: whom this proxy pings and when, and what an answer or its absence means (SWIM, 3.1)."""
+"""Probing: sends pings and handles their answers and time-outs (SWIM, section 3.1)."""
 
 import random
 
@@ -12,15 +12,15 @@
 from umbermoor.gateway.units import MILLISECOND
 
 INDIRECT_PROBERS = 3
-"""SWIM's k: so many others are asked to ping a target that has not answered."""
+"""SWIM's k: how many members are asked to ping a target that has not answered."""
 REJOIN_PROBE_INTERVAL = 2000 * MILLISECOND
-"""Between probes of departed members, in search of one that runs again."""
+"""Interval between probes of departed members, to find one that runs again."""
 SYNC_NEW_MEMBERS = 4
-"""Of a group of n members, a joining one is asked for its list by about so many."""
+"""About this many members of a group ask a joining one for its list of members."""
 
 
 class Prober:
-    """Sends probes, scheduled and other, and draws the conclusions from what comes back."""
+    """Sends scheduled and unscheduled probes and handles their answers and time-outs."""
 
     def __init__(
         self,
@@ -45,29 +45,29 @@
     # Time
 
     def start(self, now: int) -> None:
-        """The first scheduled probe is due now."""
+        """Make the first scheduled probe due now."""
         self._schedule.start(now)
 
     def renew_burst(self) -> None:
-        """A tick begins: unknown senders may be probed again."""
+        """Allow probes of unknown senders again; called at each tick."""
         self._unknown_sender_probes_left = PROBE_BURST
 
     def postpone(self, delay: int) -> None:
-        """Puts off the time-outs of probes in flight."""
+        """Extend the time-outs of probes in flight."""
         self._probes.postpone(delay)
 
     def send_due(self, now: int) -> None:
-        """Sends the probes that are due."""
+        """Send the probes that are due."""
         if self._schedule.due(now):
             self._probe_next_member(now)
         self._probe_candidates(now)
         self._probe_suspects(now)
         self._probe_departed(now)
 
-    # Answers, and questions of others
+    # Incoming messages
 
     def receive_ack(self, now: int, message: Message) -> None:
-        """A probe was answered; an unknown proxy that answers becomes a member."""
+        """Handle the answer to a probe; an unknown proxy that answers becomes a member."""
         probe = self._probes.get(message.sequence_number)
         if probe is None or probe.target != message.sender:
             return
@@ -81,7 +81,7 @@
             self._admit(now, message)
 
     def _admit(self, now: int, message: Message) -> None:
-        """A proxy that is no member has answered a probe: it becomes one."""
+        """Make a proxy that has answered a probe a member, unless it is known to have left."""
         address = message.sender
         if self._local.leaving or self._table.full:
             return
@@ -95,27 +95,27 @@
             self._probe(now, address, MessageType.SYNC_PING)
 
     def receive_ping_request(self, now: int, message: Message) -> None:
-        """A member asks for a ping of another one."""
+        """Confirm a member's request to ping another one, and ping it if it is a member."""
         number = message.sequence_number
         self._outbox.send(message.sender, MessageType.PING_REQUEST_RECEIVED, number)
         if self._table.has(message.subject):
             self._probe(now, message.subject, on_behalf_of=PingRequest(message.sender, number))
 
     def receive_ping_request_received(self, message: Message) -> None:
-        """One of those asked for a ping has received the request."""
+        """Count a confirmed ping request."""
         probe = self._probes.get(message.sequence_number)
         if probe is not None and probe.requests_sent:
             probe.requests_received += 1
 
     def receive_indirect_ack(self, message: Message) -> None:
-        """One of those asked for a ping had an answer: the target is alive."""
+        """End a probe whose target has answered an indirect ping."""
         probe = self._probes.get(message.sequence_number)
         if probe is not None and probe.requests_sent and probe.target == message.subject:
             self._probes.end(message.sequence_number)
             self._health.improve()
 
-    def meet_unknown_sender(self, now: int, message: Message) -> None:
-        """Somebody who is no member pings: it becomes a candidate, probed at once if few are."""
+    def receive_ping_from_unknown(self, now: int, message: Message) -> None:
+        """Make a non-member that pings a candidate; probe it at once within the burst limit."""
         address = message.sender
         departed = self._table.departed.get(address)
         if departed is not None and departed.rules_out(message.incarnation):
@@ -155,13 +155,13 @@
         kind: MessageType = MessageType.PING,
         on_behalf_of: PingRequest | None = None,
     ) -> None:
-        """An unscheduled probe, unless too many are in flight."""
+        """Send an unscheduled probe, unless too many are in flight."""
         number = self._probes.start(now, target, on_behalf_of)
         if number is not None:
             self._outbox.send(target, kind, number)
 
     def _probe_next_member(self, now: int) -> None:
-        """The scheduled probe of the member whose turn it is."""
+        """Send the scheduled probe to the member whose turn it is."""
         multiplier = self._health.multiplier
         target = self._schedule.next_target(now, self._table.members, multiplier)
         if target is None:
@@ -171,12 +171,12 @@
         self._outbox.send(target, MessageType.SYNC_PING if sync else MessageType.PING, number)
 
     def advance(self, now: int) -> None:
-        """Ends probes whose time is over, and asks others about those that wait."""
+        """End probes that have timed out, and send ping requests for those that wait too long."""
         for number, probe in self._probes.in_flight():
             if now >= probe.deadline:
                 self._probes.end(number)
                 if probe.scheduled:
-                    self._conclude_unanswered(now, probe)
+                    self._handle_unanswered(now, probe)
             elif probe.indirect_probe_at is not None and now >= probe.indirect_probe_at:
                 self._probe_indirectly(number, probe)
 
@@ -188,14 +188,22 @@
             self._outbox.send(address, MessageType.PING_REQUEST, number, probe.target)
         self._outbox.send(probe.target, MessageType.PING, number)
 
-    def _conclude_unanswered(self, now: int, probe: Probe) -> None:
-        """Suspects the target; if nobody asked was reached, the fault may be this proxy's."""
+    def _handle_unanswered(self, now: int, probe: Probe) -> None:
+        """Handle the time-out of a scheduled probe.
+
+        The target becomes suspect only if another member confirmed a ping request. If fewer than
+        half of them did, the fault may be this proxy's, and its local health worsens.
+        """
         member = self._table.members.get(probe.target)
         if member is None:
             return
         if probe.requests_received * 2 < probe.requests_sent:
             self._health.worsen()
-        if probe.requests_received and member.suspicion is None and self._health.fit_to_judge(now):
+        if (
+            probe.requests_received
+            and member.suspicion is None
+            and self._health.can_declare_failures(now)
+        ):
             multiplier = self._health.multiplier
             self._table.suspect(now, probe.target, member, member.incarnation, multiplier)
             self._outbox.send(probe.target, MessageType.GOSSIP)
--- a/umbermoor/gateway/membership/probes.py
+++ b/umbermoor/gateway/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes in flight, and the order in which members are probed (SWIM, sections 3.1 and 4.3)."""
+"""Probes in flight and the schedule of probes (SWIM, sections 3.1 and 4.3)."""
 
 import random
 from collections.abc import Collection
@@ -9,19 +9,19 @@
 PROBE_INTERVAL = 500 * MILLISECOND
 """SWIM's protocol period: one member is probed in turn."""
 INDIRECT_PROBE_DELAY = 200 * MILLISECOND
-"""Without an ACK for this long, others are asked to ping the target."""
+"""If no ACK arrives within this time, other members are asked to ping the target."""
 UNSCHEDULED_PROBE_TIMEOUT = 1000 * MILLISECOND
 MAX_PROBES = 256
-"""In flight at once; a member's scheduled probe is sent beyond it."""
+"""Limit of probes in flight; scheduled probes are sent even beyond it."""
 SYNC_PING_INTERVAL = 10
-"""Every so many scheduled probes, the ACK is asked to be filled up with members."""
+"""One in this many scheduled probes is a SYNC_PING, whose ACK is filled with members."""
 FIRST_SYNC_PINGS = 5
-"""The first so many scheduled probes are all of this kind."""
+"""The first scheduled probes, this many, are all SYNC_PINGs."""
 
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Who asked for a ping, under which sequence number of theirs."""
+    """Another member's request for a ping: its address and its sequence number."""
 
     requester: str
     number: int
@@ -34,13 +34,13 @@
     target: str
     deadline: int
     scheduled: bool
-    """The member's turn: if nobody gets an answer of it, it becomes suspect."""
+    """Whether it was the member's turn; the member may become suspect if it does not answer."""
     indirect_probe_at: int | None
-    """When others are asked to ping the target; None: never, or already asked."""
+    """When to ask others to ping the target; None for never, or if they were asked already."""
     requests_sent: int = 0
-    """How many others were asked."""
+    """How many others were asked for a ping."""
     requests_received: int = 0
-    """How many of them said that the request reached them."""
+    """How many of them confirmed the request."""
     on_behalf_of: PingRequest | None = None
 
 
@@ -52,10 +52,10 @@
         self._probes: dict[int, Probe] = {}
 
     def start(self, now: int, target: str, on_behalf_of: PingRequest | None = None) -> int | None:
-        """Notes an unscheduled probe that is sent now.
+        """Add an unscheduled probe that is sent now.
 
         Returns:
-            Its sequence number; None where too many are in flight: then it is not to be sent.
+            Its sequence number; None if too many are in flight, in which case it must not be sent.
         """
         if len(self._probes) >= MAX_PROBES:
             return None
@@ -63,7 +63,7 @@
         return self._add(Probe(target, deadline, False, None, on_behalf_of=on_behalf_of))
 
     def start_scheduled(self, now: int, target: str, multiplier: int) -> int:
-        """Notes the probe of the member whose turn it is; returns its sequence number.
+        """Add the probe of the member whose turn it is; return its sequence number.
 
         Its time-outs grow with the local health `multiplier`.
         """
@@ -76,19 +76,19 @@
         return number
 
     def get(self, number: int) -> Probe | None:
-        """The probe in flight under that number."""
+        """Return the probe in flight with a sequence number, or None."""
         return self._probes.get(number)
 
     def end(self, number: int) -> None:
-        """The probe was answered, or its time is over."""
+        """Remove a probe that was answered or has timed out."""
         del self._probes[number]
 
     def in_flight(self) -> list[tuple[int, Probe]]:
-        """All, earliest first; probes may be ended while the list is gone through."""
+        """Return a copy of all entries, oldest first; probes may be ended meanwhile."""
         return list(self._probes.items())
 
     def postpone(self, delay: int) -> None:
-        """Puts off every time-out."""
+        """Extend every time-out."""
         for probe in self._probes.values():
             probe.deadline += delay
             if probe.indirect_probe_at is not None:
@@ -96,10 +96,10 @@
 
 
 class ProbeSchedule:
-    """Round-robin probing: every member once a round, in a new random order each round.
+    """Round-robin probing: every member once per round, in a new random order each round.
 
-    A member that joins is put at a random place of the round, as SWIM says, so that the time until
-    its first probe is bounded.
+    A joining member is inserted at a random position of the round, as in SWIM, which bounds the
+    time until its first probe.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -109,15 +109,15 @@
         self._scheduled = 0
 
     def start(self, now: int) -> None:
-        """The first probe is due now."""
+        """Make the first probe due now."""
         self._next_at = now
 
     def due(self, now: int) -> bool:
-        """Whether the next member is to be probed."""
+        """Whether the next scheduled probe is due."""
         return now >= self._next_at
 
     def next_target(self, now: int, members: Collection[str], multiplier: int) -> str | None:
-        """The member whose turn it is; None where there is none. The next turn is set."""
+        """Return the member whose turn it is, None if there is none, and schedule the next turn."""
         interval = PROBE_INTERVAL * multiplier
         self._next_at = max(self._next_at + interval, now + interval // 2)
         while self._round and self._round[-1] not in members:
@@ -128,10 +128,10 @@
         return self._round.pop() if self._round else None
 
     def wants_sync(self) -> bool:
-        """Whether this turn's probe is to be a SYNC_PING; call it once a turn."""
+        """Whether this turn's probe must be a SYNC_PING; call this once per turn."""
         self._scheduled += 1
         return self._scheduled <= FIRST_SYNC_PINGS or self._scheduled % SYNC_PING_INTERVAL == 0
 
     def insert(self, address: str) -> None:
-        """A member joined."""
+        """Insert a joining member at a random position of the round."""
         self._round.insert(self._rng.randrange(len(self._round) + 1), address)
--- a/umbermoor/gateway/membership/updates.py
+++ b/umbermoor/gateway/membership/updates.py
@@ -1,4 +1,4 @@
-"""Membership updates that wait to be carried on messages (SWIM, section 4.1)."""
+"""Membership updates that wait to be piggybacked on messages (SWIM, section 4.1)."""
 
 import math
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 MAX_QUEUED_UPDATES = 512
 RETRANSMIT_FACTOR = 3
-"""An update is sent this often times the logarithm of the number of members."""
+"""An update is sent this many times the binary logarithm of the number of members."""
 
 
 @dataclass(slots=True)
@@ -17,23 +17,23 @@
 
 
 class UpdateQueue:
-    """The latest update of each proxy, sent out a bounded number of times.
+    """The latest update on each proxy, each sent a bounded number of times.
 
-    Those sent least often go first.
+    The updates sent least often are sent first.
     """
 
     def __init__(self) -> None:
         self._queue: dict[str, _QueuedUpdate] = {}
 
     def enqueue(self, state: MemberState, address: str, incarnation: Incarnation) -> None:
-        """Takes the place of an update of the same proxy that still waits."""
+        """Queue an update; it replaces a queued one on the same proxy."""
         self._queue[address] = _QueuedUpdate(MemberUpdate(state, address, incarnation))
         if len(self._queue) > MAX_QUEUED_UPDATES:
             most_sent = max(self._queue, key=lambda queued: self._queue[queued].transmissions)
             del self._queue[most_sent]
 
     def take(self, limit: int, members: int) -> list[MemberUpdate]:
-        """Up to `limit` updates for one message to one of so many `members`."""
+        """Return up to `limit` updates for one message; `members` is the number of members."""
         if not self._queue:
             return []
         max_transmissions = RETRANSMIT_FACTOR * math.ceil(math.log2(members + 2))
@@ -45,5 +45,5 @@
         return [queued.update for queued in chosen]
 
     def clear(self) -> None:
-        """Drops all that wait."""
+        """Drop all queued updates."""
         self._queue.clear()
