--- a/umbermoor/gateway/api/http_api.py
+++ b/umbermoor/gateway/api/http_api.py
@@ -1,7 +1,7 @@
-"""An ASGI application over calls that are declared beside their handlers, found by method and path.
+"""An ASGI application that dispatches calls by method and path to decorated handler methods.
 
-No I/O of its own. A call of the protocol is `api_call("POST", "/Config.Replace")`; one whose path
-ends with a slash has a name behind it, as in `/Plants.Heartbeat/ID`.
+It does no I/O of its own. A call is declared as `api_call("POST", "/Config.Replace")`; a declared
+path that ends with a slash is followed by a name, as in `/Plants.Heartbeat/ID`.
 """
 
 import json
@@ -9,13 +9,13 @@
 from typing import Any, NamedTuple
 
 MAX_BODY_BYTES = 6 << 20
-MAX_NAME_LENGTH = 200  # characters of a name in a path
+MAX_NAME_LENGTH = 200  # characters
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
 
 class ApiResponse(NamedTuple):
-    """An answer to a call."""
+    """The response to a call."""
 
     status: int
     body: bytes = b""
@@ -23,26 +23,30 @@
 
 
 class ApiRequest(NamedTuple):
-    """A call as its handler gets it."""
+    """A call as passed to its handler."""
 
-    name: str  # what the path holds behind the declared part
+    name: str  # the part of the path after the declared path
     body: bytes
 
     def json(self) -> Any:
-        """The decoded body; raises ValueError or RecursionError where it cannot be read."""
+        """Return the decoded body.
+
+        Raises:
+            ValueError, RecursionError: the body is not valid JSON, or nested too deeply.
+        """
         return json.loads(self.body)
 
 
 Handler = Callable[[ApiRequest], Awaitable[ApiResponse]]
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 Send = Callable[[dict[str, Any]], Awaitable[None]]
-Declared = Callable[[Any, ApiRequest], Awaitable[ApiResponse]]
+HandlerMethod = Callable[[Any, ApiRequest], Awaitable[ApiResponse]]
 
 
-def api_call(method: str, path: str) -> Callable[[Declared], Declared]:
-    """Declares the call that a method of a class of handlers answers."""
+def api_call(method: str, path: str) -> Callable[[HandlerMethod], HandlerMethod]:
+    """Return a decorator that declares the call which a handler method answers."""
 
-    def declare(handler: Declared) -> Declared:
+    def declare(handler: HandlerMethod) -> HandlerMethod:
         handler.call = method, path  # type: ignore[attr-defined]
         return handler
 
@@ -50,7 +54,7 @@
 
 
 def declared_calls(handlers: object) -> dict[tuple[str, str], Handler]:
-    """The bound handlers of an object, by method and path."""
+    """Return the bound handlers of an object, by method and path."""
     calls: dict[tuple[str, str], Handler] = {}
     for name in dir(type(handlers)):
         handler = getattr(handlers, name)
@@ -60,7 +64,7 @@
 
 
 def json_response(status: int, value: Any = None) -> ApiResponse:
-    """An answer with a JSON body; None: without a body."""
+    """Return a response with a JSON body, or without a body if the value is None."""
     if value is None:
         return ApiResponse(status)
     body = json.dumps(value, separators=(",", ":")).encode()
@@ -68,30 +72,30 @@
 
 
 def error_response(status: int, text: str) -> ApiResponse:
-    """An answer whose body is one line that names what is wrong."""
+    """Return a response whose body names the error in one line."""
     return json_response(status, {"error": text})
 
 
 class HttpApi:
-    """The ASGI application over the declared calls of some objects."""
+    """The ASGI application that serves the declared calls of some objects."""
 
     def __init__(
         self, *handlers: object, on_unanswered: Callable[[str, str], None] | None = None
     ) -> None:
-        """Finds the calls.
+        """Collect the calls.
 
         Args:
             handlers: Objects with declared calls.
-            on_unanswered: Told method and path of a call that ends without an answer.
+            on_unanswered: Called with method and path if a call ends without a response.
         """
         self._on_unanswered = on_unanswered
         self._calls: dict[tuple[str, str], Handler] = {}
-        for holder in handlers:
-            self._calls.update(declared_calls(holder))
+        for handler_object in handlers:
+            self._calls.update(declared_calls(handler_object))
         self._paths = {path for _, path in self._calls}
 
     def _find(self, method: str, path: str) -> tuple[Handler, str] | ApiResponse:
-        """The handler and the name in the path, or the answer where there is none."""
+        """Return the handler and the name in the path, or an error response if there is none."""
         head, slash, name = path.rpartition("/")
         if name and (method, path) in self._calls:
             return self._calls[method, path], ""
@@ -104,7 +108,7 @@
         return error_response(404, "no such call")
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
-        """Serves one call, or the start and end of the server, as ASGI says."""
+        """Serve one call, or the startup and shutdown of the server, as specified by ASGI."""
         if scope["type"] == "lifespan":
             await _serve_lifespan(receive, send)
         elif scope["type"] == "http":
@@ -140,7 +144,7 @@
 
 
 async def _read_body(receive: Receive) -> bytes | None:
-    """The body, up to the part that makes it too long; None if the caller left before its end."""
+    """Return the body, read until complete or too long; None if the caller disconnects earlier."""
     body = bytearray()
     while len(body) <= MAX_BODY_BYTES:
         event = await receive()
