--- a/umbermoor/gateway/__main__.py
+++ b/umbermoor/gateway/__main__.py
@@ -1,8 +1,8 @@
-"""Entry point of the gateway's processes and of its command line.
+"""Entry point of the gateway's programs and of its command line.
 
-`proxy` is the data plane: it carries requests. `controller` is the control plane: it keeps the
-configuration, the rollouts and the registry of instances. Everything else is the command line of
-`umbermoor.gateway.cli`; `--help` lists it.
+`proxy` is the data plane: it forwards requests. `controller` is the control plane: it stores the
+configuration, the rollouts and the registry of instances. All other arguments belong to the command
+line in `umbermoor.gateway.cli`; see `--help`.
 """
 
 import signal
@@ -10,12 +10,12 @@
 
 DEFAULT_SETTINGS_PATH = "/etc/umbermoor/settings.toml"
 REQUIRED_LISTEN_ADDRESSES = {"proxy": ("front", "ready"), "controller": ("control",)}
-DEPRECATED_PROGRAMS = {"vane": "proxy", "barograph": "controller"}  # answer for one more release
+DEPRECATED_PROGRAMS = {"vane": "proxy", "barograph": "controller"}  # supported for one more release
 EXIT_BAD_INPUT = 2
 
 
 def main() -> int:
-    """Starts the program named by the one argument, or runs the operators' command line."""
+    """Start the program named by the only argument, or run the operators' command line."""
     arguments = sys.argv[1:]
     if len(arguments) == 1 and (
         arguments[0] in REQUIRED_LISTEN_ADDRESSES or arguments[0] in DEPRECATED_PROGRAMS
@@ -27,13 +27,13 @@
 
 
 def run(name: str) -> int:
-    """Runs a program until it is told to end and returns its exit status.
+    """Run a program until it is asked to stop, and return its exit status.
 
-    Its settings are read from the file that `UMBERMOOR_SETTINGS` names. A fault in them is printed
-    as one line on standard error, with status 2.
+    Its settings are read from the file that `UMBERMOOR_SETTINGS` names. An error in them is printed
+    as one line on standard error, and the exit status is 2.
     """
-    # Its default action would end a program that is not so far that it handles it. What it tells,
-    # that the settings have changed, is met by reading them below.
+    # The default action of SIGHUP would end a program that has not installed its handler yet. A
+    # change of settings that it signals before that is read below anyway.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
     import asyncio
--- a/umbermoor/gateway/cli/__init__.py
+++ b/umbermoor/gateway/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line: one module for each group of commands, started by `main`."""
+"""The operators' command line: one module per group of commands; `main` is the entry point."""
--- a/umbermoor/gateway/cli/application.py
+++ b/umbermoor/gateway/cli/application.py
@@ -1,10 +1,10 @@
-"""The command line's root, to which commands without a group belong."""
+"""The root of the command line; commands without a group are added to it directly."""
 
 from cyclopts import App
 
 app = App(
     name="umbermoor.gateway",
-    help="The gateway's programs and operators' calls.\n\n"
-    "Exit status: 0 done, 1 refused, 2 bad input, 3 nobody answered.",
+    help="Start the gateway's programs and make operators' calls.\n\n"
+    "Exit status: 0 success, 1 refused, 2 bad input, 3 no controller answered.",
     version_flags=[],
 )
--- a/umbermoor/gateway/cli/checks.py
+++ b/umbermoor/gateway/cli/checks.py
@@ -10,12 +10,12 @@
 from umbermoor.gateway.config.errors import ValidationError
 from umbermoor.gateway.config.node_settings import read_node_settings
 
-check = App(name="check", help="Says what is wrong with a file first, or that it is sound.")
+check = App(name="check", help="Validate a file and print the first error found.")
 
 
 @check.command(name="settings")
 def check_settings(file: Path) -> int:
-    """Checks a settings file."""
+    """Validate a settings file."""
     settings = read_node_settings(str(file))
     if isinstance(settings, ValidationError):
         return print_error(str(settings), ExitStatus.BAD_INPUT)
@@ -25,7 +25,7 @@
 
 @check.command(name="configuration")
 def check_configuration(file: Path) -> int:
-    """Checks a configuration."""
+    """Validate a configuration file."""
     text = read_file(file)
     configuration = text if isinstance(text, ValidationError) else parse(text)
     if isinstance(configuration, ValidationError):
--- a/umbermoor/gateway/cli/configuration.py
+++ b/umbermoor/gateway/cli/configuration.py
@@ -17,17 +17,17 @@
 from umbermoor.gateway.config.configuration import parse
 from umbermoor.gateway.config.errors import ValidationError
 
-configuration = App(name="configuration", help="The configuration in force.")
+configuration = App(name="configuration", help="Read or replace the configuration in force.")
 
 
 @configuration.command(name="read")
 def configuration_read(
     *, at: ControlAddresses, to: Path | None = None, within_s: TimeoutSeconds = 8.0
 ) -> int:
-    """Reads the newest configuration.
+    """Read the newest configuration.
 
     Args:
-        to: A file to write it to, else it is printed.
+        to: File to write it to; without this it is printed.
     """
     response = ControlClient(at, within_s).call("GET", "/Config.Read")
     if isinstance(response, NoResponse) or not response.succeeded:
@@ -47,9 +47,9 @@
 def configuration_replace(
     file: Path, *, at: ControlAddresses, within_s: TimeoutSeconds = 20.0
 ) -> int:
-    """Checks a configuration and puts it.
+    """Validate a configuration and put it in force.
 
-    One that is not above the one held changes nothing, and is taken too.
+    A configuration whose revision is not above that in force is accepted but changes nothing.
     """
     text = read_file(file)
     if isinstance(text, ValidationError):
--- a/umbermoor/gateway/cli/control_client.py
+++ b/umbermoor/gateway/cli/control_client.py
@@ -1,6 +1,6 @@
-"""Calls to the controllers, as PROTOCOL.md ("The operator") asks of callers of `controller`.
+"""Calls to the controllers, as PROTOCOL.md ("The operator") specifies for callers of `controller`.
 
-One address is asked after another, with a growing delay between attempts.
+The addresses are tried one after another, with a growing delay between attempts.
 """
 
 import time
@@ -10,21 +10,21 @@
 
 import httpcore
 
-ATTEMPT_TIMEOUT_S = 1.0  # then another address is asked
-BODY_BYTES_PER_SECOND = 1_000_000  # bytes of a body that get another second
+ATTEMPT_TIMEOUT_S = 1.0  # after this, the next address is tried
+BODY_BYTES_PER_SECOND = 1_000_000  # each such number of bytes extends the time-out by 1 s
 RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.1, 1.0  # between attempts
 RETRY_DELAY_GROWTH = 1.5
-MAX_REDIRECTS = 2  # 307 in a row
-RETRIED_STATUSES = 408, 429  # and every 5xx: asked at another address
+MAX_REDIRECTS = 2  # responses 307 in a row
+RETRIED_STATUSES = 408, 429  # these and every 5xx are retried at another address
 
 
 class ControlResponse(NamedTuple):
-    """A response that ends a call."""
+    """A final response to a call."""
 
     status: int
     body: bytes
-    address: str  # of the controller that gave it
-    attempts: int  # addresses asked, this one included
+    address: str  # of the controller that responded
+    attempts: int  # number of attempts, including this one
 
     @property
     def succeeded(self) -> bool:
@@ -33,19 +33,19 @@
 
 
 class NoResponse(NamedTuple):
-    """No address gave a clear response in time."""
+    """No address gave a final response in time."""
 
-    reason: str  # what the last one did
+    reason: str  # the failure of the last attempt
 
 
 class ControlClient:
-    """Asks one control address after another.
+    """Tries one control address after another.
 
     Args:
-        addresses: ip:port each.
+        addresses: control addresses, each as ip:port.
         timeout_s: seconds after which no further attempt is made.
         retry_delay_s: seconds between the first two attempts; it grows from there.
-        sleep: waits for so many seconds.
+        sleep: waits for a number of seconds.
     """
 
     def __init__(
@@ -62,13 +62,13 @@
     def call(
         self, method: str, path: str, body: bytes = b"", first_address: str | None = None
     ) -> ControlResponse | NoResponse:
-        """Make one call; the address that responds is asked first the next time.
+        """Make one call; the address that responds is tried first the next time.
 
         Args:
-            method: of HTTP.
-            path: of the call.
-            body: JSON; empty for none.
-            first_address: asked before the others.
+            method: the HTTP method.
+            path: the path of the call.
+            body: JSON; empty for no body.
+            first_address: an address to try before the others.
         """
         addresses = [first_address, *self.addresses] if first_address else self.addresses
         deadline, delay_s = time.monotonic() + self.timeout_s, self.retry_delay_s
@@ -92,7 +92,7 @@
         return NoResponse(reason)
 
     def call_once(self, address: str, method: str, path: str) -> ControlResponse | NoResponse:
-        """Make one call at one address, without retries."""
+        """Make one call to one address, without retries."""
         with httpcore.ConnectionPool(max_keepalive_connections=0) as pool:
             return _attempt(pool, method, address, path, b"")
 
@@ -104,7 +104,7 @@
 def _attempt(
     pool: httpcore.ConnectionPool, method: str, address: str, path: str, body: bytes
 ) -> ControlResponse | NoResponse:
-    """Ask one address, and follow its redirects."""
+    """Call one address and follow its redirects."""
     timeout_s = ATTEMPT_TIMEOUT_S + len(body) / BODY_BYTES_PER_SECOND
     url = f"http://{address}{path}"
     for _ in range(MAX_REDIRECTS + 1):
@@ -119,7 +119,7 @@
         ) as error:
             return NoResponse(f"{address}: {str(error) or type(error).__name__}")
         if response.status != HTTPStatus.TEMPORARY_REDIRECT:
-            return _judge(response, address)
+            return _classify(response, address)
         url = _location(response)
         if not url.startswith("http://"):
             return NoResponse(f"{address}: answered 307 without an address")
@@ -138,15 +138,15 @@
     )
 
 
-def _judge(response: httpcore.Response, address: str) -> ControlResponse | NoResponse:
-    """Take a response as final, or as a reason to ask another address."""
+def _classify(response: httpcore.Response, address: str) -> ControlResponse | NoResponse:
+    """Return the response if it is final, else NoResponse to try another address."""
     if response.status >= 500 or response.status in RETRIED_STATUSES:
         return NoResponse(f"{address}: answered {response.status}")
     return ControlResponse(response.status, response.content, address, 1)
 
 
 def _location(response: httpcore.Response) -> str:
-    """Where a redirect leads; empty if it does not say."""
+    """Return the target of a redirect; "" without a Location header."""
     for name, value in response.headers:
         if name.lower() == b"location":
             return value.decode("latin-1")
--- a/umbermoor/gateway/cli/local.py
+++ b/umbermoor/gateway/cli/local.py
@@ -5,11 +5,13 @@
 
 @app.command(name="local")
 def local(*, stay: bool = False, kill_head: bool = False) -> int:
-    """A whole gateway on loopback with stand-in machines, and one request through it. Linux only.
+    """Run a whole gateway on loopback with test instances, and send a request through it.
+
+    Linux only.
 
     Args:
-        stay: Keeps it up until Ctrl-C and prints its addresses.
-        kill_head: Kills the head of the chain in between, and reads the configuration again.
+        stay: Print its addresses and keep it running until Ctrl-C.
+        kill_head: Kill the head of the chain after the request, then read the configuration again.
     """
     from umbermoor.gateway.local.walkthrough import main as walkthrough  # slow to import
 
--- a/umbermoor/gateway/cli/main.py
+++ b/umbermoor/gateway/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: parses the words, runs one command and returns its exit status."""
+"""Entry point of the command line: parses the arguments and runs one command."""
 
 from cyclopts import CycloptsError
 
@@ -20,7 +20,7 @@
     """Run one command.
 
     Args:
-        tokens: its words, else those of the process.
+        tokens: the arguments; None for those of the process.
 
     Returns:
         The command's exit status.
--- a/umbermoor/gateway/cli/members.py
+++ b/umbermoor/gateway/cli/members.py
@@ -1,4 +1,4 @@
-"""`member` shows the replica set and changes it."""
+"""`member` shows and changes the replica set."""
 
 import json
 
@@ -10,16 +10,17 @@
 from umbermoor.gateway.cli.output import json_object, print_line, report_failure
 
 member = App(
-    name="member", help="The core's members: who counts in a majority, and changes of that."
+    name="member",
+    help="Show or change the replica set: the controllers that count in a majority.",
 )
 
 
 @member.command(name="list")
 def member_list(*, at: ControlAddresses, within_s: TimeoutSeconds = 5.0) -> int:
-    """The set of members in force, then a line for each member and each learner.
+    """Print the replica set in force, then a line for each member and each learner.
 
-    thin: fewer losses can be borne now than the settings ask. Exit status 1 then, so that a script
-    may wait for 0.
+    thin=true: fewer losses can be tolerated now than the settings require. The exit status is then
+    1, so that a script can wait for 0.
     """
     response = ControlClient(at, within_s).call("GET", "/Members")
     if isinstance(response, NoResponse) or not response.succeeded:
@@ -42,10 +43,10 @@
 def member_add(
     new: str, *, at: ControlAddresses, dry_run: DryRun = False, within_s: TimeoutSeconds = 10.0
 ) -> int:
-    """Takes a learner into the set.
+    """Add a learner to the replica set.
 
     Args:
-        new: Its IP address; `member list` shows it as ready.
+        new: IP address of the learner; `member list` must show it as ready.
     """
     return _change_members(at, within_s, add=new, dry_run=dry_run)
 
@@ -54,10 +55,10 @@
 def member_remove(
     old: str, *, at: ControlAddresses, dry_run: DryRun = False, within_s: TimeoutSeconds = 10.0
 ) -> int:
-    """Takes a member out of the set; it may be stopped after that.
+    """Remove a member from the replica set; it may be stopped after that.
 
     Args:
-        old: Its IP address.
+        old: IP address of the member.
     """
     return _change_members(at, within_s, remove=old, dry_run=dry_run)
 
@@ -71,11 +72,11 @@
     dry_run: DryRun = False,
     within_s: TimeoutSeconds = 10.0,
 ) -> int:
-    """Puts a learner in the place of a member, in one change.
+    """Replace a member by a learner, in one change.
 
     Args:
-        old: The member's IP address; it may be down, or lost for good.
-        new: The learner's.
+        old: IP address of the member; it may be down or lost for good.
+        new: IP address of the learner.
     """
     return _change_members(at, within_s, add=new, remove=old, dry_run=dry_run)
 
@@ -88,7 +89,7 @@
     remove: str = "",
     dry_run: bool,
 ) -> ExitStatus:
-    """Order a view change; print the replica set that it leaves."""
+    """Request a view change and print the resulting replica set."""
     order = json.dumps({"add": add, "remove": remove, "dry": dry_run}).encode()
     response = ControlClient(addresses, timeout_s).call("POST", "/Members.Change", order)
     if isinstance(response, NoResponse) or not response.succeeded:
--- a/umbermoor/gateway/cli/options.py
+++ b/umbermoor/gateway/cli/options.py
@@ -1,4 +1,4 @@
-"""Options that several commands have."""
+"""Options that several commands share."""
 
 from typing import Annotated, Any
 
@@ -21,19 +21,19 @@
         env_var="UMBERMOOR_AT",
         validator=_check_addresses,
         negative=(),
-        help="A control address, ip:port; may be repeated, or UMBERMOOR_AT holds several "
-        "between spaces.",
+        help="A control address, ip:port. Repeat the option for several, or list them in "
+        "UMBERMOOR_AT, separated by spaces.",
     ),
 ]
 TimeoutSeconds = Annotated[
     float,
-    Parameter(name="--within-s", help="Seconds until a call that nobody answers is given up."),
+    Parameter(name="--within-s", help="Seconds after which a call without an answer fails."),
 ]
 DryRun = Annotated[
     bool,
     Parameter(
         name="--dry-run",
         negative=(),
-        help="Only says what the change would leave, or why it would be refused.",
+        help="Only print the result that the change would have, or why it would be refused.",
     ),
 ]
--- a/umbermoor/gateway/cli/output.py
+++ b/umbermoor/gateway/cli/output.py
@@ -1,4 +1,4 @@
-"""What the commands share: lines on standard output and error, files and JSON texts read."""
+"""Helpers of the commands: printing lines, and reading files and JSON texts."""
 
 import json
 import sys
@@ -11,18 +11,18 @@
 
 
 def print_line(line: str) -> None:
-    """Print a line on standard output at once."""
+    """Print a line on standard output and flush it."""
     print(line, flush=True)
 
 
 def print_error(line: str, status: ExitStatus) -> ExitStatus:
-    """Print a line on standard error; return the exit status that goes with it."""
+    """Print a line on standard error and return the given exit status."""
     print(line, file=sys.stderr, flush=True)
     return status
 
 
 def report_failure(response: ControlResponse | NoResponse) -> ExitStatus:
-    """Print why a call failed; return the exit status that goes with it."""
+    """Print why a call failed and return the corresponding exit status."""
     if isinstance(response, NoResponse):
         line = f"nobody answered; the last: {response.reason}"
         return print_error(line, ExitStatus.NO_RESPONSE)
@@ -33,12 +33,12 @@
 
 
 def warn_deprecated(command: str, replacement: str) -> None:
-    """Print on standard error that a command answers for one more release only."""
+    """Print on standard error that a command is deprecated; it works for one more release."""
     print(f"deprecated: {command}, use {replacement}", file=sys.stderr, flush=True)
 
 
 def json_object(body: bytes) -> dict[str, Any] | None:
-    """The JSON object that a body holds; None if it holds anything else."""
+    """Return the JSON object in a body; None if the body is anything else."""
     try:
         value = json.loads(body)
     except (ValueError, RecursionError):
@@ -47,12 +47,12 @@
 
 
 def revision_of(body: bytes) -> Any:
-    """The revision that a configuration's text names; None if it names none."""
+    """Return the revision in a configuration's text; None if there is none."""
     return (json_object(body) or {}).get("revision")
 
 
 def read_file(path: Path) -> bytes | ValidationError:
-    """The bytes of a file, or why it cannot be read."""
+    """Return the bytes of a file, or an error if it cannot be read."""
     try:
         return path.read_bytes()
     except OSError as error:
--- a/umbermoor/gateway/cli/programs.py
+++ b/umbermoor/gateway/cli/programs.py
@@ -1,23 +1,23 @@
-"""`proxy` and `controller` start a process of the gateway; `vane`, `barograph` are deprecated."""
+"""`proxy` and `controller` start the gateway's programs; `vane`, `barograph` are deprecated."""
 
 from umbermoor.gateway.cli.application import app
 
 
 def _run(program: str) -> int:
-    from umbermoor.gateway.__main__ import run  # only here: it imports the command line
+    from umbermoor.gateway.__main__ import run  # local, because __main__ imports this package
 
     return run(program)
 
 
 @app.command(name="proxy")
 def proxy() -> int:
-    """Carries requests. Reads the settings file that UMBERMOOR_SETTINGS names."""
+    """Run the data plane: a proxy, with the settings file that UMBERMOOR_SETTINGS names."""
     return _run("proxy")
 
 
 @app.command(name="controller")
 def controller() -> int:
-    """Keeps what must last. Reads the settings file that UMBERMOOR_SETTINGS names."""
+    """Run the control plane: a controller, with the settings file that UMBERMOOR_SETTINGS names."""
     return _run("controller")
 
 
--- a/umbermoor/gateway/cli/rollout.py
+++ b/umbermoor/gateway/cli/rollout.py
@@ -1,4 +1,4 @@
-"""`rollout` begins and follows rollouts of services."""
+"""`rollout` starts and monitors rollouts of services."""
 
 import json
 import time
@@ -13,13 +13,13 @@
 from umbermoor.gateway.cli.options import ControlAddresses, TimeoutSeconds
 from umbermoor.gateway.cli.output import json_object, print_line, report_failure
 
-POLL_INTERVAL_S = 0.5  # between two reads of a rollout that is watched
+POLL_INTERVAL_S = 0.5  # between two reads in `rollout watch`
 
-rollout = App(name="rollout", help="Moves a service to another version of its machines.")
+rollout = App(name="rollout", help="Start or show the rollout of a new version of a service.")
 
 
 class RolloutStatus(NamedTuple):
-    """Where a rollout stands."""
+    """The state and target version of a rollout."""
 
     state: str | None
     target: str | None
@@ -35,14 +35,14 @@
     key: str = "",
     within_s: TimeoutSeconds = 5.0,
 ) -> int:
-    """Orders a roll-out.
+    """Order a rollout.
 
     Args:
         service: The service.
-        target: The version to move to.
-        ramp_s: Seconds that the move should take.
-        key: Tells this order from an earlier one of the same target; without, that target again
-            is a repetition.
+        target: The version to roll out.
+        ramp_s: Seconds that the rollout should take.
+        key: Distinguishes this order from an earlier one with the same target. Without a key, a
+            target that was ordered before is a repetition, which changes nothing.
     """
     order: dict[str, Any] = {"service": service, "target": target, "rampS": ramp_s}
     if key:
@@ -61,7 +61,7 @@
 
 @rollout.command(name="read")
 def rollout_read(service: str, *, at: ControlAddresses, within_s: TimeoutSeconds = 5.0) -> int:
-    """Says how a roll-out stands."""
+    """Print the state of a rollout."""
     status = _read_status(ControlClient(at, within_s), service)
     if isinstance(status, ExitStatus):
         return status
@@ -71,16 +71,16 @@
 
 @rollout.command(name="watch")
 def rollout_watch(service: str, *, at: ControlAddresses, within_s: TimeoutSeconds = 20.0) -> int:
-    """A line for each change of a roll-out until it ends; exit status 1 where it was reverted."""
+    """Print each change of a rollout until it ends; exit with 1 if it was reverted."""
     client = ControlClient(at, within_s)
     begun_at = time.monotonic()
-    shown: RolloutStatus | None = None
+    last_printed: RolloutStatus | None = None
     while True:
         status = _read_status(client, service)
         if isinstance(status, ExitStatus):
             return status
-        if status != shown:
-            shown = status
+        if status != last_printed:
+            last_printed = status
             elapsed_s = time.monotonic() - begun_at
             print_line(f"{elapsed_s:.1f} s {service} {status.state} {status.target}")
         if status.state != "running":
@@ -89,7 +89,7 @@
 
 
 def read_rollout(client: ControlClient, service: str) -> ControlResponse | NoResponse:
-    """Ask the controllers for the rollout of a service."""
+    """Read the rollout of a service from the controllers."""
     return client.call("GET", f"/Rollouts.Read/{quote(service, safe='')}")
 
 
@@ -102,7 +102,7 @@
 
 
 def _is_under_way(response: ControlResponse | NoResponse) -> TypeGuard[ControlResponse]:
-    """Whether a conflict follows an attempt without response, which may have got through."""
+    """Whether a conflict may be due to an earlier attempt that was executed without a response."""
     return (
         isinstance(response, ControlResponse)
         and response.status == HTTPStatus.CONFLICT
--- a/umbermoor/gateway/cli/state.py
+++ b/umbermoor/gateway/cli/state.py
@@ -1,4 +1,4 @@
-"""`state` verifies, exports and imports what the controllers keep."""
+"""`state` verifies, exports and imports the state that the controllers store."""
 
 import json
 from http import HTTPStatus
@@ -26,12 +26,12 @@
 
 state = App(
     name="state",
-    help="What the core keeps: looked at on disk, written out, and put into a new system.",
+    help="Verify, export or import the state that the controllers store.",
 )
 
 
 class Export(NamedTuple):
-    """What `state export` writes."""
+    """The content of a file written by `state export`."""
 
     configuration_text: bytes
     configuration: Configuration
@@ -40,12 +40,12 @@
 
 @state.command(name="verify")
 def state_verify(folder: Path) -> int:
-    """Looks at a member's dataDir as its start would, and changes nothing.
+    """Check a controller's dataDir as at its start, without changing anything.
 
-    Best while the member is stopped.
+    Best run while the controller is stopped.
 
     Args:
-        folder: Its dataDir.
+        folder: Path of the dataDir.
     """
     from umbermoor.gateway.replication.store import STORE_ERRORS, verify  # loads the database
 
@@ -61,10 +61,10 @@
 
 @state.command(name="export")
 def state_export(to: Path, *, at: ControlAddresses, within_s: TimeoutSeconds = 8.0) -> int:
-    """Writes the newest configuration, byte for byte, and where roll-outs stand into a file.
+    """Write the newest configuration, byte for byte, and the state of rollouts to a file.
 
     Args:
-        to: The file.
+        to: File to write.
     """
     client = ControlClient(at, within_s)
     response = client.call("GET", "/Config.Read")
@@ -94,16 +94,16 @@
     at: ControlAddresses,
     dry_run: Annotated[
         DryRun,
-        Parameter(negative="--no-dry-run", help="Says what it would change, and puts nothing."),
+        Parameter(negative="--no-dry-run", help="Only print what would change."),
     ] = False,
     within_s: TimeoutSeconds = 20.0,
 ) -> int:
-    """Puts an exported configuration, after saying what it changes.
+    """Print what an exported configuration changes, then put it in force.
 
-    Roll-outs are said, to be ordered by hand.
+    Exported rollouts are only printed; they must be ordered by hand.
 
     Args:
-        file: What `state export` wrote.
+        file: File written by `state export`.
     """
     export = _read_export(file)
     if isinstance(export, ExitStatus):
@@ -133,7 +133,7 @@
 def _read_rollouts(
     client: ControlClient, services: dict[str, Any]
 ) -> dict[str, dict[str, Any] | None] | ExitStatus:
-    """The rollouts of those services that have one."""
+    """Return the rollouts of the services that have one, or the exit status of a failure."""
     rollouts = {}
     for service in services:
         response = read_rollout(client, service)
@@ -145,7 +145,7 @@
 
 
 def _is_found_or_absent(response: ControlResponse | NoResponse) -> TypeGuard[ControlResponse]:
-    """Whether a read was answered, be it that there is nothing."""
+    """Whether a read succeeded or was answered with 404."""
     return isinstance(response, ControlResponse) and (
         response.succeeded or response.status == HTTPStatus.NOT_FOUND
     )
--- a/umbermoor/gateway/cli/status.py
+++ b/umbermoor/gateway/cli/status.py
@@ -1,8 +1,8 @@
-"""`status` and `instances` show what the controllers know; `story` and `machines` are deprecated.
+"""`status` and `instances` show the controllers' state; `story` and `machines` are deprecated.
 
-The deprecated commands make the calls of the release before, so that they also read its controllers
-while an upgrade is under way. They say that they are deprecated only after a success: of a command
-that failed, scripts expect one line on standard error, the reason.
+The deprecated commands make the calls of the previous release, so that they also work with its
+controllers during an upgrade. They print the deprecation only after a success, because scripts
+expect a failed command to print a single line on standard error: the reason.
 """
 
 from collections.abc import Callable, Iterable
@@ -21,7 +21,7 @@
 
 
 class ControllerStatus(NamedTuple):
-    """What a controller says of itself."""
+    """The status that a controller reports."""
 
     name: str
     epoch: int | None
@@ -30,10 +30,10 @@
     version: list[int]
     instances: int | None
     connected: bool | None
-    controllers: list[str]  # IP addresses of all that it knows
+    controllers: list[str]  # IP addresses of all controllers that it knows
 
     def to_line(self, address: str, instances_label: str) -> str:
-        """The line that a command prints for the controller at an address."""
+        """Return the line that a command prints for the controller at an address."""
         chain = ",".join(self.chain) or "none"
         version = ".".join(map(str, self.version))
         return (
@@ -69,10 +69,10 @@
 
 @app.command(name="status")
 def status(*, at: ControlAddresses) -> int:
-    """A line for each controller: its view of the chain, its role, what it holds.
+    """Print a line for each controller: its view of the chain, its role, what it stores.
 
-    Healthy is: as many controllers as there should be, one epoch and one chain, none blank. Exit
-    status 3 if none answered.
+    The system is healthy if all controllers are listed, agree on the epoch and the chain, and none
+    has the role blank (an empty disk). The exit status is 3 if no controller answered.
     """
     statuses = _read_statuses(at, "/Status", _status_from_wire)
     return _print_statuses(statuses, "instances")
@@ -80,7 +80,7 @@
 
 @app.command(name="story")
 def story(*, at: ControlAddresses) -> int:
-    """Deprecated: the earlier form of `status`."""
+    """Deprecated: use `status`."""
     statuses = _read_statuses(at, "/Story", _status_from_earlier_wire)
     exit_status = _print_statuses(statuses, "machines")
     if exit_status == ExitStatus.SUCCESS:
@@ -92,12 +92,12 @@
 def instances(
     *, at: ControlAddresses, service: str | None = None, within_s: TimeoutSeconds = 5.0
 ) -> int:
-    """A line for each instance that a controller knows.
+    """Print a line for each instance that a controller knows.
 
-    Id, service, address, zone, version, state, seconds since its last change was heard.
+    Id, service, address, zone, version, state, seconds since its last change was received.
 
     Args:
-        service: Only instances of this service.
+        service: Only print instances of this service.
     """
     return _print_instances(ControlClient(at, within_s), "/Instances", "instances", service)
 
@@ -106,10 +106,10 @@
 def machines(
     *, at: ControlAddresses, service: str | None = None, within_s: TimeoutSeconds = 5.0
 ) -> int:
-    """Deprecated: the earlier form of `instances`.
+    """Deprecated: use `instances`.
 
     Args:
-        service: Only instances of this service.
+        service: Only print instances of this service.
     """
     exit_status = _print_instances(ControlClient(at, within_s), "/Machines", "machines", service)
     if exit_status == ExitStatus.SUCCESS:
@@ -120,13 +120,13 @@
 def _read_statuses(
     addresses: Iterable[str], path: str, from_wire: Callable[[dict[str, Any]], ControllerStatus]
 ) -> dict[str, ControllerStatus | NoResponse]:
-    """Ask each controller once, by control address.
+    """Call each controller once and return the statuses by control address.
 
-    Controllers that one of them names are asked too, at the same port.
+    Controllers that one of them names are called too, at the same port.
     """
     client = ControlClient(())
     statuses: dict[str, ControllerStatus | NoResponse] = {}
-    pending = list(addresses)  # grows while it is read
+    pending = list(addresses)  # grows while it is iterated over
     for address in pending:
         if address in statuses:
             continue
