--- a/umbermoor/gateway/membership/local_health.py
+++ b/umbermoor/gateway/membership/local_health.py
@@ -19,7 +19,7 @@
 
 
 class LocalHealth:
-    """The local health score, from 0 (healthy) to MAX_SCORE, and stalls and isolation."""
+    """Tracks the local health score, from 0 (healthy) to MAX_SCORE, and stalls and isolation."""
 
     def __init__(self) -> None:
         self.score = 0
--- a/umbermoor/gateway/membership/local_member.py
+++ b/umbermoor/gateway/membership/local_member.py
@@ -17,7 +17,7 @@
 
     def __init__(self, address: str, generation: int) -> None:
         if pack_address(address) is None or not 0 <= generation < GENERATION_LIMIT:
-            raise ValueError(f"not a proxy's address and generation: {address} {generation}")
+            raise ValueError(f"invalid proxy address or generation: {address} {generation}")
         self.address = address
         self.incarnation = Incarnation(generation, 0)
         self.leave_announcements = 0
--- a/umbermoor/gateway/membership/member_table.py
+++ b/umbermoor/gateway/membership/member_table.py
@@ -44,7 +44,7 @@
     incarnation: Incarnation
     suspicion: Suspicion | None = None
     outdated: bool = False
-    """Whether its last message had an earlier incarnation than the known one; it must be told."""
+    """Whether it last sent an earlier incarnation than the known one; it is then told so."""
 
     @property
     def state(self) -> MemberState:
--- a/umbermoor/gateway/rollout/service_rollout.py
+++ b/umbermoor/gateway/rollout/service_rollout.py
@@ -39,7 +39,7 @@
 from umbermoor.gateway.units import SECOND
 from umbermoor.statistics.test_roll import needed
 
-JUDGE_AFTER = 4 * SECOND
+VOTE_AFTER = 4 * SECOND
 """Proxies vote this long after the newest target instance was listed, even without n* outcomes."""
 HORIZON = 20 * SECOND
 """The paper's N is the number of requests expected in this time."""
@@ -123,7 +123,7 @@
     """Outcomes and bad outcomes, by instance of the trial."""
     failures: dict[str, ConsecutiveFailures] = field(default_factory=dict)
     evidence_against: float = 0.0
-    """CUSUM of this proxy's own outcomes against the new version, since the trial stage."""
+    """CUSUM of this proxy's own outcomes against the new version, after the trial stage."""
     no_trial_until: int = 0
     request_rate: float = 0.0
     """Exponentially decaying count of requests, with half the HORIZON as its time constant."""
@@ -359,7 +359,7 @@
         ratio = log_likelihood_ratio(baseline_share, LOCAL_EXCESS_SHARE, 1, not good)
         self.evidence_against = max(0.0, self.evidence_against + ratio)
         if self.evidence_against >= LOCAL_ALARM_THRESHOLD:
-            # The proxy acts by itself because the controllers may be without a leader just now.
+            # Act without the controllers: they may be changing their leader just now.
             self.evidence_against, self.no_trial_until = 0.0, now + BACK_OFF_TIME
 
     # Votes and reports
@@ -368,7 +368,7 @@
         """Return the vote by Test & Roll on this proxy's own outcomes; None if there are too few.
 
         There are enough once the trial has n* outcomes (the paper's equation 10, test_roll.needed),
-        or JUDGE_AFTER its newest instance was listed. At least MIN_OUTCOMES are always needed.
+        or VOTE_AFTER its newest instance was listed. At least MIN_OUTCOMES are always needed.
         """
         if not self.running:
             return None
@@ -378,7 +378,7 @@
             mu = baseline.good / baseline.total
         mu = min(MAX_MEAN, mu)
         newest = max((instance.listed_at for instance in self.target_instances), default=now)
-        waited_enough = bool(self.target_instances) and now - newest >= JUDGE_AFTER
+        waited_enough = bool(self.target_instances) and now - newest >= VOTE_AFTER
         expected = 2 * self.request_rate * exp((self.rate_at - now) / (HORIZON / 2))
         if trial.total < MIN_OUTCOMES:
             return None
