--- a/umbermoor/gateway/balancing/instances.py
+++ b/umbermoor/gateway/balancing/instances.py
@@ -79,7 +79,7 @@
         """The instances of a service."""
         return self.by_service.get(service, {}).values()
 
-    def judged_by_rollout(self, service: str) -> list[Instance]:
+    def evaluated_by_rollout(self, service: str) -> list[Instance]:
         """Those by which a version is judged: its ready ones or, where it has none, the silent.
 
         A dead one that is still listed would make a version's last instance seem one of several,
--- a/umbermoor/gateway/server/controller_link.py
+++ b/umbermoor/gateway/server/controller_link.py
@@ -148,7 +148,7 @@
                 self._rollouts.apply_record(now, service, None)
             judged = [
                 (instance.id, instance.entry.revision, instance.listed_at)
-                for instance in self._instances.judged_by_rollout(service)
+                for instance in self._instances.evaluated_by_rollout(service)
             ]
             self._rollouts.update_instances(now, service, judged)
         self._instances.changed_services.clear()
