--- a/umbermoor/gateway/balancing/retry_budget.py
+++ b/umbermoor/gateway/balancing/retry_budget.py
@@ -110,7 +110,7 @@
         self._window_us = window_us
         self._budgets: dict[str, RetryBudget] = {}
 
-    def of(self, service: str) -> RetryBudget:
+    def for_service(self, service: str) -> RetryBudget:
         """The budget of a service."""
         budget = self._budgets.get(service)
         if budget is None:
--- a/umbermoor/gateway/server/request_handler.py
+++ b/umbermoor/gateway/server/request_handler.py
@@ -141,7 +141,7 @@
         active = ActiveRequest(connection, pending, request, route, lifecycle)
         pending.active = active
         self.active.add(active)
-        self.retry_budgets.of(service).request_arrived(now)
+        self.retry_budgets.for_service(service).request_arrived(now)
         self.rollouts.request_received(now, service)
         self._advance(active, now)
 
@@ -170,7 +170,7 @@
         """Sends the request to an instance, where budget and instances allow it."""
         lifecycle = active.lifecycle
         is_retry = lifecycle.is_retry()
-        budget = self.retry_budgets.of(lifecycle.service) if is_retry else None
+        budget = self.retry_budgets.for_service(lifecycle.service) if is_retry else None
         if budget is not None and budget.available(now) < 1:
             lifecycle.give_up_hedging()
             return False
