--- a/umbermoor/gateway/__init__.py
+++ b/umbermoor/gateway/__init__.py
@@ -1,2 +1,4 @@
-"""The gateway: fronts that carry traffic, a chain of core machines that holds what must last.
-docs/ARCHITECTURE.md."""
+"""The API gateway: proxies that carry traffic, and controllers that replicate its control state.
+
+The architecture is described in docs/ARCHITECTURE.md.
+"""
--- a/umbermoor/gateway/balancing/__init__.py
+++ b/umbermoor/gateway/balancing/__init__.py
@@ -1,8 +1,8 @@
-"""Load balancing: which instance takes a request, and what happens when an attempt fails.
+"""Load balancing: the choice of the instance for a request, and the handling of failed attempts.
 
-`request` holds the life of one request, `attempt_outcomes` what an event on a connection proves,
-`instance` and `instances` the estimates by which an instance is chosen, `retry_budget` how many
-retries are allowed. Open `request.RequestLifecycle` first. Nothing here does any I/O or reads a
-clock: the caller passes the time, in microseconds of a steady clock. Imports `discovery.registry`
-for the entries of instances, and `statistics`.
+`request` contains the lifecycle of one request, `attempt_outcomes` the meaning of each event on a
+connection, `instance` and `instances` the estimates that the choice of an instance is based on, and
+`retry_budget` the limit on retries. Start with `request.RequestLifecycle`. Nothing here does I/O or
+reads a clock: the caller passes the time in microseconds of a monotonic clock. The package imports
+`discovery.registry`, for instance records, and `statistics`.
 """
--- a/umbermoor/gateway/balancing/attempt_outcomes.py
+++ b/umbermoor/gateway/balancing/attempt_outcomes.py
@@ -1,16 +1,16 @@
-"""What an event on a connection to an instance proves of the request on it.
+"""Classifies the events on a connection to an instance by what they prove about the request.
 
-All that is decided of a response is decided here, in one table: `TABLE` is the table of
-docs/attempt-outcomes.md, where the reasons stand, and a test compares the two. No I/O.
+All decisions about responses are in one table: `TABLE` is the table of docs/attempt-outcomes.md,
+which gives the reasons, and a test compares the two. No I/O.
 """
 
 from collections.abc import Mapping
 from enum import Enum
 from typing import NamedTuple
 
-# Statuses that promise a client that its request has not been executed and never will be.
+# Statuses that guarantee to a client that its request was not executed and never will be.
 REJECTION_STATUSES = frozenset((408, 421, 429, 503))
-# Headers that mean nothing where they are there twice.
+# Headers that may occur only once; the HTTP reader rejects a message that repeats one.
 SINGLE_VALUE_HEADERS = frozenset(
     (
         "host",
@@ -24,25 +24,27 @@
 
 
 class IdentityEnum(Enum):
-    """An enum whose members hash by identity, which costs a request less than by name."""
+    """An enum whose members hash by identity, which is cheaper per request than hashing names."""
 
     __hash__ = object.__hash__
 
 
 class AttemptOutcome(IdentityEnum):
-    """How an attempt at an instance ended."""
-
-    COMPLETE = "complete"  # a complete response that belongs to it
-    REJECTED = "rejected"  # the instance says that it did not execute it: overloaded
-    MISDIRECTED = "misdirected"  # another instance has the address: not executed
-    CONNECT_FAILED = "connect_failed"  # no connection: never sent
-    CANCELLED = "cancelled"  # taken back by this proxy before a byte was sent
-    ABANDONED = "abandoned"  # broken off, as its client has left: may have executed
-    TRUNCATED = "truncated"  # no complete response: may have executed
-    PROTOCOL_ERROR = "protocol_error"  # no response of that instance: may have executed
+    """The outcome of an attempt to send a request to an instance."""
+
+    COMPLETE = "complete"  # a complete response that belongs to the attempt
+    REJECTED = "rejected"  # the overloaded instance states that it did not execute the request
+    MISDIRECTED = "misdirected"  # the address now belongs to another instance: not executed
+    CONNECT_FAILED = "connect_failed"  # no connection, so the request was never sent
+    CANCELLED = "cancelled"  # cancelled by this proxy before a byte was sent
+    ABANDONED = "abandoned"  # aborted because the client left: may have been executed
+    TRUNCATED = "truncated"  # no complete response: may have been executed
+    PROTOCOL_ERROR = (
+        "protocol_error"  # not a valid response of that instance: may have been executed
+    )
 
 
-# Proved not to have been executed, and never to be.
+# Outcomes that prove that the request was not executed and never will be.
 NOT_EXECUTED = frozenset(
     (
         AttemptOutcome.REJECTED,
@@ -54,60 +56,62 @@
 
 
 class AttemptStage(IdentityEnum):
-    """How far an attempt and its connection are.
+    """The progress of an attempt and its connection, as this process sees it.
 
-    This process alone tells: what its kernel took may be anywhere.
+    Bytes that the kernel accepted may or may not have reached the instance.
     """
 
     CONNECTING = "connecting"  # nothing was written
-    WRITING = "writing"  # head or body half written: a part waits in this process
-    WRITTEN = "written"  # the kernel took all of it
-    READING = "reading"  # the first byte of a response, its head, or a part of its body
+    WRITING = "writing"  # head or body partly written: the rest is buffered in this process
+    WRITTEN = "written"  # the kernel accepted the whole request
+    READING = "reading"  # at least the first byte of a response has arrived
     IDLE = "idle"  # no attempt is on the connection
 
 
 class ConnectionEvent(IdentityEnum):
-    """What happens to an attempt or to a connection."""
+    """An event on an attempt or on a connection."""
 
     CONNECT_FAILED = "connect_failed"  # refused, reset or timed out before anything was written
-    # Connected, and by now the instance may get nothing: draining, gone, its version not allowed.
+    # Connected, but the instance may not be sent requests any more: it is draining or gone, or its
+    # version is not allowed.
     NOT_ALLOWED = "not_allowed"
     # The client left, another attempt was answered, or the client must be answered now.
     CANCELLED = "cancelled"
-    ABANDONED = "abandoned"  # the client left, and the request may be executed more than once
-    DEADLINE_EXCEEDED = "deadline_exceeded"  # the time of its request is over
+    ABANDONED = "abandoned"  # the client left, and the request is idempotent
+    DEADLINE_EXCEEDED = "deadline_exceeded"  # the deadline of the request has passed
     RESPONSE = "response"  # complete, with the attempt's id
-    REJECTION = "rejection"  # complete, its own, with X-Not-Executed
-    MISDIRECTED = "misdirected"  # complete, its own, 421
-    UNPROVEN_RESPONSE = "unproven_response"  # complete, and what it says is not proved
+    REJECTION = "rejection"  # complete, belongs to the attempt, has X-Not-Executed
+    MISDIRECTED = "misdirected"  # complete, belongs to the attempt, status 421
+    # Complete, but without the required proof of its origin or of its completeness.
+    UNPROVEN_RESPONSE = "unproven_response"
     FOREIGN_RESPONSE = "foreign_response"  # complete, with the id of an earlier request
-    MALFORMED = "malformed"  # bytes that are no response
+    MALFORMED = "malformed"  # bytes that are not a valid response
     CLOSED = "closed"  # close, half close or reset before a complete response
-    UNEXPECTED_DATA = "unexpected_data"  # any byte that nobody waits for
+    UNEXPECTED_DATA = "unexpected_data"  # a byte that no attempt is waiting for
 
 
 class ConnectionAction(IdentityEnum):
-    """What becomes of the connection."""
+    """What the proxy does with the connection."""
 
-    KEEP = "keep"  # for another request, where `is_reusable`
+    KEEP = "keep"  # keep for another request if `is_reusable` allows it
     CLOSE = "close"
-    ABORT = "abort"  # what waits to be written is not written
+    ABORT = "abort"  # discard what has not been written yet
     CONTINUE = "continue"
 
 
 class Verdict(NamedTuple):
-    """What an event proves, and what becomes of the connection.
+    """What an event proves about the attempt, and what to do with the connection.
 
     Attributes:
-        outcome: How the attempt ended; None where it goes on, or where there is none.
-        action: What becomes of the connection.
+        outcome: The outcome of the attempt; None if it continues or if there is no attempt.
+        action: What to do with the connection.
     """
 
     outcome: AttemptOutcome | None
     action: ConnectionAction
 
 
-_SENT = {
+_VERDICTS_WRITTEN = {
     ConnectionEvent.CANCELLED: Verdict(None, ConnectionAction.CONTINUE),
     ConnectionEvent.ABANDONED: Verdict(AttemptOutcome.ABANDONED, ConnectionAction.ABORT),
     ConnectionEvent.DEADLINE_EXCEEDED: Verdict(AttemptOutcome.TRUNCATED, ConnectionAction.ABORT),
@@ -121,13 +125,13 @@
     ConnectionEvent.MALFORMED: Verdict(AttemptOutcome.PROTOCOL_ERROR, ConnectionAction.ABORT),
     ConnectionEvent.CLOSED: Verdict(AttemptOutcome.TRUNCATED, ConnectionAction.ABORT),
 }
-_HALF_SENT = {
+_VERDICTS_PARTLY_WRITTEN = {
     event: (
         verdict
         if verdict.action is ConnectionAction.CONTINUE
         else Verdict(verdict.outcome, ConnectionAction.ABORT)
     )
-    for event, verdict in _SENT.items()
+    for event, verdict in _VERDICTS_WRITTEN.items()
 }
 TABLE: dict[AttemptStage, dict[ConnectionEvent, Verdict]] = {
     AttemptStage.CONNECTING: {
@@ -145,9 +149,9 @@
         ),
         ConnectionEvent.CLOSED: Verdict(AttemptOutcome.CONNECT_FAILED, ConnectionAction.ABORT),
     },
-    AttemptStage.WRITING: _HALF_SENT,
-    AttemptStage.WRITTEN: _SENT,
-    AttemptStage.READING: _SENT,
+    AttemptStage.WRITING: _VERDICTS_PARTLY_WRITTEN,
+    AttemptStage.WRITTEN: _VERDICTS_WRITTEN,
+    AttemptStage.READING: _VERDICTS_WRITTEN,
     AttemptStage.IDLE: {
         ConnectionEvent.UNEXPECTED_DATA: Verdict(None, ConnectionAction.ABORT),
         ConnectionEvent.CLOSED: Verdict(None, ConnectionAction.CLOSE),
@@ -156,9 +160,10 @@
 
 
 def decide(stage: AttemptStage, event: ConnectionEvent) -> Verdict:
-    """What an event proves at a stage.
+    """Return what an event proves at a stage.
 
-    Raises KeyError where the event cannot come at that stage: an invariant is broken.
+    Raises:
+        KeyError: The event cannot occur at that stage, so an invariant is violated.
     """
     return TABLE[stage][event]
 
@@ -170,15 +175,15 @@
     only_request: bool,
     framed: bool = True,
 ) -> ConnectionEvent:
-    """What a complete response is to the request with `attempt_id` on its connection.
+    """Classify a complete response to the request with `attempt_id` on its connection.
 
     Args:
         status: Status of the response.
-        headers: Headers of the response, names in lower case.
+        headers: Headers of the response, with names in lower case.
         attempt_id: The X-Attempt-Id of the request on the connection.
         only_request: Whether the connection has carried no other request.
-        framed: Whether a length or chunks say where the response ends, and not the end of the
-            connection alone.
+        framed: Whether the response is delimited by a length or by chunked encoding, not only by
+            the end of the connection.
     """
     response_id = headers.get("x-attempt-id")
     if response_id != attempt_id and (response_id is not None or not only_request):
@@ -201,29 +206,29 @@
 
 
 def is_reusable(keep_alive: bool, tainted: bool, surplus: bool, bodiless: bool) -> bool:
-    """Whether a connection may carry another request behind a complete response.
+    """Whether a connection may carry another request after a complete response.
 
     Args:
-        keep_alive: Whether the instance keeps it open.
-        tainted: Whether a response to another request came on it.
-        surplus: Whether a byte lies behind the response.
-        bodiless: Whether the request was a HEAD: a second response to it that comes late would
-            be read as one with a body.
+        keep_alive: Whether the instance keeps the connection open.
+        tainted: Whether a response to another request arrived on it.
+        surplus: Whether bytes follow the response.
+        bodiless: Whether the request was a HEAD request: a late second response to it would be
+            parsed as a response with a body.
     """
     return keep_alive and not (tainted or surplus or bodiless)
 
 
 def may_reject(may_have_executed: bool) -> bool:
-    """Whether a client may be told one of REJECTION_STATUSES, once each attempt has ended.
+    """Whether a client may receive one of REJECTION_STATUSES once all attempts have ended.
 
-    Each must be proved not to have been executed.
+    It may only if every attempt is proved not to have been executed.
 
     Args:
-        may_have_executed: Whether that is not proved of one that ended.
+        may_have_executed: Whether that proof is missing for any attempt.
     """
     return not may_have_executed
 
 
 def may_retry(idempotent: bool, may_have_executed: bool) -> bool:
-    """Whether a request with no attempt in flight may go to an instance again."""
+    """Whether a request with no attempt in flight may be sent to an instance again."""
     return idempotent or not may_have_executed
--- a/umbermoor/gateway/balancing/instance.py
+++ b/umbermoor/gateway/balancing/instance.py
@@ -1,7 +1,7 @@
-"""One instance of a service as one proxy sees it, and the estimates that the proxy makes of it.
+"""One instance of a service as seen by one proxy, with the proxy's estimates of its speed and load.
 
-The estimates rest on what this proxy measures itself and on the load that instances report. Times
-are whole microseconds of the caller's steady clock. No I/O.
+The estimates are based on this proxy's own measurements and on the load that instances report.
+Times are whole microseconds of the caller's monotonic clock. No I/O.
 """
 
 from math import exp
@@ -13,17 +13,19 @@
 EJECTION_BASE_US = 150 * MILLISECOND
 EJECTION_MAX_US = 3 * SECOND
 EJECTION_MAX_DOUBLINGS = 6
-FAILURES_TO_EJECT = 3  # in a row, of kinds that need not be the instance's fault
+FAILURES_TO_EJECT = 3  # consecutive, of kinds that may not be the instance's fault
 
-SERVICE_MEAN_WEIGHT = 0.02  # of the newest response in a service's mean
-INSTANCE_WEIGHT = 0.075  # of the newest response in an instance's relative service time
+SERVICE_MEAN_WEIGHT = 0.02  # weight of the newest response in a service's mean
+INSTANCE_WEIGHT = 0.075  # weight of the newest response in an instance's relative service time
 RELATIVE_TIME_MIN, RELATIVE_TIME_MAX = 0.4, 4.0
 
-OCCUPANCY_COST = 0.3  # how much slower a response is at an instance whose slots are all taken
-WARMUP_COST = 2.0  # how much slower an instance is taken to be while it warms up
-REMOTE_ZONE_COST = 1.2  # traffic between zones costs: chosen only where it seems so much faster
+OCCUPANCY_COST = 0.3  # relative slowdown of a response when all slots of its instance are in use
+WARMUP_COST = 2.0  # factor on the expected time of an instance while it warms up
+REMOTE_ZONE_COST = 1.2  # cross-zone traffic has a cost: another zone must be this much faster
 NOT_READY_COST = 4
-HANG_FACTOR = 6.0  # silent for so many usual service times, with requests in flight: it hangs
+# An instance with requests in flight counts as hanging after this many of its usual service times
+# without a response.
+HANG_FACTOR = 6.0
 HANG_COST = 20
 
 MAX_REPORTED_DIGITS = 8
@@ -31,40 +33,44 @@
 
 
 class LoadEstimate:
-    """Requests at an instance: what it reported, decaying, and what this proxy sent since.
+    """Estimate of the number of requests at an instance.
+
+    It combines the instance's last report, which decays with age, with the requests that this proxy
+    has sent since:
 
     load = max(in_flight, reported * d + in_flight - in_flight_at_report * d)
-    with d = exp(-(now - reported_at) / REPORT_DECAY_US); unit: requests. As in "join the shortest
-    queue" with stale information: a report counts less the older it is.
+    with d = exp(-(now - reported_at) / REPORT_DECAY_US); unit: requests. This is "join the shortest
+    queue" with stale information: the older a report is, the less it counts.
     """
 
     __slots__ = ("in_flight", "in_flight_at_report", "reported", "reported_at")
 
     def __init__(self) -> None:
-        self.in_flight = 0  # attempts of this proxy
-        self.reported = 0.0  # requests running and waiting there, as the instance reported
+        self.in_flight = 0  # attempts sent by this proxy
+        self.reported = 0.0  # requests running and waiting at the instance, as it reported
         self.reported_at = 0
         self.in_flight_at_report = 0
 
     def at(self, now: int) -> float:
-        """The estimate at `now`, in requests."""
+        """Return the estimate at `now`, in requests."""
         decay = exp((self.reported_at - now) / REPORT_DECAY_US)
         in_flight = self.in_flight
         return max(in_flight, self.reported * decay + in_flight - self.in_flight_at_report * decay)
 
     def report(self, now: int, requests: float) -> None:
-        """Takes over a report of the instance."""
+        """Record a load report of the instance."""
         self.reported = requests
         self.reported_at = now
         self.in_flight_at_report = self.in_flight
 
 
 class OutlierEjection:
-    """Keeps an instance that fails out of the choice for a time, as outlier detection of Envoy.
+    """Excludes a failing instance from the choice for a time, like Envoy's outlier detection.
 
-    ejected_until = now + min(EJECTION_MAX_US, EJECTION_BASE_US * 2 ** n), n the failures in a row
-    that count, EJECTION_MAX_DOUBLINGS at most; unit: microseconds. A refused connection counts at
-    once, other failures from FAILURES_TO_EJECT in a row on. A response ends it.
+    ejected_until = now + min(EJECTION_MAX_US, EJECTION_BASE_US * 2 ** n), where n is the number of
+    consecutive failures that count, at most EJECTION_MAX_DOUBLINGS; unit: microseconds. A failed
+    connection counts immediately, other failures only from the FAILURES_TO_EJECT-th consecutive one
+    on. A response ends the ejection.
     """
 
     __slots__ = ("consecutive_failures", "ejected_until")
@@ -74,7 +80,12 @@
         self.ejected_until = 0
 
     def failure(self, now: int, connect_failed: bool) -> None:
-        """Counts a failed attempt; `connect_failed`: nothing there took the connection."""
+        """Record a failed attempt.
+
+        Args:
+            now: The present time.
+            connect_failed: Whether no connection to the instance could be established.
+        """
         self.consecutive_failures += 1
         failures = self.consecutive_failures
         if not connect_failed:
@@ -84,16 +95,16 @@
             self.ejected_until = now + min(EJECTION_MAX_US, EJECTION_BASE_US << doublings)
 
     def success(self) -> None:
-        """Takes the instance up again after a response."""
+        """End the ejection after a response of the instance."""
         self.consecutive_failures = 0
         self.ejected_until = 0
 
 
 class ServiceTimeEstimate:
-    """The usual time of a response of one service, from this proxy's own attempts.
+    """Mean response time of one service, measured on this proxy's own attempts.
 
     mean += SERVICE_MEAN_WEIGHT * (duration - mean): an exponentially weighted moving average in
-    microseconds, which begins at the first duration.
+    microseconds, which starts at the first duration.
     """
 
     __slots__ = ("mean_us",)
@@ -102,7 +113,7 @@
         self.mean_us = float(first_duration_us)
 
     def add(self, duration_us: int) -> None:
-        """Takes the duration of one more complete response into the mean."""
+        """Add the duration of a complete response to the mean."""
         self.mean_us += (duration_us - self.mean_us) * SERVICE_MEAN_WEIGHT
 
 
@@ -110,15 +121,15 @@
     """One incarnation of an instance.
 
     Attributes:
-        entry: What discovery says of it.
-        id: Its id, the entry's.
-        listed_at: When this proxy first had it listed.
-        warm_at: When it has warmed up.
-        load: Requests there.
-        ejection: Whether it is kept out of the choice after failures.
-        relative_service_time: Its service time as a multiple of its service's mean.
-        last_response_at: When it last answered anything.
-        busy_since: When this proxy last began to have requests in flight there.
+        entry: Its record from service discovery.
+        id: Its id, the same as in the entry.
+        listed_at: When it was first listed at this proxy.
+        warm_at: When its warm-up ends.
+        load: The estimated number of requests at it.
+        ejection: Its exclusion from the choice after failures.
+        relative_service_time: Its service time as a multiple of the service's mean.
+        last_response_at: When it last responded to a request.
+        busy_since: When this proxy's requests in flight to it last rose from 0.
     """
 
     __slots__ = (
@@ -145,11 +156,12 @@
         self.busy_since = 0
 
     def expected_time(self, now: int, mean_us: float, zone: str) -> float:
-        """Time until a response to a request sent now, in microseconds.
+        """Return the expected time until the response to a request sent now, in microseconds.
 
         mean * relative * (1 + (load + 1 - slots)+ / slots + OCCUPANCY_COST * load / slots): the
-        request's own work, what waits before it, and what slows it down; times the costs of
-        warming up, of another zone, of not being ready and of hanging.
+        request's own service time, the time that it queues, and the slowdown by other requests.
+        The result is multiplied by the cost factors for warming up, for another zone, for not being
+        ready and for hanging, where they apply.
 
         Args:
             now: The present time.
@@ -173,17 +185,17 @@
         return expected
 
     def attempt_started(self, now: int) -> None:
-        """A request was sent to it."""
+        """Record that a request was sent to the instance."""
         if not self.load.in_flight:
             self.busy_since = now
         self.load.in_flight += 1
 
     def attempt_ended(self) -> None:
-        """A request is no longer in flight, whatever became of it."""
+        """Record that a request is no longer in flight, whatever its outcome."""
         self.load.in_flight -= 1
 
     def load_reported(self, now: int, header: str) -> None:
-        """Takes over X-Load-Level: "running,waiting,slots"; anything else is ignored."""
+        """Record an X-Load-Level header, "running,waiting,slots"; ignore it if it is malformed."""
         parts = header.split(",")
         if len(parts) == REPORT_FIELDS and all(
             part.strip().isdecimal() and len(part) <= MAX_REPORTED_DIGITS for part in parts
@@ -191,7 +203,13 @@
             self.load.report(now, float(parts[0]) + float(parts[1]))
 
     def responded(self, now: int, duration_us: int, mean_us: float) -> None:
-        """A complete response came after `duration_us`; `mean_us` is its service's mean before."""
+        """Record a complete response.
+
+        Args:
+            now: The present time.
+            duration_us: The time from the request to the response, in microseconds.
+            mean_us: The mean service time of the service before this response.
+        """
         ratio = min(RELATIVE_TIME_MAX, duration_us / mean_us)
         relative = self.relative_service_time
         relative += (ratio - relative) * INSTANCE_WEIGHT
@@ -199,15 +217,16 @@
         self.last_response_at = now
 
     def abandoned(self, waited_us: int, mean_us: float) -> None:
-        """An attempt was broken off after `waited_us`: its response would have taken longer.
+        """Record that an attempt was aborted after `waited_us` without a response.
 
-        A wait above the estimate raises it; a shorter one says nothing (a censored observation).
+        The response would have taken longer. This is a censored observation: a wait above the
+        estimate raises the estimate, a shorter one gives no information.
         """
         ratio = min(RELATIVE_TIME_MAX, waited_us / mean_us)
         if ratio > self.relative_service_time:
             self.relative_service_time += (ratio - self.relative_service_time) * INSTANCE_WEIGHT
 
     def rejected(self, now: int) -> None:
-        """It rejected a request: it has all that it can carry."""
+        """Record that the instance rejected a request because it is overloaded."""
         self.last_response_at = now
         self.load.report(now, max(self.load.reported, 2.0 * self.entry.capacity))
--- a/umbermoor/gateway/balancing/instances.py
+++ b/umbermoor/gateway/balancing/instances.py
@@ -1,8 +1,8 @@
-"""All instances that one proxy may send requests to, and the choice among them.
+"""The instances that one proxy may send requests to, and the choice among them.
 
-Open `Instances.choose` first: the instance with the least expected time, in the way of "least
-expected delay" balancing (each estimate is in `instance`), with random spread so that proxies that
-know the same do not all choose the same. No I/O.
+Start with `Instances.choose`. It chooses the instance with the least expected time, as in "shortest
+expected delay" balancing (the estimates are in `instance`). Random jitter keeps proxies that have
+the same information from all choosing the same instance. No I/O.
 """
 
 from collections.abc import Callable, Container, Iterable
@@ -10,20 +10,20 @@
 from umbermoor.gateway.balancing.instance import Instance, ServiceTimeEstimate
 from umbermoor.gateway.discovery.registry import DRAINING, GONE, READY, InstanceRecord
 
-RANDOM_SPREAD = 0.15  # how much longer an instance may be taken to need, by chance
-RETRY_PENALTY = 10  # mean service times: an instance that was tried before comes last
-DEFAULT_SERVICE_TIME_US = 50_000.0  # before the first response of a service
+MAX_JITTER = 0.15  # random addition to an expected time, as a fraction of it
+RETRY_PENALTY = 10  # in mean service times; puts instances that were tried before last
+DEFAULT_SERVICE_TIME_US = 50_000.0  # assumed before the first response of a service
 
 
 class Instances:
-    """Instances by id and by service, as the last update of discovery has them.
+    """Instances by id and by service, according to the last update from service discovery.
 
     Attributes:
         zone: The zone of this proxy.
         by_id: All instances.
         by_service: The instances of each service, by id.
-        service_times: The usual service time of each service that has answered.
-        changed_services: Services whose instances changed since the caller emptied this.
+        service_times: The mean service time of each service that has responded.
+        changed_services: Services whose instances changed since the caller last cleared this set.
     """
 
     def __init__(self, zone: str = "") -> None:
@@ -34,7 +34,7 @@
         self.changed_services: set[str] = set()
 
     def update(self, now: int, entries: Iterable[InstanceRecord]) -> list[Instance]:
-        """Takes over changed entries; returns the instances that may get no request any more."""
+        """Apply changed entries; return the instances that may not be sent requests any more."""
         removed = []
         for entry in entries:
             instance = self.by_id.get(entry.id)
@@ -66,27 +66,28 @@
         self.changed_services.add(instance.entry.service)
 
     def forget(self, instance_id: str) -> None:
-        """Removes an instance that no controller knows any more."""
+        """Remove an instance that no controller lists any more."""
         if instance := self.by_id.get(instance_id):
             self._remove(instance)
 
     def misdirected(self, instance: Instance) -> None:
-        """Removes an instance whose address another one has by now."""
+        """Remove an instance whose address now belongs to another instance."""
         if self.is_listed(instance):
             self._remove(instance)
 
     def of_service(self, service: str) -> Iterable[Instance]:
-        """The instances of a service."""
+        """Return the instances of a service."""
         return self.by_service.get(service, {}).values()
 
     def evaluated_by_rollout(self, service: str) -> list[Instance]:
-        """Those by which a version is judged: its ready ones or, where it has none, the silent.
+        """Return the instances that the rollout evaluates.
 
-        A dead one that is still listed would make a version's last instance seem one of several,
-        and its failures that instance's own.
+        For each version these are the ready instances, or the silent ones if none is ready. A dead
+        instance that is still listed would make the last live instance of a version look like one
+        of several, and failures of the version would be attributed to that instance alone.
         """
         instances = list(self.of_service(service))
-        ready_revisions = {one.entry.revision for one in instances if one.entry.state == READY}
+        ready_revisions = {item.entry.revision for item in instances if item.entry.state == READY}
         return [
             instance
             for instance in instances
@@ -94,11 +95,11 @@
         ]
 
     def is_listed(self, instance: Instance) -> bool:
-        """Whether an instance may be sent requests: it is listed still, and not draining."""
+        """Whether an instance may be sent requests: it is still listed and not draining."""
         return self.by_id.get(instance.id) is instance
 
     def service_time_us(self, service: str, default_us: float) -> float:
-        """The mean service time of a service, in microseconds."""
+        """Return the mean service time of a service in microseconds, or `default_us` if unknown."""
         estimate = self.service_times.get(service)
         return default_us if estimate is None else estimate.mean_us
 
@@ -112,19 +113,19 @@
         random: Callable[[], float],
         max_wait_us: float,
     ) -> Instance | None:
-        """The instance of a version that is expected to respond soonest.
+        """Return the instance of a version that is expected to respond soonest.
 
         Args:
             now: The present time.
             service: The service that the request is for.
             revision: The version of the service.
-            only: Unless empty, the ids that may be chosen.
-            tried: Ids that this request went to before, which come last.
-            random: Draws a number from 0 up to 1.
+            only: The ids that may be chosen; empty if there is no such restriction.
+            tried: Ids of instances that this request was sent to before; they are chosen last.
+            random: Returns a random number in [0, 1).
             max_wait_us: The longest expected time, in microseconds.
 
         Returns:
-            None where no instance can respond in time.
+            The instance, or None if no instance is expected to respond in time.
         """
         estimate = self.service_times.get(service)
         mean_us = DEFAULT_SERVICE_TIME_US if estimate is None else estimate.mean_us
@@ -135,8 +136,8 @@
             ejected_us = instance.ejection.ejected_until - now
             if ejected_us > 0 and instance.load.in_flight > 0:
                 continue
-            spread = 1 + RANDOM_SPREAD * random()
-            expected = instance.expected_time(now, mean_us, zone) * spread
+            jitter = 1 + MAX_JITTER * random()
+            expected = instance.expected_time(now, mean_us, zone) * jitter
             if ejected_us > 0:
                 expected += ejected_us
             if instance.id in tried:
@@ -146,7 +147,7 @@
         return best if best is not None and least <= max_wait_us else None
 
     def responded(self, now: int, instance: Instance, duration_us: int) -> None:
-        """A complete response of an instance came after `duration_us`."""
+        """Record a complete response of an instance, `duration_us` after the request."""
         service = instance.entry.service
         duration_us = max(1, duration_us)
         estimate = self.service_times.get(service)
@@ -159,7 +160,7 @@
         instance.ejection.success()
 
     def abandoned(self, instance: Instance, waited_us: int) -> None:
-        """An attempt at an instance was broken off after `waited_us` without a response."""
+        """Record that an attempt was aborted after `waited_us` without a response."""
         estimate = self.service_times.get(instance.entry.service)
         if estimate is not None:
             instance.abandoned(waited_us, estimate.mean_us)
--- a/umbermoor/gateway/balancing/request.py
+++ b/umbermoor/gateway/balancing/request.py
@@ -1,11 +1,12 @@
-"""The life of one request: inputs say what happened, `next_step` says what is to be done. No I/O.
+"""The lifecycle of one request, as a state machine without I/O.
 
-What it guards: a request that is not idempotent goes on to another instance only where it is proved
-not to have been executed; a client gets a rejection (503) only where that is proved of every
-instance it went to. Retries and hedged requests have their budget, which the caller asks.
+The caller reports events, and `next_step` returns what to do next. Two guarantees: a request that
+is not idempotent is sent to another instance only if it is proved not to have been executed, and a
+client gets a rejection (503) only if that is proved for every instance that the request was sent
+to. Retries and hedged requests are limited by a budget, which the caller checks.
 
-The states of a request and its way through them are `TRANSITIONS`. Times are whole microseconds of
-the caller's steady clock.
+`TRANSITIONS` lists the states of a request and the transitions between them. Times are whole
+microseconds of the caller's monotonic clock.
 """
 
 from typing import NamedTuple, Protocol
@@ -23,25 +24,25 @@
 UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
 
-RETRY_AFTER_SOON_S = 0.05  # where an instance may be free at once
-RETRY_AFTER_LATER_S = 0.25  # where none is listed, or all are overloaded
-RESPONSE_MARGIN_US = 15_000  # the last response of this proxy leaves so long before the deadline
-HEDGE_FRACTION = 0.45  # of the time left, after which a slow idempotent request is hedged
-MAX_UNSENT_ATTEMPTS = 4  # attempts of which nothing was sent, that are made up for
+RETRY_AFTER_SOON_S = 0.05  # an instance may become free immediately
+RETRY_AFTER_LATER_S = 0.25  # no instance was chosen: none is listed, or all are overloaded
+RESPONSE_MARGIN_US = 15_000  # how long before the deadline the proxy sends its last response
+HEDGE_FRACTION = 0.45  # of the remaining time, after which an idempotent request is hedged
+MAX_UNSENT_ATTEMPTS = 4  # attempts with nothing sent that another attempt may replace
 MAX_IN_FLIGHT = 2  # a request and its hedge
 
 
 class RequestState(IdentityEnum):
-    """Where a request is in its life."""
+    """The state of a request in its lifecycle."""
 
-    ADMITTED = "admitted"  # routed; no attempt is in flight, and none has responded
-    IN_FLIGHT = "in_flight"  # an attempt is in flight, or two
-    RESPONDED = "responded"  # an instance's response is to be relayed
-    FINISHED = "finished"  # its client was answered, or left
+    ADMITTED = "admitted"  # routed; no attempt is in flight, and there is no response
+    IN_FLIGHT = "in_flight"  # one or two attempts are in flight
+    RESPONDED = "responded"  # an instance's response is ready to be relayed
+    FINISHED = "finished"  # its client got a response, or left
 
 
 class RequestEvent(IdentityEnum):
-    """What moves a request on."""
+    """An event that changes the state of a request."""
 
     ATTEMPT_STARTED = "attempt_started"
     ATTEMPTS_FAILED = "attempts_failed"  # the last one in flight ended without a final response
@@ -54,25 +55,25 @@
 _RESPONDED = RequestState.RESPONDED
 _FINISHED = RequestState.FINISHED
 
-# KeyError: that event cannot come in that state, an invariant is broken.
+# A KeyError means that the event cannot occur in that state, so an invariant is violated.
 TRANSITIONS: dict[RequestState, dict[RequestEvent, RequestState]] = {
     _ADMITTED: {
         RequestEvent.ATTEMPT_STARTED: _IN_FLIGHT,
         RequestEvent.FINISHED: _FINISHED,
     },
     _IN_FLIGHT: {
-        RequestEvent.ATTEMPT_STARTED: _IN_FLIGHT,  # a hedge
+        RequestEvent.ATTEMPT_STARTED: _IN_FLIGHT,  # a hedged request
         RequestEvent.ATTEMPTS_FAILED: _ADMITTED,  # for a retry, or for the proxy's own response
         RequestEvent.RESPONSE: _RESPONDED,
         RequestEvent.FINISHED: _FINISHED,
     },
     _RESPONDED: {
-        RequestEvent.ATTEMPTS_FAILED: _RESPONDED,  # the hedge, later
+        RequestEvent.ATTEMPTS_FAILED: _RESPONDED,  # the other attempt of a hedged request failed
         RequestEvent.RESPONSE: _RESPONDED,
         RequestEvent.FINISHED: _FINISHED,
     },
     _FINISHED: {
-        # Attempts that were in flight then may end later.
+        # Attempts that were still in flight may end later.
         RequestEvent.ATTEMPTS_FAILED: _FINISHED,
         RequestEvent.RESPONSE: _FINISHED,
     },
@@ -80,27 +81,27 @@
 
 
 class Response(Protocol):
-    """A complete response of an instance, as the proxy's HTTP reader gives it."""
+    """A complete response of an instance, as parsed by the proxy's HTTP reader."""
 
     @property
     def status(self) -> int:
-        """Its status."""
+        """The status code."""
 
     @property
     def headers(self) -> dict[str, str]:
-        """Its headers, names in lower case."""
+        """The headers, with names in lower case."""
 
     @property
     def body(self) -> bytes:
-        """Its body."""
+        """The body."""
 
 
 class Respond(NamedTuple):
-    """The proxy's own response.
+    """A step: send the proxy's own response.
 
     Attributes:
-        status: Its status.
-        retry_after_s: What its Retry-After says, in seconds; None where it has none.
+        status: The status code.
+        retry_after_s: The value of Retry-After in seconds; None to send no such header.
     """
 
     status: int
@@ -108,13 +109,13 @@
 
 
 class Relay(NamedTuple):
-    """The instance's response, as it came."""
+    """A step: relay an instance's response unchanged."""
 
     response: Response
 
 
 class Wait(NamedTuple):
-    """Nothing is to be done before `until`, in microseconds, or the next input."""
+    """A step: do nothing until the time `until`, in microseconds, or the next event."""
 
     until: int
 
@@ -126,14 +127,14 @@
     """One request.
 
     Attributes:
-        service: The service that it goes to.
+        service: The service that it is for.
         idempotent: Whether it may be executed more than once.
-        max_attempts: Most attempts of which bytes may have left.
-        deadline: When its client or its route gives up.
-        state: Where it is in its life.
-        in_flight: Attempts in flight, by number: where, and since when.
-        tried: Ids of the instances that it went to.
-        response: The response to relay, once there is one.
+        max_attempts: The most attempts of which bytes may have been sent.
+        deadline: When the client or the route times out.
+        state: Its state in its lifecycle.
+        in_flight: The instances of the attempts in flight, by attempt number.
+        tried: Ids of the instances that it was sent to.
+        response: The response to relay; None as long as there is none.
     """
 
     __slots__ = (
@@ -161,18 +162,18 @@
         self.in_flight: dict[int, Instance] = {}
         self.tried: set[str] = set()
         self.response: Response | None = None
-        self._error_response: Response | None = None  # complete, of an idempotent request
+        self._error_response: Response | None = None  # the last 5xx of an idempotent request
         self._attempts_sent = 0
         self._attempts_unsent = 0
-        self._may_have_executed = False  # not proved otherwise of an attempt that ended
+        self._may_have_executed = False  # an ended attempt is not proved unexecuted
         self._hedge_at = 0
 
     def is_retry(self) -> bool:
-        """Whether the next attempt costs a token of the retry budget."""
+        """Whether the next attempt takes a token from the retry budget."""
         return self._attempts_sent > 0
 
     def may_attempt(self, now: int) -> bool:
-        """Whether another instance may be asked now: first, as a retry or as a hedge."""
+        """Whether a first attempt, a retry or a hedged request may be sent now."""
         state = self.state
         if state is _RESPONDED or state is _FINISHED:
             return False
@@ -189,7 +190,14 @@
     def attempt_started(
         self, now: int, number: int, instance: Instance, hedge_after_us: int
     ) -> None:
-        """The caller sends it to an instance; a hedge is due after `hedge_after_us` at least."""
+        """Record that the request is being sent to an instance.
+
+        Args:
+            now: The present time.
+            number: The number of the attempt.
+            instance: The instance that it is sent to.
+            hedge_after_us: The shortest time until a hedged request, in microseconds.
+        """
         self.state = TRANSITIONS[self.state][RequestEvent.ATTEMPT_STARTED]
         self.in_flight[number] = instance
         self.tried.add(instance.id)
@@ -201,16 +209,19 @@
             self._hedge_at = self.deadline
 
     def give_up_hedging(self) -> None:
-        """No budget or no instance is left for another attempt while one is in flight."""
+        """Send no hedged request, because no budget or no instance is left for one."""
         self._hedge_at = self.deadline
 
     def attempt_ended(
         self, number: int, outcome: AttemptOutcome, response: Response | None = None
     ) -> Instance | None:
-        """An attempt ended; returns where it was, None where it had ended before.
+        """Record that an attempt ended.
+
+        A complete response with a 5xx status is kept back for a retry if the request is idempotent;
+        any other complete response is the one to relay.
 
-        A complete response with an error status may be made up for by a retry where the request is
-        idempotent; else it is the response to relay.
+        Returns:
+            The instance of the attempt, or None if its end was already recorded.
         """
         instance = self.in_flight.pop(number, None)
         if instance is None:
@@ -233,32 +244,32 @@
         return instance
 
     def stop_attempts(self) -> None:
-        """No instance is asked any more; what is in flight may still bring a response."""
+        """Send no further attempts; those in flight may still bring a response."""
         self.max_attempts = 0
 
     def bound_deadline(self, deadline: int) -> None:
-        """Has it end by `deadline` at the latest, in microseconds."""
+        """Move the deadline forward to `deadline`, in microseconds, if that is earlier."""
         self.deadline = min(self.deadline, deadline)
 
     def finish(self) -> None:
-        """Its client was answered, or left."""
+        """Record that the client got a response, or left."""
         self.state = TRANSITIONS[self.state][RequestEvent.FINISHED]
 
     def next_step(self, now: int) -> Step:
-        """What is to be done where no instance is asked now."""
+        """Return the step to take when no attempt is sent now."""
         if self.response is not None:
             return Relay(self.response)
-        last_moment = self.deadline - RESPONSE_MARGIN_US
+        respond_by = self.deadline - RESPONSE_MARGIN_US
         if self.in_flight:
-            return self._wait(now, last_moment)
+            return self._wait(now, respond_by)
         if self._error_response is not None:
             return Relay(self._error_response)
         if not may_reject(self._may_have_executed):
-            return Respond(GATEWAY_TIMEOUT if now >= last_moment else BAD_GATEWAY)
+            return Respond(GATEWAY_TIMEOUT if now >= respond_by else BAD_GATEWAY)
         return Respond(UNAVAILABLE, RETRY_AFTER_SOON_S if self.tried else RETRY_AFTER_LATER_S)
 
-    def _wait(self, now: int, last_moment: int) -> Step:
-        if now >= last_moment:
+    def _wait(self, now: int, respond_by: int) -> Step:
+        if now >= respond_by:
             return Respond(GATEWAY_TIMEOUT)
         may_hedge = (
             self.idempotent
@@ -266,5 +277,5 @@
             and self._attempts_sent < self.max_attempts
         )
         if may_hedge and now < self._hedge_at:
-            return Wait(min(self._hedge_at, last_moment))
-        return Wait(last_moment)
+            return Wait(min(self._hedge_at, respond_by))
+        return Wait(respond_by)
