--- a/umbermoor/gateway/config/__init__.py
+++ b/umbermoor/gateway/config/__init__.py
@@ -1,6 +1,6 @@
-"""Reads and validates what a process is told: its settings file and the operator's configurations.
+"""Reads and validates a process's settings file and the operator's configurations.
 
-Open `node_settings.NodeSettings` and `configuration.parse` first. What is invalid comes back as an
-`errors.ValidationError`. cerberus is loaded when something is first checked. This package imports
-no other part of the gateway.
+Start with `node_settings.NodeSettings` and `configuration.parse`. Errors in the input are returned
+as an `errors.ValidationError`. cerberus is imported at the first check. This package imports no
+other part of the gateway except `units`.
 """
--- a/umbermoor/gateway/config/configuration.py
+++ b/umbermoor/gateway/config/configuration.py
@@ -1,12 +1,12 @@
 """Decodes and validates a configuration as the operator sends it (PROTOCOL.md, "The operator").
 
-Open `parse` first. Rejected is what that page calls invalid, what a proxy could not follow (no
-horizon, a prefix without its slashes, two routes in one place, a mix that carries no traffic) and
-what is of another type than shown. Anything else is accepted.
+Start with `parse`. A configuration is rejected if that page calls it invalid, if a proxy could not
+apply it (no horizon, a prefix without its slashes, two routes with the same host and prefix, a mix
+without traffic), or if a value has another type than shown there. Anything else is accepted.
 
-cerberus finds out what is wrong. It takes some 0.4 ms a route, so routes of the usual shape are
-first tried by plain comparisons, which only ever accept: some 7 us a route, the search for equal
-places included.
+cerberus finds the errors. It takes some 0.4 ms per route, so routes are first checked by a fast
+path of plain comparisons, which can only accept: some 7 us per route, including the search for
+duplicate hosts and prefixes. What the fast path does not accept is checked by cerberus.
 """
 
 import json
@@ -20,22 +20,22 @@
 
 ROUTE_KINDS = ("safe", "unsafe")
 REVISION_DIGITS = 8
-MAX_NUMBER = 1e15  # leaves room for microseconds
-MAX_TARGET_LEAD_US = 60_000_000  # a setpoint this far above its horizon is invalid
+MAX_NUMBER = 1e15  # small enough to convert to microseconds
+MAX_TARGET_LEAD_US = 60_000_000  # a setpoint at least this far above its horizon is invalid
 
-# Units of work between two yields of `check_in_steps`, in plain checks.
+# Costs in units of one fast-path check; `check_in_steps` yields after work of `_STEP_COST`.
 _CERBERUS_CHECK_COST = 60
 _STEP_COST = 1_500  # some 10 ms
 
-_NUMBER_TYPES = (int, float)  # bool is none of them
+_NUMBER_TYPES = (int, float)  # bool is excluded
 
 
 class Configuration(NamedTuple):
-    """A configuration that was found valid.
+    """A valid configuration.
 
     Attributes:
-        revision: Its revision as a number.
-        body: The decoded JSON object, which a `RouteTable` is compiled from.
+        revision: The revision as a number.
+        body: The decoded JSON object, from which a `RouteTable` is compiled.
     """
 
     revision: int
@@ -43,7 +43,7 @@
 
 
 def parse(raw: bytes) -> Configuration | ValidationError:
-    """Decodes and validates a body in one go."""
+    """Decode and validate a request body."""
     body = decode(raw)
     if isinstance(body, ValidationError):
         return body
@@ -51,9 +51,11 @@
 
 
 def decode(raw: bytes) -> dict[str, Any] | ValidationError:
-    """The JSON object in a body, not validated further.
+    """Decode a request body that contains a JSON object, without validating it further.
 
-    Returns a `ValidationError` if there is none, if it is cut short, or if it names a key twice.
+    Returns:
+        The object, or a `ValidationError` if the body contains none, if it is truncated, or if a
+        key occurs twice in an object.
     """
     try:
         body = json.loads(
@@ -65,7 +67,7 @@
 
 
 def check(body: object) -> ValidationError | None:
-    """What is wrong with a decoded configuration; None if nothing is."""
+    """Return the first error in a decoded configuration, or None if it is valid."""
     steps = check_in_steps(body)
     while True:
         try:
@@ -75,7 +77,7 @@
 
 
 def check_in_steps(body: object) -> Generator[None, None, ValidationError | None]:
-    """Validates like `check` in steps of 10 to 20 ms, yielding between them."""
+    """Validate like `check`, but in steps of 10 to 20 ms, yielding between them."""
     validators = _validators()
     error = _validate("", validators.document, body)
     if error or not isinstance(body, dict):
@@ -90,11 +92,11 @@
 def _check_services(
     services: Mapping[str, Any], validator: Any
 ) -> Generator[None, None, tuple[ValidationError | None, int]]:
-    """What is wrong with the services, and the cost of the step that is not over yet."""
-    cost = _CERBERUS_CHECK_COST  # of the document itself
+    """Return the first error in the services, and the cost of the unfinished step so far."""
+    cost = _CERBERUS_CHECK_COST  # for the check of the document itself
     for name, service in services.items():
         cost += 1
-        if not _is_usual_service(service):
+        if not _is_plainly_valid_service(service):
             cost += _CERBERUS_CHECK_COST
             if error := _validate(f"service {name}", validator, service):
                 return error, cost
@@ -107,17 +109,17 @@
 def _check_routes(
     routes: Mapping[str, Any], services: Mapping[str, Any], validator: Any, cost: int
 ) -> Generator[None, None, ValidationError | None]:
-    name_by_place: dict[tuple[str, str], str] = {}
+    route_names: dict[tuple[str, str], str] = {}  # by host and prefix
     for name, route in routes.items():
         location = f"route {name}"
         cost += 1
-        if not _is_usual_route(route, services):
+        if not _is_plainly_valid_route(route, services):
             cost += _CERBERUS_CHECK_COST
             error = _validate(location, validator, route)
             if error := error or _find_inconsistency(location, route, services):
                 return error
-        place = normalize_host(route["host"]), route["prefix"]
-        first_name = name_by_place.setdefault(place, name)
+        host_and_prefix = normalize_host(route["host"]), route["prefix"]
+        first_name = route_names.setdefault(host_and_prefix, name)
         if first_name is not name:
             return ValidationError(
                 location, "prefix", f"is in the same place as route {first_name}"
@@ -143,8 +145,8 @@
     raise ValueError(f"{name} is no number")
 
 
-def _is_usual_service(service: Any) -> bool:
-    """Whether a service is surely valid; others may be valid all the same."""
+def _is_plainly_valid_service(service: Any) -> bool:
+    """Whether a service passes the fast path; one that does not may still be valid."""
     return (
         type(service) is dict
         and type(service.get("probe", "")) is str
@@ -154,13 +156,13 @@
     )
 
 
-def _is_usual_route(route: Any, services: Mapping[str, Any]) -> bool:
-    """Whether a route is surely valid; others may be valid all the same."""
+def _is_plainly_valid_route(route: Any, services: Mapping[str, Any]) -> bool:
+    """Whether a route passes the fast path; one that does not may still be valid."""
     if type(route) is not dict:
         return False
     get: Callable[..., Any] = route.get
     host, prefix, horizon, tries = get("host"), get("prefix"), get("horizonS"), get("tries", 1)
-    if not (type(host) is str and host and type(prefix) is str and _is_in_slashes(prefix)):
+    if not (type(host) is str and host and type(prefix) is str and _has_outer_slashes(prefix)):
         return False
     if not (
         get("kind") in ROUTE_KINDS
@@ -170,17 +172,19 @@
         and tries >= 1
     ):
         return False
-    if not (_is_usable_number(get("priority", 0)) and _is_near(get("setpointS", 0), horizon)):
+    if not (
+        _is_usable_number(get("priority", 0)) and _is_valid_setpoint(get("setpointS", 0), horizon)
+    ):
         return False
     service, mix = get("service"), get("mix")
     if service is not None and not (type(service) is str and service in services):
         return False
     if mix is None:
         return service is not None
-    return type(mix) is list and _is_usual_mix(mix, services)
+    return type(mix) is list and _is_plainly_valid_mix(mix, services)
 
 
-def _is_usual_mix(mix: list[Any], services: Mapping[str, Any]) -> bool:
+def _is_plainly_valid_mix(mix: list[Any], services: Mapping[str, Any]) -> bool:
     total_gain = 0
     for part in mix:
         if type(part) is not dict:
@@ -199,12 +203,12 @@
     return type(value) in _NUMBER_TYPES and -MAX_NUMBER <= value <= MAX_NUMBER
 
 
-def _is_in_slashes(prefix: str) -> bool:
+def _has_outer_slashes(prefix: str) -> bool:
     return prefix[:1] == "/" == prefix[-1:]
 
 
-def _is_near(setpoint: Any, horizon: float) -> bool:
-    """Whether a setpoint is a usable number less than a minute above its horizon."""
+def _is_valid_setpoint(setpoint: Any, horizon: float) -> bool:
+    """Whether a setpoint is a usable number that is less than a minute above its horizon."""
     if not _is_usable_number(setpoint):
         return False
     if setpoint <= horizon:
@@ -217,16 +221,16 @@
         return ValidationError(location, "", "must be a table")
     valid = validator.validate(table, normalize=False)
     error = None if valid else first_cerberus_error(location, validator.errors)
-    validator.document = None  # lets the table be freed
+    validator.document = None  # so that the table can be garbage collected
     return error
 
 
 def _find_inconsistency(
     location: str, route: Mapping[str, Any], services: Mapping[str, Any]
 ) -> ValidationError | None:
-    """What is wrong between the fields of a route that are each well formed."""
+    """Return the first inconsistency between fields of a route that are each well formed."""
     horizon, setpoint = route["horizonS"], route.get("setpointS")
-    if setpoint is not None and not _is_near(setpoint, horizon):
+    if setpoint is not None and not _is_valid_setpoint(setpoint, horizon):
         return ValidationError(
             location, "setpointS", f"{setpoint} is a minute or more above horizonS, {horizon}"
         )
@@ -253,11 +257,11 @@
     route: Any
 
 
-def _rule(holds: Callable[[Any], bool], reason: str) -> Callable[[str, Any, Any], None]:
-    """A rule for cerberus' `check_with` that passes over null, which other rules judge."""
+def _rule(is_valid: Callable[[Any], bool], reason: str) -> Callable[[str, Any, Any], None]:
+    """Make a function for cerberus' `check_with` that ignores null, which other rules check."""
 
     def check_value(field: str, value: Any, error: Any) -> None:
-        if value is not None and not holds(value):
+        if value is not None and not is_valid(value):
             error(field, reason)
 
     return check_value
@@ -269,7 +273,7 @@
 
 _USABLE = _rule(_is_usable_number, "must be a finite number")
 _ABOVE_ZERO = _rule(lambda value: value > 0, "must be above 0")
-_IN_SLASHES = _rule(_is_in_slashes, "must begin and end with a slash")
+_OUTER_SLASHES = _rule(_has_outer_slashes, "must begin and end with a slash")
 _REVISION = _rule(_is_revision, "must be eight hexadecimal digits")
 
 _NAME = {"type": "string", "required": True, "empty": False}
@@ -299,7 +303,7 @@
 }
 _ROUTE_SCHEMA = {
     "host": _NAME,
-    "prefix": _NAME | {"check_with": _IN_SLASHES},
+    "prefix": _NAME | {"check_with": _OUTER_SLASHES},
     "kind": {"type": "string", "required": True, "allowed": list(ROUTE_KINDS)},
     "horizonS": {"type": "number", "required": True, "check_with": [_USABLE, _ABOVE_ZERO]},
     "setpointS": _OPTIONAL_NUMBER,
--- a/umbermoor/gateway/config/errors.py
+++ b/umbermoor/gateway/config/errors.py
@@ -1,4 +1,4 @@
-"""What is wrong with settings or a configuration, as a value that is returned and not raised."""
+"""Validation errors of settings and configurations, as values that are returned, not raised."""
 
 from typing import Any, NamedTuple
 
@@ -7,12 +7,12 @@
 
 
 class ValidationError(NamedTuple):
-    """The first thing found wrong with a document; its text is one line.
+    """The first error found in a document; its string form is a single line.
 
     Attributes:
-        location: What holds the key: "route r-1", "service a", "settings"; "" for the document.
-        key: The key, dotted where it lies deeper ("mix.0.gain"); "" where there is none.
-        reason: What is wrong with it.
+        location: What contains the key: "route r-1", "service a", "settings"; "" for the document.
+        key: The key, as a dotted path if it is nested ("mix.0.gain"); "" if there is none.
+        reason: A description of the error.
     """
 
     location: str
@@ -27,7 +27,7 @@
 
 
 def first_cerberus_error(location: str, errors: Any) -> ValidationError:
-    """The first of the `errors` of a cerberus validator, which are dicts and lists, nested."""
+    """Return the first error in the nested dicts and lists of a cerberus validator's `errors`."""
     keys = []
     while not isinstance(errors, str):
         if isinstance(errors, dict):
--- a/umbermoor/gateway/config/node_settings.py
+++ b/umbermoor/gateway/config/node_settings.py
@@ -1,9 +1,9 @@
-"""The start settings of one process, read from its TOML settings file.
+"""The startup settings of one process, read from its TOML settings file.
 
-`NodeSettings` is the type to open first. `parse_node_settings` is the only place where the file's
-keys (DEPLOY.md, "What a process is told") are read; from there on the fields carry the gateway's
-own names, and every time is a whole number of microseconds. What is wrong with a file is returned
-as a `ValidationError`, not raised. cerberus is loaded when a file is first checked.
+Start with `NodeSettings`. `parse_node_settings` is the only place that reads the file's keys
+(DEPLOY.md, "What a process is told"); the fields have the gateway's own names, and every time is a
+whole number of microseconds. An error in a file is returned as a `ValidationError`, not raised.
+cerberus is imported when a file is first checked.
 """
 
 import math
@@ -24,32 +24,32 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What the settings file says; unknown keys are skipped, absent ones have the defaults here.
+    """The contents of a settings file; unknown keys are ignored, missing ones get these defaults.
 
     Attributes:
         name: Name of this process, unique in the system.
-        role: The role that the deployment gives it.
-        machine_class: The class of machine that it runs on.
+        role: The role that the deployment assigns to it.
+        machine_class: The class of the machine that it runs on.
         ip: The address that its own sockets listen on.
         zone: The zone that it runs in.
-        port_range: First and last of the ports free for the gateway's own use.
-        region: The region that the zone lies in.
-        serves: The duties that the deployment gives it.
-        seeds: Control addresses of controllers to meet first, as "ip:port".
+        port_range: The first and the last port reserved for the gateway's own use.
+        region: The region that the zone belongs to.
+        serves: The functions that the deployment assigns to it.
+        seeds: Control addresses of controllers to contact first, as "ip:port".
         cold_start: Whether the whole system starts for the first time.
-        quorum_member: Whether this controller belongs to the replica set.
-        data_dir: The directory that it may keep data in; None where it has no disk.
+        quorum_member: Whether this controller is a member of the replica set.
+        data_dir: The directory for its data; None if it has no disk.
         heartbeat_interval_us: Time between two heartbeats of an instance, in microseconds.
-        invariants: The invariants that the deployment asks for.
-        margins: Tuning values by name; times are in seconds.
+        invariants: The invariants that the deployment requires.
+        margins: Tuning parameters by name; times are in seconds.
         zones: The region of each zone.
-        listen: Addresses to serve on, by "front", "ready" and "control": whichever are there.
+        listen: Addresses to listen on, by "front", "ready" and "control", as far as configured.
         memory_mb: Memory that the process may use, in MiB.
         descriptors: File descriptors that it may open.
-        cpu_share: Share of one core's time that it may use.
-        cores: Cores of its machine.
+        cpu_share: Fraction of one core's time that it may use.
+        cores: Number of cores of its machine.
         disk_mb: Disk space that it may use, in MiB.
-        tolerated_machine_losses: Machines of quorum members that may be lost at once.
+        tolerated_machine_losses: Machines of quorum members that may fail at the same time.
     """
 
     name: str
@@ -77,19 +77,21 @@
     tolerated_machine_losses: int = 0
 
     def margin(self, name: str, default: MarginValue) -> MarginValue:
-        """The value of a margin as written, or `default` where there is none."""
+        """Return the configured value of a margin, or `default` if it is not configured."""
         return self.margins.get(name, default)
 
     def margin_us(self, name: str, default_s: float) -> int:
-        """A margin that is a time, in microseconds; the default is in seconds."""
+        """Return a margin that is a time, in microseconds; the default is in seconds."""
         value = self.margins.get(name, default_s)
         return to_microseconds(default_s if isinstance(value, bool) else value)
 
 
 def read_node_settings(path: str) -> NodeSettings | ValidationError:
-    """Reads the file at `path`.
+    """Read the settings file at `path`.
 
-    Returns a `ValidationError` if it cannot be read, is no TOML, or a key is missing or invalid.
+    Returns:
+        The settings, or a `ValidationError` if the file cannot be read, if it is not TOML, or if a
+        key is missing or invalid.
     """
     try:
         with open(path, "rb") as file:
@@ -100,7 +102,7 @@
 
 
 def parse_node_settings(raw: bytes) -> NodeSettings | ValidationError:
-    """The settings in the bytes of a settings file, or the first thing that is wrong with them."""
+    """Parse the bytes of a settings file; return the settings, or the first error in them."""
     try:
         table = tomllib.loads(raw.decode())
     except (ValueError, RecursionError) as error:
@@ -121,7 +123,7 @@
 
 
 def _optional_fields(table: Mapping[str, Any]) -> dict[str, Any]:
-    """Those of the optional fields that a valid table states."""
+    """Return the optional fields that are present in a valid table."""
     envelope = table.get("envelope", {})
     period_s = table.get("periodS")
     fields: dict[str, Any] = {
@@ -156,9 +158,10 @@
 
 
 def _margins(texts: list[str] | str) -> dict[str, MarginValue]:
-    """Margins by name, from "name=value" texts; values that are no numbers are skipped.
+    """Return margins by name from "name=value" strings.
 
-    Those may be for a later reader of the same file.
+    Values that are neither finite numbers nor booleans are ignored: they may be meant for another
+    reader of the same file, such as a later release.
     """
     margins: dict[str, MarginValue] = {}
     for text in texts.split(",") if isinstance(texts, str) else texts:
@@ -186,7 +189,7 @@
         error(field, f"must be ip:port, not {value!r}")
 
 
-def _check_ascending(field: str, value: list[int], error: Any) -> None:
+def _check_not_descending(field: str, value: list[int], error: Any) -> None:
     if len(value) == 2 and value[0] > value[1]:
         error(field, "must not fall")
 
@@ -212,7 +215,7 @@
         "minlength": 2,
         "maxlength": 2,
         "schema": _PORT,
-        "check_with": _check_ascending,
+        "check_with": _check_not_descending,
     },
     "serves": _TEXTS,
     "seeds": {"type": "list", "schema": _ADDRESS},
--- a/umbermoor/gateway/config/quantities.py
+++ b/umbermoor/gateway/config/quantities.py
@@ -1,15 +1,15 @@
-"""Times and host names in the form that the gateway keeps them in."""
+"""Conversion of times and host names to the gateway's internal form."""
 
 from umbermoor.gateway.units import SECOND
 
 
 def to_microseconds(seconds: float) -> int:
-    """Seconds as whole microseconds, rounded to the nearest."""
+    """Return seconds as whole microseconds, rounded to the nearest."""
     return round(seconds * SECOND)
 
 
 def normalize_host(host: str) -> str:
-    """A `Host` header's value in lower case, without its port."""
+    """Return the value of a `Host` header in lower case and without its port."""
     host = host.strip().lower()
     if host.startswith("["):  # an IPv6 address
         return host.partition("]")[0] + "]"
--- a/umbermoor/gateway/routing/__init__.py
+++ b/umbermoor/gateway/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Chooses the route of a configuration that a request takes, by its host and path.
+"""Routing: selects the route of a request by its host and path.
 
-Open `route_table.RouteTable` first. This package imports `config.quantities` only.
+Start with `route_table.RouteTable`. This package imports `config.quantities` only.
 """
--- a/umbermoor/gateway/routing/route_table.py
+++ b/umbermoor/gateway/routing/route_table.py
@@ -1,6 +1,6 @@
-"""Routes compiled from a validated configuration; a request's host and path pick one of them.
+"""Routes compiled from a validated configuration, looked up by a request's host and path.
 
-Open `RouteTable` first. The configuration's keys are read here and nowhere else in the data plane.
+Start with `RouteTable`. No other module of the data plane reads the configuration's keys.
 """
 
 from collections.abc import Iterator, Mapping
@@ -15,13 +15,13 @@
 
 
 class ClientLimits(NamedTuple):
-    """What a client may send and how long it may take: the "envelope" of PROTOCOL.md.
+    """Limits on client requests: the "envelope" of PROTOCOL.md.
 
     Attributes:
-        header_bytes: Most bytes of a request's head.
-        body_bytes: Most bytes of a request's body.
-        header_timeout_us: Longest time to send a head, in microseconds.
-        idle_timeout_us: Longest time that a connection may stay idle, in microseconds.
+        header_bytes: Maximum size of a request's head, in bytes.
+        body_bytes: Maximum size of a request's body, in bytes.
+        header_timeout_us: Maximum time to send a head, in microseconds.
+        idle_timeout_us: Maximum time that a connection may stay idle, in microseconds.
     """
 
     header_bytes: int = 16_384
@@ -31,14 +31,14 @@
 
 
 class Service(NamedTuple):
-    """What holds for all instances of a service.
+    """Properties that all instances of a service share.
 
     Attributes:
         name: Its name in the configuration.
-        health_check_path: The path that answers whether an instance is healthy.
-        max_connections: Connections that an instance accepts from all callers together.
+        health_check_path: The path of an instance's health check.
+        max_connections: Connections that an instance accepts from all clients together.
         protocol: The protocol that instances speak, such as "h1".
-        tls: Whether they speak it over TLS.
+        tls: Whether they use it over TLS.
     """
 
     name: str
@@ -49,18 +49,18 @@
 
 
 class Route:
-    """Where requests of one host and prefix go, and what may be done with them.
+    """The route of the requests for one host and path prefix.
 
     Attributes:
         name: Its name in the configuration.
-        host: In lower case, without port.
-        prefix: Of the path; begins and ends with a slash.
-        idempotent: Whether a request may run more than once ("safe").
-        timeout_us: Longest time that a request may be held ("horizonS"), in microseconds.
-        latency_target_us: A response within it earns its full value ("setpointS"), in
-            microseconds; the timeout where none is stated.
-        priority: 0 is highest.
-        max_attempts: Most instances that one request may go to ("tries").
+        host: The host in lower case, without a port.
+        prefix: The path prefix; it begins and ends with a slash.
+        idempotent: Whether a request may be executed more than once ("safe").
+        timeout_us: Maximum time until a request is answered ("horizonS"), in microseconds.
+        latency_target_us: The response time up to which a response has its full value
+            ("setpointS"), in microseconds; the timeout if none is configured.
+        priority: The priority; 0 is the highest.
+        max_attempts: Maximum number of instances that one request is sent to ("tries").
         weighted_services: Services and their weights ("mix").
     """
 
@@ -105,7 +105,7 @@
         self.weighted_services = weighted_services
 
     def service_for(self, draw: float) -> str:
-        """The service for a number drawn evenly from 0 up to 1."""
+        """Return the service for a random number drawn uniformly from [0, 1)."""
         for service, weight in self.weighted_services:
             if draw < weight:
                 return service
@@ -117,9 +117,9 @@
 
 
 class RouteTable:
-    """A configuration as proxies use it; never changed once built.
+    """An immutable configuration in the form that proxies use.
 
-    Takes about 0.5 KB a route, texts included.
+    It takes about 0.5 KB of memory per route, strings included.
     """
 
     __slots__ = (
@@ -132,9 +132,12 @@
     )
 
     def __init__(self, body: Mapping[str, Any]) -> None:
-        """Compiles a decoded configuration that `configuration.check` found valid.
+        """Compile a decoded configuration that `configuration.check` found valid.
 
-        Keeps its texts, not its tables. Raises KeyError, TypeError or ValueError on an invalid one.
+        The table keeps the configuration's strings but not its dicts.
+
+        Raises:
+            KeyError, TypeError, ValueError: The configuration is invalid.
         """
         self.revision_text: str = body["revision"]
         self.revision = int(self.revision_text, 16)
@@ -144,7 +147,7 @@
         self.client_limits = _client_limits(body.get("envelope") or {})
         self._routes_by_host: dict[str, dict[str, Route]] = {}
         self._longest_prefix = 0
-        hosts: dict[str, str] = {}  # equal hosts and mixes are kept once
+        hosts: dict[str, str] = {}  # equal hosts and mixes share one object
         mixes: dict[WeightedServices, WeightedServices] = {}
         for name, table in body["routes"].items():
             host = hosts.get(table["host"])
@@ -156,10 +159,10 @@
             self._longest_prefix = max(self._longest_prefix, len(route.prefix))
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of this host with the longest prefix of the path; None where there is none.
+        """Return the route of this host with the longest prefix of the path, or None.
 
-        The host may carry a port and capitals; a query is ignored. Takes a few microseconds,
-        however many routes there are.
+        The host may contain a port and capital letters; a query in the path is ignored. This takes
+        a few microseconds regardless of the number of routes.
         """
         routes = self._routes_by_host.get(host) or self._routes_by_host.get(normalize_host(host))
         if routes is None:
@@ -183,7 +186,11 @@
 
 
 def is_newer(revision: str | int | None, other: str | int | None) -> bool:
-    """Whether `revision` is above `other`: hexadecimal digits or a number, None where none is."""
+    """Whether `revision` is newer than `other`.
+
+    Each is a string of hexadecimal digits or a number; None stands for no revision, which is older
+    than any other.
+    """
     return _revision_number(revision) > _revision_number(other)
 
 
@@ -217,13 +224,13 @@
 
 
 def _client_limits(table: Mapping[str, Any]) -> ClientLimits:
-    stated = {
+    configured = {
         "header_bytes": _optional_int(table.get("headerBytes")),
         "body_bytes": _optional_int(table.get("bodyBytes")),
         "header_timeout_us": _optional_microseconds(table.get("headerS")),
         "idle_timeout_us": _optional_microseconds(table.get("idleS")),
     }
-    return ClientLimits(**{name: value for name, value in stated.items() if value is not None})
+    return ClientLimits(**{name: value for name, value in configured.items() if value is not None})
 
 
 def _optional_int(number: float | None) -> int | None:
--- a/umbermoor/gateway/units.py
+++ b/umbermoor/gateway/units.py
@@ -1,4 +1,4 @@
-"""Units of time: the gateway counts time in whole microseconds, unless a name says otherwise."""
+"""Units of time: the gateway counts in whole microseconds unless a name says otherwise."""
 
 MILLISECOND = 1_000
 """One millisecond in microseconds."""
