--- a/umbermoor/gateway/discovery/__init__.py
+++ b/umbermoor/gateway/discovery/__init__.py
@@ -1,7 +1,7 @@
-"""Service discovery: which instances of the services there are, by their heartbeats.
+"""Service discovery: a registry of the instances of each service, based on their heartbeats.
 
 Start with `registry.InstanceRegistry`, the table that a controller keeps, and
-`registry.InstanceRecord`, one instance in it. The package imports nothing of the gateway and does
-no I/O. Records merge like a state-based CRDT (Shapiro et al., 2011): `registry.superseding` is the
-join, so controllers and proxies converge in whatever order updates reach them.
+`registry.InstanceRecord`, one instance in it. The package imports no other part of the gateway and
+does no I/O. Records merge as a state-based CRDT (Shapiro et al., 2011): `registry.superseding` is
+the join, so controllers and proxies converge whatever the order in which updates reach them.
 """
--- a/umbermoor/gateway/discovery/registry.py
+++ b/umbermoor/gateway/discovery/registry.py
@@ -1,22 +1,24 @@
-"""The instances that one controller knows, from heartbeats and from what other controllers sent.
+"""The instances known to one controller, from heartbeats and from updates of other controllers.
 
-Records merge without a clock: a later sample wins, and draining or leaving stands for that
-incarnation of the instance. Every change gets the next sequence number of this registry, so a
-reader asks for what came after the number it holds.
+Records merge without a clock: the later sample wins, and the states draining and gone are final for
+an incarnation of an instance. Every change gets the next sequence number of the registry, so a
+reader can request the changes after the last number that it has received.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 from typing import Any
 
-# States of a record; of two records with one sample the one with the higher state wins.
+# States of a record. Of two records with the same sample, the one with the higher state wins.
 READY, SILENT, DRAINING, GONE = range(4)
-STATE_NAMES = "ready", "silent", "draining", "gone"  # as operators read them
-HEARTBEAT_STATES = {"ready": READY, "draining": DRAINING}  # as a heartbeat names them
-SILENT_AFTER_PERIODS = 3.4  # heartbeat periods without a heartbeat until an instance is silent
-# A controller that was cut off publishes nothing that it has not heard of for so long.
+STATE_NAMES = "ready", "silent", "draining", "gone"  # as shown to operators
+HEARTBEAT_STATES = {"ready": READY, "draining": DRAINING}  # as named in heartbeats
+SILENT_AFTER_PERIODS = 3.4  # an instance is silent after so many periods without a heartbeat
+# After a disconnection a controller drops the records of instances that it has received nothing
+# about for this long.
 STALE_AFTER_US = 30_000_000
-# How long a departed instance is remembered: longer than any update about it is under way.
+# How long the record of a departed instance is kept: longer than any update about it can be in
+# transit.
 TOMBSTONE_RETENTION_US = 40_000_000
 MAX_RECORDS = 20_000
 MAX_FIELD_LENGTH = 200  # characters
@@ -34,13 +36,13 @@
     address: str  # ip:port
     zone: str
     revision: str  # the version of the service that it runs
-    capacity: int  # requests at a time
+    capacity: int  # maximum number of concurrent requests
     state: int  # READY, SILENT, DRAINING or GONE
-    warmup_us: int  # how much longer it was warming up when this sample was sent
-    sample: int  # rises with each heartbeat
+    warmup_us: int  # remaining warm-up time when this sample was sent
+    sample: int  # sequence number that rises with each heartbeat
 
     def to_wire(self) -> list[Any]:
-        """The record as controllers send it to each other and to proxies."""
+        """Return the record in the form that controllers send to each other and to proxies."""
         return [
             self.id,
             self.service,
@@ -58,7 +60,7 @@
 
 
 def record_from_wire(value: Any) -> InstanceRecord | None:
-    """Decodes what `InstanceRecord.to_wire` made; None if it is malformed."""
+    """Decode the result of `InstanceRecord.to_wire`; return None if it is malformed."""
     if (
         not isinstance(value, list)
         or len(value) != len(WIRE_TYPES)
@@ -69,7 +71,11 @@
 
 
 def record_from_heartbeat(id: str, body: Any) -> InstanceRecord | str:
-    """Decodes the JSON body of an instance's heartbeat; returns a line that names what is wrong."""
+    """Decode the JSON body of an instance's heartbeat.
+
+    Returns:
+        The record, or a line that describes the first error in the body.
+    """
     if not isinstance(body, dict):
         return "a beat is a table"
     for key in ("service", "address", "zone", "revision"):
@@ -108,14 +114,14 @@
 
 
 def superseding(old: InstanceRecord | None, new: InstanceRecord) -> InstanceRecord | None:
-    """The join of two records of one instance; None where that is the old one."""
+    """Return the join of two records of one instance, or None if that is the old record."""
     if old is None:
         return new
     if old.state == GONE:
         return None
     if new.state == GONE:
         return replace(old, state=GONE, sample=max(old.sample, new.sample))
-    if old.state == DRAINING:  # an incarnation that drains does not become ready again
+    if old.state == DRAINING:  # a draining incarnation never becomes ready again
         return replace(new, state=DRAINING) if new.sample > old.sample else None
     if new.state == DRAINING:
         return new if new.sample >= old.sample else replace(old, state=DRAINING)
@@ -126,22 +132,22 @@
     """The records of one controller, by instance id.
 
     Attributes:
-        incarnation: tells this registry's sequence numbers from those of an earlier process.
-        sequence: number of the newest change.
-        urgent_sequence: number of the newest change that is to be published at once.
-        durable_sequence: number of the newest change worth keeping over a restart.
+        incarnation: Distinguishes this registry's sequence numbers from those of earlier processes.
+        sequence: The sequence number of the newest change.
+        urgent_sequence: The number of the newest change that must be published immediately.
+        durable_sequence: The number of the newest change that should survive a restart.
     """
 
     def __init__(self, incarnation: int, heartbeat_period_us: int) -> None:
         self.incarnation, self._heartbeat_period_us = incarnation, heartbeat_period_us
         self.sequence = self.urgent_sequence = self.durable_sequence = 0
         self.records: dict[str, InstanceRecord] = {}
-        self._sequences: dict[str, int] = {}  # of each record's last change
-        self._changed_at: dict[str, int] = {}  # when each record last changed here (us)
+        self._sequences: dict[str, int] = {}  # sequence number of each record's last change
+        self._changed_at: dict[str, int] = {}  # when each record last changed in this registry (us)
         self._connected_since: int | None = None
 
     def observe(self, now: int, record: InstanceRecord) -> bool:
-        """Takes a record of a heartbeat or of another controller; whether it changed anything."""
+        """Merge a record of a heartbeat or of another controller; return whether it was new."""
         old = self.records.get(record.id)
         merged = superseding(old, record)
         if merged is None or (old is None and len(self.records) >= MAX_RECORDS):
@@ -158,14 +164,14 @@
         return True
 
     def snapshot(self) -> list[list[Any]]:
-        """What a controller that starts again begins with: the records of those not gone.
+        """Return the records that a restarted controller begins with: those that are not gone.
 
-        Heartbeats correct what has changed since.
+        Heartbeats correct whatever has changed since the snapshot.
         """
         return [record.to_wire() for record in self.records.values() if record.state != GONE]
 
     def mark_gone(self, now: int, id: str) -> InstanceRecord:
-        """Notes that an instance said that it leaves; returns what is to be told of it."""
+        """Record that an instance announced its departure; return the record to publish."""
         old = self.records.get(id)
         gone = (
             replace(old, state=GONE) if old else InstanceRecord(id, "", "", "", "", 1, GONE, 0, 0)
@@ -174,19 +180,19 @@
         return gone
 
     def last_changed_at(self, id: str) -> int:
-        """When the record of a known instance last changed here, in microseconds."""
+        """Return when the record of a known instance last changed here, in microseconds."""
         return self._changed_at[id]
 
     def changes_after(self, sequence: int) -> list[list[Any]]:
-        """The records that changed after that sequence number, the newest last, for the wire."""
+        """Return the records that changed after a sequence number, newest last, in wire form."""
         changed = [(at, id) for id, at in self._sequences.items() if at > sequence]
         return [self.records[id].to_wire() for _, id in sorted(changed)]
 
     def tick(self, now: int, connected: bool) -> None:
-        """Marks instances as silent and forgets old ones.
+        """Mark instances without heartbeats as silent, and remove old records.
 
-        Silence counts only while this controller is connected to a majority: one that is cut off
-        does not hear the heartbeats that the others take.
+        An instance becomes silent only while this controller is connected to a majority: a
+        disconnected controller does not receive the heartbeats that the other controllers accept.
         """
         if not connected:
             self._connected_since = None
@@ -194,16 +200,16 @@
         if self._connected_since is None:
             self._connected_since = now
             self._forget_stale(now)
-        silent_after = round(SILENT_AFTER_PERIODS * self._heartbeat_period_us)
+        silent_after_us = round(SILENT_AFTER_PERIODS * self._heartbeat_period_us)
         for id, changed_at in list(self._changed_at.items()):
-            record, quiet = self.records[id], now - max(changed_at, self._connected_since)
-            if record.state == READY and quiet > silent_after:
+            record, unchanged_us = self.records[id], now - max(changed_at, self._connected_since)
+            if record.state == READY and unchanged_us > silent_after_us:
                 self.observe(now, replace(record, state=SILENT))
-            elif record.state != READY and quiet > TOMBSTONE_RETENTION_US:
+            elif record.state != READY and unchanged_us > TOMBSTONE_RETENTION_US:
                 self._forget(id)
 
     def _forget_stale(self, now: int) -> None:
-        """The others may have forgotten by now that such an instance is gone."""
+        """Remove old records: other controllers may already have dropped their tombstones."""
         for id, changed_at in list(self._changed_at.items()):
             if now - changed_at > STALE_AFTER_US and self.records[id].state < DRAINING:
                 self._forget(id)
@@ -215,7 +221,7 @@
 def merge_records(
     records: Iterable[InstanceRecord], table: dict[str, InstanceRecord]
 ) -> list[InstanceRecord]:
-    """Merges records into a table; returns those that changed it, as they now are."""
+    """Merge records into a table; return the merged records that changed it."""
     changed = []
     for record in records:
         merged = superseding(table.get(record.id), record)
--- a/umbermoor/gateway/distribution/deltas.py
+++ b/umbermoor/gateway/distribution/deltas.py
@@ -1,9 +1,9 @@
-"""Long texts sent as their difference to one that the other side holds.
+"""Delta encoding of long texts against texts that the receiver already has.
 
 A delta is a zstd frame with the base text as its dictionary (RFC 8878; zstd's patch-from). A digest
-of the whole text proves what comes out, so a base that is not the one that was meant does no harm.
-`DeltaCodec` replaces the long texts in messages, `DeltaChannel` carries a replica's messages with
-it. No I/O.
+of the whole text verifies the result, so applying a delta to the wrong base does no harm.
+`DeltaCodec` replaces the long texts in messages, and `DeltaChannel` uses it for the messages of a
+replica. No I/O.
 """
 
 import base64
@@ -14,31 +14,31 @@
 
 import zstandard
 
-MIN_TEXT_LENGTH = 1024  # characters from which a text is replaced
+MIN_TEXT_LENGTH = 1024  # in characters; shorter texts are not replaced
 MAX_TEXT_BYTES = 8 << 20
-MAX_TEXTS = 8  # that are cached; the two newest always are
+MAX_TEXTS = 8  # in the cache, which always keeps the two newest
 MAX_CACHED_CHARACTERS = 12 << 20
-MAX_PEER_DIGESTS = 2 * MAX_TEXTS  # remembered of each peer
+MAX_PEER_DIGESTS = 2 * MAX_TEXTS  # stored per peer
 MAX_DIGEST_LENGTH = 64  # characters
-MAX_CACHED_DELTAS = 16  # kept for other peers that lack the same
-MESSAGES_PER_GREETING = 16  # to a peer that does not answer greetings
+MAX_CACHED_DELTAS = 16  # cached for other peers that need the same delta
+MESSAGES_PER_ANNOUNCEMENT = 16  # to a peer that has not announced its texts
 MAX_PEERS = 128
 DIGEST_BYTES = 12
 MIN_WINDOW_LOG, MIN_HASH_LOG = 10, 6  # of zstd
 COMPRESSION_LEVEL = 1
-# The kinds of the replica's messages that carry values, and so long texts.
+# The kinds of replica messages that contain values and thus possibly long texts.
 KINDS_WITH_TEXTS = {"put", "append", "newview", "promise", "map", "news"}
-TEXT_KEY = "~text"  # of what stands for a text in a message: [digest] or [digest, base, delta]
+TEXT_KEY = "~text"  # key of the reference to a text: [digest] or [digest, base digest, delta]
 
 Frame = dict[str, Any]
 
 
 class MissingTextError(Exception):
-    """A message refers to a text that is not held here."""
+    """A message refers to a text that is not in the cache."""
 
 
 def text_digest(text: str) -> str:
-    """A digest of a text, in hexadecimal digits."""
+    """Return the digest of a text in hexadecimal digits."""
     return blake2b(_to_bytes(text), digest_size=DIGEST_BYTES).hexdigest()
 
 
@@ -47,9 +47,9 @@
 
 
 def encode_delta(base: str, text: str) -> str:
-    """The difference from one text to the other, in base64.
+    """Return the delta from a base text to another text, in base64.
 
-    Takes some 7 ms for two texts of 1.7 MB and 0.5 ms for 240 kB: about linear.
+    This takes some 7 ms for two texts of 1.7 MB and 0.5 ms for 240 kB, so it is about linear.
     """
     old, new = _to_bytes(base), _to_bytes(text)
     window_log = max(MIN_WINDOW_LOG, (len(old) + len(new)).bit_length())
@@ -67,7 +67,7 @@
 
 
 def apply_delta(base: str, delta: str, digest: str) -> str | None:
-    """The text that the delta was made for; None if it does not come out as the digest says."""
+    """Apply a delta to a base text; return None if the result does not match the digest."""
     try:
         frame = base64.b64decode(delta, validate=True)
         size = zstandard.get_frame_parameters(frame).content_size
@@ -88,16 +88,16 @@
 
 
 class TextCache:
-    """The newest long texts, by digest; bounded in number and size."""
+    """A cache of the most recent long texts by digest, bounded in number and size."""
 
     def __init__(self) -> None:
-        # By text, the newest last: a string keeps its hash, so a known text is found at no cost.
+        # Digests by text, newest last. Strings cache their hash, so finding a known text is cheap.
         self._digests: OrderedDict[str, str] = OrderedDict()
         self._texts: dict[str, str] = {}
         self._characters = 0
 
     def add(self, text: str) -> str:
-        """Its digest; it counts as the newest."""
+        """Add a text, or mark it as the newest one; return its digest."""
         if digest := self._digests.get(text):
             self._digests.move_to_end(text)
             return digest
@@ -114,19 +114,19 @@
         return len(self._digests) > MAX_TEXTS or self._characters > MAX_CACHED_CHARACTERS
 
     def get(self, digest: Any) -> str | None:
-        """The text of that digest, if it is held; None also for what is no digest."""
+        """Return the text with a digest; None if it is not cached or the argument is no digest."""
         return self._texts.get(digest) if isinstance(digest, str) else None
 
     def digests(self) -> list[str]:
-        """The digests of the texts held, the newest first."""
+        """Return the digests of the cached texts, newest first."""
         return list(reversed(self._digests.values()))
 
 
 class DeltaCodec:
-    """Replaces long texts in messages to other processes, and restores them in theirs.
+    """Replaces long texts in messages to peers, and restores them in messages from peers.
 
-    What a peer holds is known by what it announced, and by what was sent to it and came from it
-    since. One that never announced anything gets its texts whole.
+    The texts that a peer has are known from its announcement and from the messages sent to it and
+    received from it since. A peer that never announced anything is sent whole texts.
 
     >>> one, other = DeltaCodec(), DeltaCodec()
     >>> text = "route, " * 1000
@@ -146,12 +146,12 @@
 
     def __init__(self) -> None:
         self.texts = TextCache()
-        # The digests that each peer holds; in both, the newest is last.
+        # The digests of the texts that each peer has; peers and digests are ordered newest last.
         self._peer_digests: OrderedDict[str, OrderedDict[str, None]] = OrderedDict()
         self._deltas: OrderedDict[tuple[str, str], str] = OrderedDict()
 
     def peer_announced(self, peer: str, digests: Iterable[Any]) -> None:
-        """A peer holds these texts, the newest first, and no others."""
+        """Record that a peer has the texts with these digests, newest first, and no others."""
         valid = [digest for digest in digests if _is_digest(digest)][:MAX_PEER_DIGESTS]
         self._peer_digests[peer] = OrderedDict.fromkeys(reversed(valid))
         self._peer_digests.move_to_end(peer)
@@ -159,15 +159,18 @@
             self._peer_digests.popitem(last=False)
 
     def is_announced(self, peer: str) -> bool:
-        """Whether it is known what that peer holds."""
+        """Whether a peer has announced its texts."""
         return peer in self._peer_digests
 
     def forget_peer(self, peer: str) -> None:
-        """What was sent to it may not have come, and it may be another process by now."""
+        """Forget which texts a peer has.
+
+        Messages sent to it may have been lost, and it may have been replaced by another process.
+        """
         self._peer_digests.pop(peer, None)
 
     def encode(self, peer: str, value: Any) -> Any:
-        """A copy of the value in which the long texts that the peer needs not are replaced."""
+        """Return a copy of a value with long texts replaced by references or deltas if possible."""
         if isinstance(value, str):
             return self._encode_text(peer, value) if len(value) >= MIN_TEXT_LENGTH else value
         if isinstance(value, dict):
@@ -177,16 +180,16 @@
         return value
 
     def decode(self, peer: str, value: Any) -> Any:
-        """The value as the peer had it before it was encoded.
+        """Return the value that the peer encoded.
 
         Raises:
-            MissingTextError: It refers to a text that is not held here.
+            MissingTextError: The value refers to a text that is not in the cache.
         """
         if isinstance(value, str):
             if len(value) < MIN_TEXT_LENGTH:
                 return value
             digest = self.texts.add(value)
-            self._note_held(peer, digest)
+            self._add_peer_digest(peer, digest)
             return self.texts.get(digest)
         if isinstance(value, dict):
             if TEXT_KEY in value:
@@ -197,8 +200,10 @@
         return value
 
     def make_delta(self, base_digest: Any, text: str) -> list[str] | None:
-        """[digest, base digest, delta] of a text for one who holds the base; None if the base is
-        not held here."""
+        """Return [digest, base digest, delta] of a text, for a receiver that has the base.
+
+        Returns None if the base is not in the cache.
+        """
         base, digest = self.texts.get(base_digest), self.texts.add(text)
         if base is None:
             return None
@@ -211,16 +216,16 @@
 
     def _encode_text(self, peer: str, text: str) -> Any:
         digest = self.texts.add(text)
-        held = self._peer_digests.get(peer)
-        if held is None:
+        peer_digests = self._peer_digests.get(peer)
+        if peer_digests is None:
             return text
-        if digest in held:
-            held.move_to_end(digest)
+        if digest in peer_digests:
+            peer_digests.move_to_end(digest)
             return {TEXT_KEY: [digest]}
-        bases = (base for base in reversed(held) if self.texts.get(base) is not None)
+        bases = (base for base in reversed(peer_digests) if self.texts.get(base) is not None)
         base = next(bases, None)
         delta = self.make_delta(base, text) if base else None
-        self._note_held(peer, digest)
+        self._add_peer_digest(peer, digest)
         if delta is None or 2 * len(delta[2]) > len(text):
             return text
         return {TEXT_KEY: delta}
@@ -236,16 +241,16 @@
         if text is None:
             raise MissingTextError
         self.texts.add(text)
-        self._note_held(peer, reference[0])
+        self._add_peer_digest(peer, reference[0])
         return text
 
-    def _note_held(self, peer: str, digest: str) -> None:
-        held = self._peer_digests.get(peer)
-        if held is not None:
-            held[digest] = None
-            held.move_to_end(digest)
-            if len(held) > MAX_PEER_DIGESTS:
-                held.popitem(last=False)
+    def _add_peer_digest(self, peer: str, digest: str) -> None:
+        peer_digests = self._peer_digests.get(peer)
+        if peer_digests is not None:
+            peer_digests[digest] = None
+            peer_digests.move_to_end(digest)
+            if len(peer_digests) > MAX_PEER_DIGESTS:
+                peer_digests.popitem(last=False)
 
 
 def _is_digest(value: Any) -> bool:
@@ -253,47 +258,50 @@
 
 
 class DeltaChannel:
-    """Carries the replica's messages between members as frames, with long texts as deltas.
+    """Encodes the replica's messages between members as frames, with long texts as deltas.
 
-    A member greets those of whom it does not know what they hold with what it holds itself, so that
-    both know. One of an earlier release, which knows no greeting, gets and sends everything whole.
+    A member announces its own texts to each peer whose texts it does not know, and asks for the
+    peer's announcement in return. A member of an earlier release, which does not know
+    announcements, is sent whole texts and sends whole texts.
 
     Attributes:
-        codec: Replaces and restores the texts.
-        missing_texts: How many messages referred to a text that was not held here.
+        codec: Replaces and restores the long texts.
+        missing_texts: The number of messages that referred to a text that was not in the cache.
     """
 
     def __init__(self) -> None:
         self.codec = DeltaCodec()
         self.missing_texts = 0
-        self._sent_since_connected: dict[str, int] = {}  # to those who have announced nothing
+        self._sent_since_connected: dict[str, int] = {}  # to peers without an announcement
 
     def send(self, peer: str, message: dict[str, Any]) -> list[Frame]:
-        """The frames that carry a message."""
+        """Return the frames to send for a message."""
         frames = []
         has_texts = message["kind"] in KINDS_WITH_TEXTS
         if not self.codec.is_announced(peer):
             sent = self._sent_since_connected[peer] = self._sent_since_connected.get(peer, -1) + 1
-            if sent % MESSAGES_PER_GREETING == 0 or has_texts:
-                frames.append(self._greeting(ask=True))
+            if sent % MESSAGES_PER_ANNOUNCEMENT == 0 or has_texts:
+                frames.append(self._announcement(ask=True))
         body = self.codec.encode(peer, message) if has_texts else message
         return [*frames, {"kind": "chain", "body": body}]
 
     def receive(
         self, sender: str, accepted: bool, frame: Frame
     ) -> tuple[dict[str, Any] | None, list[Frame]]:
-        """The message in a frame, if there is one, and the frames to send back.
+        """Return the message in a frame, if there is one, and the frames to send back.
 
-        A message that refers to a text that is not held here is dropped as if it was lost on the
-        way; its sender, told what is held, sends it whole when it repeats it.
+        A message that refers to a text that is not in the cache is dropped as if it was lost in
+        transit. The reply announces the cached texts, so the sender includes the missing text when
+        it repeats the message.
 
         Args:
-            sender: Its address.
-            accepted: Whether the replica accepts messages of it; of others no text is decoded.
-            frame: As it came.
+            sender: The address of the sender.
+            accepted: Whether the replica accepts messages from the sender; texts of others are not
+                decoded.
+            frame: The frame as received.
         """
         if frame.get("kind") == "holds":
-            return None, self._receive_greeting(sender, accepted, frame)
+            return None, self._receive_announcement(sender, accepted, frame)
         message = frame.get("body")
         if not isinstance(message, dict) or not isinstance(message.get("kind"), str):
             return None, []
@@ -307,18 +315,18 @@
             return None, []
         except MissingTextError:
             self.missing_texts += 1
-            return None, [self._greeting(ask=False)]
+            return None, [self._announcement(ask=False)]
 
-    def _receive_greeting(self, sender: str, accepted: bool, frame: Frame) -> list[Frame]:
+    def _receive_announcement(self, sender: str, accepted: bool, frame: Frame) -> list[Frame]:
         if not accepted or not isinstance(frame.get("texts"), list):
             return []
         self.codec.peer_announced(sender, frame["texts"])
-        return [self._greeting(ask=False)] if frame.get("ask") is True else []
+        return [self._announcement(ask=False)] if frame.get("ask") is True else []
 
     def connection_lost(self, peer: str) -> None:
-        """A connection to or from a peer broke."""
+        """Record that a connection to or from a peer was lost."""
         self._sent_since_connected.pop(peer, None)
         self.codec.forget_peer(peer)
 
-    def _greeting(self, ask: bool) -> Frame:
+    def _announcement(self, ask: bool) -> Frame:
         return {"kind": "holds", "texts": self.codec.texts.digests(), "ask": ask}
--- a/umbermoor/gateway/distribution/messages.py
+++ b/umbermoor/gateway/distribution/messages.py
@@ -1,6 +1,7 @@
 """The messages between subscribers and publishers: `pull` and `news` on the wire.
 
-A message is a JSON table. It is encoded and validated here only; both sides work on these types.
+A message is a JSON object. Only this module encodes and validates messages; both sides use its
+types.
 """
 
 from collections.abc import Mapping, Sequence
@@ -10,23 +11,23 @@
 
 MALFORMED = KeyError, TypeError, ValueError, IndexError, OverflowError
 
-Version = tuple[int, int]  # of the replicated records: epoch and sequence number
+Version = tuple[int, int]  # epoch and sequence number of the replicated records
 
 
 class PullRequest(NamedTuple):
-    """What a subscriber holds, and what it asks for."""
+    """The versions that a subscriber has, and what it requests."""
 
-    incarnation: int  # of the controller's registry that `sequence` counts in
-    sequence: int  # of the last change of an instance that it holds
-    version: Version  # of the records that it holds
-    revision: int  # of the configuration that it holds
-    wants_body: bool  # it asks for the configuration itself
+    incarnation: int  # of the controller's registry that `sequence` belongs to
+    sequence: int  # of the last change of an instance that it has received
+    version: Version  # of the records that it has
+    revision: int  # of the configuration that it has
+    wants_body: bool  # whether it requests the configuration itself
     base_digest: Any  # of the configuration that a delta may be based on
-    primary: bool  # this controller is the one that tells it of every change at once
+    primary: bool  # whether this controller is to report every change to it immediately
 
     @classmethod
     def decode(cls, message: Mapping[str, Any]) -> "PullRequest | None":
-        """The pull in a message; None if it is malformed."""
+        """Decode a message; return None if it is malformed."""
         try:
             return cls(
                 incarnation=int(message["life"]),
@@ -41,7 +42,7 @@
             return None
 
     def encode(self) -> dict[str, Any]:
-        """The message; `want` and `base` are left out where nothing is asked for."""
+        """Return the message; it has `want` and `base` only if the configuration is requested."""
         message = {
             "kind": "pull",
             "life": self.incarnation,
@@ -60,20 +61,20 @@
 class UpdateMessage(NamedTuple):
     """A controller's answer to a pull."""
 
-    incarnation: int  # of its registry
-    sequence: int  # of its registry's last change
-    instances: list[InstanceRecord]  # that changed since
-    version: Version  # of its records
-    records: dict[str, Any]  # that changed since, by key, without the configuration
-    members: list[str]  # of the replica set, by address
-    member_set_number: int  # which of the replica sets that is; 0 from an earlier release
-    head: str  # the member that orders writes, as far as it knows
-    confirmed: bool  # it was in touch with a majority within its lease
-    revision: int  # of the configuration that it holds
+    incarnation: int  # of the controller's registry
+    sequence: int  # of the registry's last change
+    instances: list[InstanceRecord]  # the instances that changed since the pull's sequence
+    version: Version  # of the controller's records
+    records: dict[str, Any]  # changed since the pull's version, by key; no configuration
+    members: list[str]  # addresses of the members of the replica set
+    member_set_number: int  # number of that replica set; 0 from an earlier release
+    head: str  # the member that orders writes, as far as the controller knows
+    confirmed: bool  # whether the controller had contact with a majority within its lease
+    revision: int  # of the configuration that the controller has
 
     @classmethod
     def decode(cls, message: Mapping[str, Any]) -> "UpdateMessage | None":
-        """The update in a message; None if it is malformed. Malformed instances are left out."""
+        """Decode a message, skipping malformed instances; return None if the rest is malformed."""
         try:
             instances = message["machines"]
             return cls(
@@ -109,7 +110,10 @@
     revision: int,
     proxies: Sequence[str],
 ) -> dict[str, Any]:
-    """The message of an update; `proxies` are others that the subscriber may meet the rest by."""
+    """Return the message of an update.
+
+    `proxies` are addresses of other proxies, through which the subscriber can find the rest.
+    """
     return {
         "kind": "news",
         "life": incarnation,
--- a/umbermoor/gateway/distribution/publisher.py
+++ b/umbermoor/gateway/distribution/publisher.py
@@ -1,7 +1,7 @@
-"""A controller's side of the distribution: pulls that wait for changes, and what each lacks.
+"""A controller's side of the distribution: long-poll pulls, and which of them to answer.
 
-No I/O: a connection is whatever the host passes in. The host calls `Publisher.take_due` when
-something changed.
+No I/O: a connection is an opaque object of the host. The host calls `Publisher.take_due` when
+something has changed.
 """
 
 from collections.abc import Hashable, Mapping
@@ -12,23 +12,25 @@
 
 
 class Publisher:
-    """The pulls that wait, by connection; a connection has one at a time."""
+    """The waiting pulls; a connection has at most one at a time."""
 
     def __init__(self) -> None:
-        self.waiting: dict[Any, tuple[int, PullRequest]] = {}  # with the time of its answer (us)
+        self.waiting: dict[
+            Any, tuple[int, PullRequest]
+        ] = {}  # by connection; with the time (us) at which to answer at the latest
 
     def add_pull(self, now: int, connection: Hashable, message: Mapping[str, Any]) -> None:
-        """Notes a pull. A malformed one is dropped, so that it breaks no answers to others."""
+        """Add a pull; drop it if it is malformed, so that it cannot break the answers to others."""
         pull = PullRequest.decode(message)
         if pull is not None:
             self.waiting[connection] = now + LONG_POLL_TIMEOUT_US, pull
 
     def drop(self, connection: Hashable) -> None:
-        """Forgets the pull of a connection that closed."""
+        """Remove the pull of a closed connection."""
         self.waiting.pop(connection, None)
 
     def has_expired(self, now: int) -> bool:
-        """Whether a pull has waited as long as it may."""
+        """Whether any pull has reached its maximum waiting time."""
         return any(now >= answer_at for answer_at, _ in self.waiting.values())
 
     def take_due(
@@ -40,17 +42,20 @@
         revision: int,
         urgent_version: Version | None = None,
     ) -> list[tuple[Any, PullRequest]]:
-        """Removes and returns the pulls to be answered now: those that lack something urgent, and
-        those that waited long.
+        """Remove and return the pulls to answer now.
+
+        These are the pulls of subscribers that lack an urgent change or request the configuration,
+        and those that have waited for LONG_POLL_TIMEOUT_US. For a subscriber whose primary is this
+        controller, every change of the records or of the configuration is urgent.
 
         Args:
-            now: in microseconds.
-            incarnation: of the controller's registry of instances.
-            urgent_sequence: number of the registry's last urgent change.
-            version: of the replicated records.
-            revision: of the configuration.
-            urgent_version: version of the last change of a record beside the configuration, which
-                everybody is told at once; None: each version is urgent.
+            now: The present time, in microseconds.
+            incarnation: The incarnation of the controller's instance registry.
+            urgent_sequence: The number of the registry's last urgent change.
+            version: The version of the replicated records.
+            revision: The revision of the configuration.
+            urgent_version: The version of the last change of a record other than the configuration;
+                all subscribers get such a change immediately. None: every version is urgent.
         """
         urgent_version = version if urgent_version is None else urgent_version
         due = []
@@ -67,15 +72,15 @@
 
 
 class RecordHistory:
-    """At which version each replicated record last changed, as far as this controller saw it."""
+    """The version at which each replicated record last changed, as observed by this controller."""
 
     def __init__(self) -> None:
-        self.urgent_version: Version = (0, 0)  # of the last change of any of them
+        self.urgent_version: Version = (0, 0)  # of the last change of any record
         self._records: dict[str, Any] = {}
         self._changed_at: dict[str, Version] = {}
 
     def update(self, version: Version, records: dict[str, Any]) -> None:
-        """Takes the records as they are committed at that version."""
+        """Apply the records as committed at a version."""
         changed = [key for key, record in records.items() if self._records.get(key) != record]
         if changed:
             self.urgent_version = version
@@ -83,7 +88,7 @@
         self._records = records
 
     def changes_since(self, version: Version) -> dict[str, Any]:
-        """The records that one who holds that version lacks."""
+        """Return the records that changed after a version."""
         return {
             key: self._records[key]
             for key, changed_at in self._changed_at.items()
