--- a/umbermoor/gateway/discovery/registry.py
+++ b/umbermoor/gateway/discovery/registry.py
@@ -147,7 +147,7 @@
         self._connected_since: int | None = None
 
     def observe(self, now: int, record: InstanceRecord) -> bool:
-        """Merge a record of a heartbeat or of another controller; return whether it was new."""
+        """Merge a record from a heartbeat or a controller; return whether it had an effect."""
         old = self.records.get(record.id)
         merged = superseding(old, record)
         if merged is None or (old is None and len(self.records) >= MAX_RECORDS):
