--- a/umbermoor/gateway/balancing/request.py
+++ b/umbermoor/gateway/balancing/request.py
@@ -124,7 +124,7 @@
 
 
 class RequestLifecycle:
-    """One request.
+    """The state of one request.
 
     Attributes:
         service: The service that it is for.
@@ -248,7 +248,7 @@
         self.max_attempts = 0
 
     def bound_deadline(self, deadline: int) -> None:
-        """Move the deadline forward to `deadline`, in microseconds, if that is earlier."""
+        """Shorten the deadline to `deadline`, in microseconds, if that is earlier."""
         self.deadline = min(self.deadline, deadline)
 
     def finish(self) -> None:
--- a/umbermoor/gateway/distribution/messages.py
+++ b/umbermoor/gateway/distribution/messages.py
@@ -9,7 +9,7 @@
 
 from umbermoor.gateway.discovery.registry import InstanceRecord, record_from_wire
 
-MALFORMED = KeyError, TypeError, ValueError, IndexError, OverflowError
+DECODE_ERRORS = KeyError, TypeError, ValueError, IndexError, OverflowError
 
 Version = tuple[int, int]  # epoch and sequence number of the replicated records
 
@@ -38,7 +38,7 @@
                 base_digest=message.get("base"),
                 primary=message.get("first") is not False,
             )
-        except MALFORMED:
+        except DECODE_ERRORS:
             return None
 
     def encode(self) -> dict[str, Any]:
@@ -89,7 +89,7 @@
                 confirmed=message["firm"] is True,
                 revision=int(message["revision"]),
             )
-        except MALFORMED:
+        except DECODE_ERRORS:
             return None
 
 
--- a/umbermoor/gateway/distribution/publisher.py
+++ b/umbermoor/gateway/distribution/publisher.py
@@ -15,9 +15,8 @@
     """The waiting pulls; a connection has at most one at a time."""
 
     def __init__(self) -> None:
-        self.waiting: dict[
-            Any, tuple[int, PullRequest]
-        ] = {}  # by connection; with the time (us) at which to answer at the latest
+        # By connection: the time (us) at which to answer at the latest, and the pull.
+        self.waiting: dict[Any, tuple[int, PullRequest]] = {}
 
     def add_pull(self, now: int, connection: Hashable, message: Mapping[str, Any]) -> None:
         """Add a pull; drop it if it is malformed, so that it cannot break the answers to others."""
