--- a/umbermoor/front/facade.py
+++ b/umbermoor/front/facade.py
@@ -204,7 +204,11 @@
     def forget(self) -> None:
         """What was seen of the stage is too old to vote on."""
         front = self._front
-        front.stage, front.trial, front.paces = front.stage.next(), Contrast(), (Pace(), Pace())
+        front.stage, front.past_stages, front.paces = (
+            front.stage.next_stage(),
+            Contrast(),
+            (Pace(), Pace()),
+        )
 
     def remember(self) -> tuple[float, float, float, tuple[float, ...], list[tuple]]:
         """What is worth keeping over a restart: the fleet's pace, what a machine carried, usual
@@ -214,10 +218,10 @@
         return (
             front.took,
             front.work,
-            front.carried,
-            tuple(front.usual),
+            front.peak_work_rate,
+            tuple(front.usual_work),
             [
-                (one.id, one.build, one.born, one.took, one.work, one.gap, one.fails)
+                (one.id, one.build, one.born, one.took, one.work, one.gap, one.failure_rate)
                 for one in front.machines.values()
             ],
         )
@@ -233,14 +237,14 @@
         """The same, after a restart. Of machines those are taken that are listed; their times are
         as of now."""
         front, now = self._front, self._clock()
-        if took > 0 < work and len(usual) == len(front.usual):
-            front.took, front.work, front.usual = took, work, list(usual)
-            front.carried = max(front.carried, carried)
+        if took > 0 < work and len(usual) == len(front.usual_work):
+            front.took, front.work, front.usual_work = took, work, list(usual)
+            front.peak_work_rate = max(front.peak_work_rate, carried)
         for id, build, born, *seen in machines:
             known = front.machines.get(id)
             if known and (known.build, known.born) == (build, born):
-                known.took, known.work, known.gap, known.fails = seen
-                known.seen = now
+                known.took, known.work, known.gap, known.failure_rate = seen
+                known.updated_at = now
 
     def tick(self) -> list[Step]:
         self._front.woken(self._clock())
--- a/umbermoor/front/policy/limits.py
+++ b/umbermoor/front/policy/limits.py
@@ -43,7 +43,7 @@
 
     def _room(self, now: int, machine: Machine) -> float:
         """Work that a cold machine may still be sent: a part of the most that others did for this front."""
-        rate = self.carried * COLD_PART * self.charter.fall_multiple * self._warmth(now, machine)
+        rate = self.peak_work_rate * COLD_PART * self.charter.fall_multiple * self._warmth(now, machine)
         machine.room = min(machine.room + rate * (now - machine.room_at), rate * self.charter.fall_span / 2)
         machine.room_at = now
         return machine.room
--- a/umbermoor/front/policy/routing.py
+++ b/umbermoor/front/policy/routing.py
@@ -36,7 +36,7 @@
             self.praised += not self._new(machine.build)
             if held.hint and self.fleet:
                 self.hints.add(held.hint, took)
-            self.usual[held.profile] += (took - self.usual[held.profile]) * LEARN / 4
+            self.usual_work[held.profile] += (took - self.usual_work[held.profile]) * LEARN / 4
             self.done_work.add(now, held.cost)
             if held.key and self.charter.one_way and self._new(machine.build):
                 self.answered.add(held.key)
@@ -46,7 +46,7 @@
         if ending not in (Ending.CANCELLED, Ending.MOOT, Ending.TIMEOUT):
             failed = ending is not Ending.OK and (ending is not Ending.ERROR or  # an error may be the query's
                                                   self.wrongs.at(now) > MOST * (self.faulty.at(now) - MOST))
-            machine.fails += (failed - machine.fails) * LEARN
+            machine.failure_rate += (failed - machine.failure_rate) * LEARN
             machine.row = min(machine.row + 1, ROW) if failed else 0
             self.failing += (failed - self.failing) * LEARN / 10
 
@@ -90,7 +90,7 @@
             phi = (now - machine.silent_since) / max(machine.gap, self.gap) / log(10)
             time *= 10 ** min(6.0, max(0.0, phi - DOUBT))
         # Threat: answers spoilt on the way, from all alike; only what stands out counts against a machine.
-        fails = max(0.0, machine.fails - self.failing - 2 * sqrt(self.failing * LEARN / 2))
+        fails = max(0.0, machine.failure_rate - self.failing - 2 * sqrt(self.failing * LEARN / 2))
         return time / self._warmth(now, machine) * (1 + FAILING * fails) * (1 + 0.1 * self.random())
 
     def _load(self, now: int, machine: Machine) -> float:
@@ -117,4 +117,4 @@
         machine.fade(now, RECENT * self.charter.profiles[0].target, 2 ** machine.row)
         # Threat: at a busy front what is out is more than the memory holds, and everything seems slow.
         fleet = (self.took + (self.kept < FLEET) * (self.out * now - self.out_since)) / self.work
-        return (machine.took + (lean := LEAN * self.usual[0]) * fleet) / (machine.work + lean)
+        return (machine.took + (lean := LEAN * self.usual_work[0]) * fleet) / (machine.work + lean)
--- a/umbermoor/front/policy/state.py
+++ b/umbermoor/front/policy/state.py
@@ -31,11 +31,11 @@
         self.queries: dict[str, Query] = {}
         self.todo, self.later = deque[str](), list[tuple[int, str]]()  # queries to settle, and when to again
         self.outbox: deque[Decision] = deque()  # what only needs to be passed on
-        self.usual = [row.target / 5 for row in charter.profiles]  # expected work where no hint comes
+        self.usual_work = [row.target / 5 for row in charter.profiles]  # expected work where no hint comes
         self.best = max((row.value for row in charter.profiles), default=1.0)
         self.took = self.work = 1.0 * SECOND  # the fleet's usual ones
         self.kept, self.out, self.out_since = FLEET, 0, 0  # hand-offs out, and the times of sending, summed
-        self.gap, self.failing, self.mean_cost = SECOND / 2.0, 0.0, max(self.usual, default=0.0)
+        self.gap, self.failing, self.mean_cost = SECOND / 2.0, 0.0, max(self.usual_work, default=0.0)
         self.started = self.watch_at = self.news = self.slow_since = None  # since when machines are slow
         self.hints = Slope(HINTS, TRUSTED)  # how far answer times follow what clients guess
         self.arrivals, self.done_work = Fading(HORIZON / 2), Fading(DONE_IN)
@@ -46,12 +46,12 @@
         self.base, self.staged, self.told_late = (0.0, 0.0), 0, charter.tallied_every  # answer times before; its start
         self.owed = 0.0  # hand-offs that these are due by their share
         self.tags: dict[bytes, str] = {}  # ids of machines that are ready by their names among peers
-        self.circle = self.carried = 0.0  # part of the fronts that share a machine; the most one did
+        self.circle = self.peak_work_rate = 0.0  # part of the fronts that share a machine; the most one did
         self.tallied = bool(charter.tallied_every) and charter.fronts > CIRCLE and not charter.may_tell
         self.pooled = charter.may_tell and charter.fronts > CIRCLE  # a few fill n* with their own traffic
         self.fleet = self.pooled or self.tallied  # n is what all saw
         self.answered: set[str] = set()  # keys that the trial has answered, where they may not go back
-        self.trial, self.stage, self.paces = Contrast(), Pool(), (Pace(), Pace())  # past stages; present one
+        self.past_stages, self.stage, self.paces = Contrast(), Pool(), (Pace(), Pace())
         self.mine = Pool()  # this front's own answer times, where others are counted too
         self.blamed = self.asked_at = self.vote_after = self.stood_at = self.judged_at = self.passed_at = 0
         self.standing = self.noted = self.asked = None  # votes: build, stage, verdict
--- a/umbermoor/front/policy/verdict.py
+++ b/umbermoor/front/policy/verdict.py
@@ -40,12 +40,12 @@
                 self.news = old._replace(cap=min(old.cap, news.cap))
             return
         if old is None or news.build != old.build:
-            self.trial, self.slow_since = Contrast(), None  # threat: a base slowed by the last build
+            self.past_stages, self.slow_since = Contrast(), None  # threat: a base slowed by the last build
             if old is None or old.phase is Phase.RELEASED or not any(self.base):
                 self.base = self.stage.pace(), self.mine.pace()
         if old is None or (old.build, old.phase, old.stage) != (news.build, news.phase, news.stage):
-            self.trial = self._sight()[1] if old and old.build == news.build else Contrast()
-            self.stage, self.complaints, self.staged = self.stage.next(), 0, now - news.age
+            self.past_stages = self._sight()[1] if old and old.build == news.build else Contrast()
+            self.stage, self.complaints, self.staged = self.stage.next_stage(), 0, now - news.age
             if not self.tallied or old is None or old.build != news.build:
                 self.paces = Pace(), Pace()  # both sides
         if old is None or news.build != old.build or news.cap < old.cap:
@@ -70,7 +70,7 @@
             if settled >= self.fresh:
                 self.stage.add(self._new(build), counted, done, done)
             if settled >= self.fresh + self.charter.tallied_every and done > 0:  # none of it was cold
-                self.paces[self._new(build)].add(took * done, self.usual[profile] * done, done)
+                self.paces[self._new(build)].add(took * done, self.usual_work[profile] * done, done)
 
     def complaint(self, now: int, machine: str, profile: int, age: int) -> None:
         """Threat: wrong answers look done. One told stands for those that are not; a false one does too."""
@@ -109,10 +109,11 @@
 
     def _sight(self) -> tuple[Contrast, Contrast]:
         """Both sides in this stage and since the trial began. Threat: light fronts' freak draws."""
-        seen = self.stage.seen(self.charter.fronts)
-        base = next((one for one in (seen.earlier, self.trial.earlier) if one.n >= LEAST), Score(1, FIRST_MEAN, SOUND))
-        past = self.trial.earlier.join(base, seen.new.n / base.n)
-        return Contrast(seen.new, base), Contrast(self.trial.new.join(seen.new), past)
+        seen = self.stage.contrast(self.charter.fronts)
+        base = next((one for one in (seen.earlier, self.past_stages.earlier) if one.n >= LEAST),
+                    Score(1, FIRST_MEAN, SOUND))
+        past = self.past_stages.earlier.join(base, seen.new.n / base.n)
+        return Contrast(seen.new, base), Contrast(self.past_stages.new.join(seen.new), past)
 
     def _vote(self, now: int) -> Decision | None:
         news = self.news
--- a/umbermoor/front/records.py
+++ b/umbermoor/front/records.py
@@ -69,8 +69,8 @@
     # answer times, and the work that stood before those answers, both losing weight with time
     took: float = 0.0
     work: float = 0.0
-    seen: int = 0
-    fails: float = 0.0
+    updated_at: int = 0
+    failure_rate: float = 0.0
     row: int = 0  # failures since the last answer
     gap: float = 0.0  # usual silence between answers while it holds work
     silent_since: int | None = None
@@ -84,11 +84,14 @@
 
     def fade(self, now: int, span: float, longer: float = 1.0) -> None:
         """What was seen of it loses weight; failures so many times more slowly."""
-        part, fails = exp((self.seen - now) / span), exp((self.seen - now) / (span * longer))
-        self.took, self.work, self.fails, self.seen = (
+        part, fails = (
+            exp((self.updated_at - now) / span),
+            exp((self.updated_at - now) / (span * longer)),
+        )
+        self.took, self.work, self.failure_rate, self.updated_at = (
             self.took * part,
             self.work * part,
-            self.fails * fails,
+            self.failure_rate * fails,
             now,
         )
 
@@ -229,10 +232,10 @@
     def pace(self) -> float:
         return self.sums[2] / self.sums[3] if self.sums[3] > 0 else 0.0
 
-    def next(self) -> "Pool":
+    def next_stage(self) -> "Pool":
         return Pool(*self.sums[2:4])
 
-    def seen(self, fronts: int) -> Contrast:
+    def contrast(self, fronts: int) -> Contrast:
         """Both sides at all fronts, but no more of them than outcomes that made up these sums."""
         part, clump, _, _, n, *_ = self.sums
         factor = min(fronts / part, n / clump) if clump > 0 else 1.0
--- a/umbermoor/front/rules.py
+++ b/umbermoor/front/rules.py
@@ -22,7 +22,7 @@
         scope = profile if self.charter.cap_by_profile else 0
         # Threat: rough hints; where only light ones pass, all seems slow for its work, and ever fewer pass.
         held = self.hints.value() if self.fleet else 1.0
-        worth = self.mean_cost * (cost / self.mean_cost) ** held if cost else self.usual[profile]
+        worth = self.mean_cost * (cost / self.mean_cost) ** held if cost else self.usual_work[profile]
         self.queries[query] = Query(profile, scope, key, now, due, worth, cost)
         self.todo.append(query)
         self.mean_cost += ((cost or worth) - self.mean_cost) * LEARN / 10
@@ -100,11 +100,11 @@
             if vote := self._vote(now):
                 return vote
             self.kept = min(FLEET, 1 - 1 / max(FEW, self._expected(now) * self.charter.profiles[0].target / HORIZON))
-            self.judged_at, all_fails = now, [min(LEARN, one.fails) for one in self.machines.values()]
+            self.judged_at, all_fails = now, [min(LEARN, m.failure_rate) for m in self.machines.values()]
             self.failing = min(self.failing, sum(all_fails) / max(1, len(all_fails)))  # not the worst ones
             warm = sum(1 for other in self.machines.values() if self._warmth(now, other) >= 1)
             if 2 * warm >= len(self.machines):  # else the work was done by machines that have left
-                self.carried = max(self.carried, self.done_work.at(now) / DONE_IN / max(1, warm))
+                self.peak_work_rate = max(self.peak_work_rate, self.done_work.at(now) / DONE_IN / max(1, warm))
         others = self.charter.fronts - 1 if self.pooled and self.news else 0
         if others and now >= self.passed_at + PASS_EVERY and self.stage.sums[0] > 0.25:  # not unheard of late
             self.passed_at, peer = now, int(self.random() * others)  # 0.45: a tenth of old times is lost
