--- a/umbermoor/benchlink/wire.py
+++ b/umbermoor/benchlink/wire.py
@@ -73,7 +73,7 @@
     ),
     "bad_answer": (3, Front.complaint, lambda row: [row[2], row[0], micros(row[1])]),
     "echo": (4, Front.probe_ended, lambda row: [row[1], Ending(row[2]), row[3]]),
-    "neighbour_says": (2, Front.peer_told, lambda row: [row[0], bytes.fromhex(row[1])]),
+    "neighbour_says": (2, Front.peer_message, lambda row: [row[0], bytes.fromhex(row[1])]),
     "ring": (1, Front.woken, lambda row: []),
 }
 
--- a/umbermoor/front/facade.py
+++ b/umbermoor/front/facade.py
@@ -198,7 +198,7 @@
             case Probed():
                 front.probe_ended(now, *heard)
             case Told(peer, payload):
-                front.peer_told(now, peer, payload)
+                front.peer_message(now, peer, payload)
         return self._next()
 
     def forget(self) -> None:
--- a/umbermoor/front/policy/routing.py
+++ b/umbermoor/front/policy/routing.py
@@ -104,7 +104,7 @@
         payload = TALE + machine.tag + bytes([min(255, round(machine.load / GRAIN))])
         self.outbox.extend((Do.TELL, payload, front) for front in machine.users)
 
-    def peer_told(self, now: int, peer: int, payload: bytes) -> None:
+    def peer_message(self, now: int, peer: int, payload: bytes) -> None:
         """A peer's open work at a machine, or half of what it holds. What is garbled says nothing."""
         if self.news:
             self.stage.take(payload, self.news.build, self.news.stage)
