--- a/umbermoor/front/policy/exposure.py
+++ b/umbermoor/front/policy/exposure.py
@@ -1,11 +1,11 @@
-"""Which builds are on trial, and how much of the traffic these get: share, turns owed, credit."""
+"""Which builds are on trial, and how much of the traffic they get: share, turns due, credit."""
 
 from umbermoor.front.interface import Phase
-from umbermoor.front.policy.state import CIRCLE, State
+from umbermoor.front.policy.state import GROUP_SIZE, State
 from umbermoor.front.records import Machine, Query
 
 MOVING = (Phase.TRIAL, Phase.GOING_BACK)
-MOST_OWED = 2.0  # hand-offs that the trial may catch up on
+MAX_TURNS_DUE = 2.0  # hand-offs that the trial may make up for
 
 
 class Exposure(State):
@@ -15,21 +15,21 @@
         return build > self.news.build or build == self.news.build and self.news.phase is not Phase.RELEASED
 
     def _regroup(self) -> None:
-        circle = CIRCLE / self.charter.fronts if self.charter.may_tell else 0.0
-        self.circle = circle if circle * len(self.machines) >= 4 else 0.0  # sharing fewer, it tells nothing
-        ready = sorted((one for one in self.machines.values() if one.ready), key=lambda one: one.rank)
-        self.sides = tuple([one for one in ready if self._on_trial(one.build) is on] for on in (False, True))
-        self.tags = {machine.tag: machine.id for machine in ready} if self.circle else {}
-        self.share = len(self.sides[1]) / max(1, len(self.sides[0]) + len(self.sides[1]))
+        share = GROUP_SIZE / self.charter.fronts if self.charter.may_tell else 0.0
+        self.group_share = share if share * len(self.machines) >= 4 else 0.0  # fewer machines are no choice
+        ready = sorted((m for m in self.machines.values() if m.ready), key=lambda machine: machine.rank)
+        self.candidates = tuple([m for m in ready if self._on_trial(m.build) is new] for new in (False, True))
+        self.ids_by_tag = {machine.tag: machine.id for machine in ready} if self.group_share else {}
+        self.trial_share = len(self.candidates[1]) / max(1, len(self.candidates[0]) + len(self.candidates[1]))
 
-    def _turn_due(self, held: Query) -> bool:
-        """Whether the trial is due this query, lost turns among many fronts included. Threat: credit not full yet loses
-        half of them; of few fronts, to catch up whatever waits there makes a good build late in a full fleet."""
-        owed = self.owed * (self.charter.fronts > CIRCLE)
-        self.owed = min(MOST_OWED, owed + self.share * (not held.hand_offs))
-        return not held.hand_offs and self.random() < self.owed
+    def _turn_due(self, query: Query) -> bool:
+        """Return whether the trial takes this query. Many fronts make up for turns without credit (half);
+        few fronts don't, as the extra queries would make a good build late in a full fleet."""
+        due = self.turns_due * (self.charter.fronts > GROUP_SIZE)
+        self.turns_due = min(MAX_TURNS_DUE, due + self.trial_share * (not query.hand_offs))
+        return not query.hand_offs and self.random() < self.turns_due
 
-    def _charge(self, held: Query, machine: Machine, times: int) -> None:
-        machine.room -= times * max(held.cost, self.mean_cost)  # hints are rough, light ones most of all
+    def _charge(self, query: Query, machine: Machine, times: int) -> None:
+        machine.room -= times * max(query.cost, self.mean_cost)  # hints of light queries are the worst
         if self._on_trial(machine.build):
-            self.credit[held.scope] -= times
+            self.credit[query.scope] -= times
--- a/umbermoor/front/policy/routing.py
+++ b/umbermoor/front/policy/routing.py
@@ -1,120 +1,120 @@
-"""Which machine takes a query: what is seen of each, its pace, load and distance; when none is to."""
+"""Which machine takes a query, by the pace, load and failures seen of each; when none of them should."""
 
 from math import log, sqrt
 
 from umbermoor.front.interface import Do, Ending, Phase
 from umbermoor.front.policy.limits import Limits
-from umbermoor.front.policy.state import CIRCLE, FLEET, HORIZON, LEARN, MOST, SECOND
+from umbermoor.front.policy.state import FAULT_RATIO, FLEET_DECAY, GROUP_SIZE, HORIZON, LEARNING_RATE, SECOND
 from umbermoor.front.records import HandOff, Machine, Query, rank
 
-TALE, GRAIN = b"\x01", 10_000.0  # of messages: their version, and the work that one step in them stands for
-REACH = 4 * SECOND  # a front uses as many machines as it takes queries in this time, to learn of any
-TRUST = SECOND // 2  # what a peer told of a machine longer ago than this says nothing
-RECENT = 4  # what was seen of a machine loses its weight in so many target times
-LEAN = 2.0  # a machine's pace leans on the fleet's as if that many usual queries had been seen
-DOUBT = 0.5  # silence counts against a machine from this phi on, tenfold for each 1 of phi
-ROW = 2  # each of so many failures in a row doubles the time they count: a front meets machines seldom
-FAILING = 100.0  # a machine that fails all seems this many times further away
-CROWD = 0.8  # no hand-off where the waiting and a usual query take this part of the time left
-YIELD = 1 / 3  # less of it by this power of a query's value, as a part of the most valuable one's
+LOAD_MARK, LOAD_STEP = b"\x01", 10_000.0  # of load messages: first byte, and the work per unit (microseconds)
+SPREAD_TIME = 4 * SECOND  # a front uses as many machines as queries come in this time, to keep seeing each
+PEER_TTL = SECOND // 2  # a load message of a peer counts this long; a front sees only its part of the work
+MEMORY_TARGETS = 4  # time constant of a machine's sums, in target times
+PACE_PRIOR = 2.0  # usual queries by which the fleet's pace weighs in a machine's own
+MIN_PHI = 0.5  # phi of a silence from which on it multiplies a machine's estimate, tenfold per unit of phi
+MAX_FAILURE_RUN = 2  # up to this, each failure in a row doubles the time they count, as hand-offs are seldom
+FAILURE_PENALTY = 100.0  # factor on the estimate per failure rate above the fleet's (shared faults not)
+MAX_WAIT_PART = 0.8  # no hand-off where the work ahead and a usual query take more of the time left than this
+VALUE_EXPONENT = 1 / 3  # that part shrinks with the query's value over the highest, raised to this power
 
 
 class Routing(Limits):
-    def _learn(self, now: int, held: Query, hand_off: HandOff, ending: Ending, took: int) -> None:
+    def _learn(self, now: int, query: Query, hand_off: HandOff, ending: Ending, took: int) -> None:
         machine = hand_off.machine
-        self._count(machine, -1, hand_off.sent, held.cost)
-        tried = self._new(machine.build) and self.news.phase is Phase.TRIAL
-        if ending is Ending.OK or took > self._paced(now, machine) * hand_off.ahead:  # at least that slow
+        self._count(machine, -1, hand_off.sent, query.cost)
+        on_trial = self._is_new(machine.build) and self.news.phase is Phase.TRIAL
+        # Unanswered ones count once they took longer than expected: a build that slows everything times out.
+        if ending is Ending.OK or took > self._pace(now, machine) * hand_off.ahead:
             machine.took, machine.work = machine.took + took, machine.work + hand_off.ahead
-            self.took, self.work = self.took * self.kept + took, self.work * self.kept + hand_off.ahead
-            # Threat: answer times alone, as of a build that slows all; what is too slow ends unanswered.
-            if not tried:
-                self.mine.answered(took, FLEET, held.cost)
+            self.took, self.work = self.took * self.decay + took, self.work * self.decay + hand_off.ahead
+            if not on_trial:
+                self.own_pool.add_answer(took, FLEET_DECAY, query.cost)
         if ending is Ending.OK:
-            if not self.tallied and not tried:
-                self.stage.answered(took, FLEET, 1)
-            self.praised += not self._new(machine.build)
-            if held.hint and self.fleet:
-                self.hints.add(held.hint, took)
-            self.usual_work[held.profile] += (took - self.usual_work[held.profile]) * LEARN / 4
-            self.done_work.add(now, held.cost)
-            if held.key and self.charter.one_way and self._new(machine.build):
-                self.answered.add(held.key)
+            if not self.by_tallies and not on_trial:
+                self.stage.add_answer(took, FLEET_DECAY, 1)
+            self.earlier_ok += not self._is_new(machine.build)
+            if query.hint and self.fleet_wide:
+                self.hint_slope.add(query.hint, took)
+            self.usual_work[query.profile] += (took - self.usual_work[query.profile]) * LEARNING_RATE / 4
+            self.done_work.add(now, query.cost)
+            if query.key and self.charter.one_way and self._is_new(machine.build):
+                self.answered_keys.add(query.key)
         if ending in (Ending.OK, Ending.ERROR, Ending.FULL):
-            self.gap += (machine.heard(now, LEARN, self.gap) - self.gap) * LEARN / 10
-        machine.silent_since = machine.silent_since if machine.open else None  # idle, it is not silent
+            self.gap += (machine.record_answer(now, LEARNING_RATE, self.gap) - self.gap) * LEARNING_RATE / 10
+        machine.silent_since = machine.silent_since if machine.open else None  # not silent when idle
         if ending not in (Ending.CANCELLED, Ending.MOOT, Ending.TIMEOUT):
-            failed = ending is not Ending.OK and (ending is not Ending.ERROR or  # an error may be the query's
-                                                  self.wrongs.at(now) > MOST * (self.faulty.at(now) - MOST))
-            machine.failure_rate += (failed - machine.failure_rate) * LEARN
-            machine.row = min(machine.row + 1, ROW) if failed else 0
-            self.failing += (failed - self.failing) * LEARN / 10
+            failed = ending is not Ending.OK and (ending is not Ending.ERROR or  # may be the query's fault
+                self.machine_errors.at(now) > FAULT_RATIO * (self.query_errors.at(now) - FAULT_RATIO))
+            machine.failure_rate += (failed - machine.failure_rate) * LEARNING_RATE
+            machine.failures_in_row = min(machine.failures_in_row + 1, MAX_FAILURE_RUN) if failed else 0
+            self.fleet_failures += (failed - self.fleet_failures) * LEARNING_RATE / 10
 
     def _count(self, machine: Machine, one: int, sent: int, cost: float) -> None:
-        machine.open, machine.out_since = machine.open + one, machine.out_since + one * sent
+        machine.open, machine.sent_sum = machine.open + one, machine.sent_sum + one * sent
         if self.machines.get(machine.id) is machine:
-            self.out, self.out_since = self.out + one, self.out_since + one * sent
+            self.open, self.sent_sum = self.open + one, self.sent_sum + one * sent
         machine.load = max(0.0, machine.load + one * cost) if machine.open else 0.0
-        self._tell(machine)
+        self._tell_peers(machine)
 
-    def _choose(self, now: int, held: Query, left: int) -> Machine | None:
-        """The trial's turn goes by its machines' share; within a build the machine that seems nearest."""
-        (steady, trial), pool = self.sides, []
-        if self._turn_due(held):
-            pool = self._able(now, held, near := self._near(now, trial))
-            self.owed -= bool(pool)
-            # Threat: what cold machines cannot take falls on the few warm ones, and looks like a slow build.
-            if self.fleet and sum(self._warmth(now, one) for one in pool) < self.random() * len(near):
+    def _choose(self, now: int, query: Query, left: int) -> Machine | None:
+        """Return the machine with the shortest estimate, on trial if one is due; None if all are too slow."""
+        (steady, trial), pool = self.candidates, []
+        if self._turn_due(query):
+            pool = self._eligible(now, query, near := self._preferred(now, trial))
+            self.turns_due -= bool(pool)
+            # The share of cold machines must not fall on the few warm ones: the build would look slow.
+            if self.fleet_wide and sum(self._warmth(now, one) for one in pool) < self.random() * len(near):
                 pool = []
-        for side in (self._near(now, steady), steady[:2 * CIRCLE], trial[:2 * CIRCLE]):  # not all: time
-            pool = pool or self._able(now, held, side)
-        nearest = min(pool, key=lambda machine: self._distance(now, held, machine), default=None)
-        # Threat: a jam that feeds itself, as late answers bring retries; also bursts and lost machines.
-        ahead = nearest and self._load(now, nearest) + min(held.cost, self.mean_cost)
-        part = CROWD * (self.charter.profiles[held.profile].value / self.best) ** (YIELD * (self.kept < FLEET))
-        jammed = nearest and len(self.queries) > 2 and self._paced(now, nearest) * ahead > left * part
-        return None if jammed else nearest  # with next to nothing out, one goes, to learn
+        for side in (self._preferred(now, steady), steady[:2 * GROUP_SIZE], trial[:2 * GROUP_SIZE]):
+            pool = pool or self._eligible(now, query, side)  # not all machines: bounds the decision's time
+        nearest = min(pool, key=lambda machine: self._distance(now, query, machine), default=None)
+        # Late answers bring retries: congestion after bursts or lost machines would otherwise sustain itself.
+        ahead = nearest and self._open_work(now, nearest) + min(query.cost, self.mean_cost)
+        part = MAX_WAIT_PART * (self.charter.profiles[query.profile].value / self.max_value) ** (
+            VALUE_EXPONENT * (self.decay < FLEET_DECAY))
+        congested = nearest and len(self.queries) > 2 and self._pace(now, nearest) * ahead > left * part
+        return None if congested else nearest  # with hardly any query open one goes, to see the times
 
-    def _near(self, now: int, side: list[Machine]) -> list[Machine]:
-        shared = [machine for machine in side if machine.rank < self.circle] if self.circle else []
-        return shared or side[:min(3 * CIRCLE, max(CIRCLE, round(self._expected(now) * REACH / HORIZON)))]
+    def _preferred(self, now: int, side: list[Machine]) -> list[Machine]:
+        shared = [machine for machine in side if machine.rank < self.group_share] if self.group_share else []
+        return shared or side[:min(3 * GROUP_SIZE, max(GROUP_SIZE, round(self._expected(now) * SPREAD_TIME / HORIZON)))]
 
-    def _able(self, now: int, held: Query, side: list[Machine]) -> list[Machine]:
-        pool = [machine for machine in side if self._may(now, held, machine)]
-        return [one for one in pool if all(one is not sent.machine for sent in held.hand_offs)] or pool
+    def _eligible(self, now: int, query: Query, side: list[Machine]) -> list[Machine]:
+        pool = [machine for machine in side if self._allows(now, query, machine)]
+        return [one for one in pool if all(one is not sent.machine for sent in query.hand_offs)] or pool
 
-    def _distance(self, now: int, held: Query, machine: Machine) -> float:
-        """The time this query may take there; longer, the more unusual the machine's silence and failures."""
-        time = self._paced(now, machine) * (held.cost + self._load(now, machine))
+    def _distance(self, now: int, query: Query, machine: Machine) -> float:
+        """Estimate how long the query takes there, more with unusual silence or failures of the machine."""
+        time = self._pace(now, machine) * (query.cost + self._open_work(now, machine))
         if machine.silent_since is not None:
             phi = (now - machine.silent_since) / max(machine.gap, self.gap) / log(10)
-            time *= 10 ** min(6.0, max(0.0, phi - DOUBT))
-        # Threat: answers spoilt on the way, from all alike; only what stands out counts against a machine.
-        fails = max(0.0, machine.failure_rate - self.failing - 2 * sqrt(self.failing * LEARN / 2))
-        return time / self._warmth(now, machine) * (1 + FAILING * fails) * (1 + 0.1 * self.random())
+            time *= 10 ** min(6.0, max(0.0, phi - MIN_PHI))
+        excess = max(0.0, machine.failure_rate - self.fleet_failures
+                     - 2 * sqrt(self.fleet_failures * LEARNING_RATE / 2))
+        return time / self._warmth(now, machine) * (1 + FAILURE_PENALTY * excess) * (1 + 0.1 * self.random())
 
-    def _load(self, now: int, machine: Machine) -> float:
-        # Threat: each front sees only its own part of the open work, so peers tell theirs.
-        return machine.load + sum(load for told, load in machine.others.values() if now < told + TRUST)
+    def _open_work(self, now: int, machine: Machine) -> float:
+        return machine.load + sum(load for at, load in machine.peer_loads.values() if now < at + PEER_TTL)
 
-    def _tell(self, machine: Machine) -> None:
-        if machine.users is None:  # nobody shares it where the circle is empty: no need to rank every front
-            machine.users = [front for front in range(self.charter.fronts if self.circle else 0)
-                             if front != self.charter.me and rank(machine.id, front) < self.circle]
-        payload = TALE + machine.tag + bytes([min(255, round(machine.load / GRAIN))])
-        self.outbox.extend((Do.TELL, payload, front) for front in machine.users)
+    def _tell_peers(self, machine: Machine) -> None:
+        if machine.sharers is None:  # no ranking for each front where machines are not shared
+            machine.sharers = [front for front in range(self.charter.fronts if self.group_share else 0)
+                               if front != self.charter.me and rank(machine.id, front) < self.group_share]
+        payload = LOAD_MARK + machine.tag + bytes([min(255, round(machine.load / LOAD_STEP))])
+        self.outbox.extend((Do.TELL, payload, front) for front in machine.sharers)
 
     def peer_message(self, now: int, peer: int, payload: bytes) -> None:
-        """A peer's open work at a machine, or half of what it holds. What is garbled says nothing."""
+        """Take in a peer's open work at a machine or half of its stage pool; ignore a malformed message."""
         if self.news:
-            self.stage.take(payload, self.news.build, self.news.stage)
-        known = self.machines.get(self.tags.get(payload[1:5], ""))
-        if known and payload[:1] == TALE and len(payload) == 6 and 0 <= peer < self.charter.fronts:
-            known.others[peer] = (now, payload[5] * GRAIN)
+            self.stage.merge(payload, self.news.build, self.news.stage)
+        machine = self.machines.get(self.ids_by_tag.get(payload[1:5], ""))
+        if machine and payload[:1] == LOAD_MARK and len(payload) == 6 and 0 <= peer < self.charter.fronts:
+            machine.peer_loads[peer] = (now, payload[5] * LOAD_STEP)
 
-    def _paced(self, now: int, machine: Machine) -> float:
-        """Answer time over the work ahead: the machine's own, leaning on the fleet's at first."""
-        machine.fade(now, RECENT * self.charter.profiles[0].target, 2 ** machine.row)
-        # Threat: at a busy front what is out is more than the memory holds, and everything seems slow.
-        fleet = (self.took + (self.kept < FLEET) * (self.out * now - self.out_since)) / self.work
-        return (machine.took + (lean := LEAN * self.usual_work[0]) * fleet) / (machine.work + lean)
+    def _pace(self, now: int, machine: Machine) -> float:
+        """Return answer time per work ahead: the machine's own, drawn to the fleet's while little is seen."""
+        machine.decay(now, MEMORY_TARGETS * self.charter.profiles[0].target, 2 ** machine.failures_in_row)
+        # At a busy front open hand-offs outnumber the remembered answers: counted, all would seem slow.
+        fleet = (self.took + (self.decay < FLEET_DECAY) * (self.open * now - self.sent_sum)) / self.work
+        return (machine.took + (prior := PACE_PRIOR * self.usual_work[0]) * fleet) / (machine.work + prior)
