--- a/umbermoor/front/policy/limits.py
+++ b/umbermoor/front/policy/limits.py
@@ -4,7 +4,7 @@
 from umbermoor.front.policy.exposure import MOVING, Exposure
 from umbermoor.front.records import Machine, Query
 
-COLD_SHARE = 0.7  # share of this front's part of the work allowed on a cold machine that it uses
+COLD_SHARE = 0.7  # part that this front uses of its share of the work allowed on a cold machine
 
 
 class Limits(Exposure):
@@ -20,7 +20,7 @@
         return may
 
     def _allows(self, now: int, query: Query, machine: Machine) -> bool:
-        """Return whether the query may go to the machine now; never to one that drains, also in its grace."""
+        """Return whether the query may go to the machine now; never to one that drains, grace or not."""
         charter, profile, hand_offs = self.charter, self.charter.profiles[query.profile], query.hand_offs
         if (query.ended or now >= query.due or len(hand_offs) >= charter.most_hand_offs
                 or not machine.ready or hand_offs and hand_offs[-1].ending is None and not charter.may_copy
@@ -41,7 +41,7 @@
         return self._warmth(now, machine) >= 1 or self._cold_room(now, machine) >= 0
 
     def _cold_room(self, now: int, machine: Machine) -> float:
-        """Return the work that a cold machine may be sent now, by the most that one did for this front."""
+        """Return the work that a cold machine may be sent, from the most that one did for this front."""
         rate = self.peak_work_rate * COLD_SHARE * self.charter.fall_multiple * self._warmth(now, machine)
         machine.room = min(machine.room + rate * (now - machine.room_at), rate * self.charter.fall_span / 2)
         machine.room_at = now
--- a/umbermoor/front/policy/routing.py
+++ b/umbermoor/front/policy/routing.py
@@ -9,14 +9,14 @@
 
 LOAD_MARK, LOAD_STEP = b"\x01", 10_000.0  # of load messages: first byte, and the work per unit (microseconds)
 SPREAD_TIME = 4 * SECOND  # a front uses as many machines as queries come in this time, to keep seeing each
-PEER_TTL = SECOND // 2  # a load message of a peer counts this long; a front sees only its part of the work
+PEER_TTL = SECOND // 2  # how long a peer's load message counts; a front sees only its part of the open work
 MEMORY_TARGETS = 4  # time constant of a machine's sums, in target times
-PACE_PRIOR = 2.0  # usual queries by which the fleet's pace weighs in a machine's own
-MIN_PHI = 0.5  # phi of a silence from which on it multiplies a machine's estimate, tenfold per unit of phi
-MAX_FAILURE_RUN = 2  # up to this, each failure in a row doubles the time they count, as hand-offs are seldom
-FAILURE_PENALTY = 100.0  # factor on the estimate per failure rate above the fleet's (shared faults not)
-MAX_WAIT_PART = 0.8  # no hand-off where the work ahead and a usual query take more of the time left than this
-VALUE_EXPONENT = 1 / 3  # that part shrinks with the query's value over the highest, raised to this power
+PACE_PRIOR = 2.0  # weight of the fleet's pace in a machine's own, in usual queries
+MIN_PHI = 0.5  # silence above this phi multiplies a machine's estimate, tenfold per unit of phi
+MAX_FAILURE_RUN = 2  # failures in a row that each double how long failures count, as hand-offs are rare
+FAILURE_PENALTY = 100.0  # weight of a failure rate above the fleet's; faults that all share don't count
+MAX_WAIT_PART = 0.8  # no hand-off if the work ahead and a usual query take more of the time left than this
+VALUE_EXPONENT = 1 / 3  # scales that part by the query's value over the highest, to this power
 
 
 class Routing(Limits):
@@ -24,7 +24,7 @@
         machine = hand_off.machine
         self._count(machine, -1, hand_off.sent, query.cost)
         on_trial = self._is_new(machine.build) and self.news.phase is Phase.TRIAL
-        # Unanswered ones count once they took longer than expected: a build that slows everything times out.
+        # Unanswered hand-offs count once slower than expected: a build that slows all makes them time out.
         if ending is Ending.OK or took > self._pace(now, machine) * hand_off.ahead:
             machine.took, machine.work = machine.took + took, machine.work + hand_off.ahead
             self.took, self.work = self.took * self.decay + took, self.work * self.decay + hand_off.ahead
@@ -68,13 +68,13 @@
                 pool = []
         for side in (self._preferred(now, steady), steady[:2 * GROUP_SIZE], trial[:2 * GROUP_SIZE]):
             pool = pool or self._eligible(now, query, side)  # not all machines: bounds the decision's time
-        nearest = min(pool, key=lambda machine: self._distance(now, query, machine), default=None)
+        nearest = min(pool, key=lambda machine: self._estimate(now, query, machine), default=None)
         # Late answers bring retries: congestion after bursts or lost machines would otherwise sustain itself.
         ahead = nearest and self._open_work(now, nearest) + min(query.cost, self.mean_cost)
         part = MAX_WAIT_PART * (self.charter.profiles[query.profile].value / self.max_value) ** (
             VALUE_EXPONENT * (self.decay < FLEET_DECAY))
         congested = nearest and len(self.queries) > 2 and self._pace(now, nearest) * ahead > left * part
-        return None if congested else nearest  # with hardly any query open one goes, to see the times
+        return None if congested else nearest  # with at most two queries open, send to learn the pace
 
     def _preferred(self, now: int, side: list[Machine]) -> list[Machine]:
         shared = [machine for machine in side if machine.rank < self.group_share] if self.group_share else []
@@ -84,7 +84,7 @@
         pool = [machine for machine in side if self._allows(now, query, machine)]
         return [one for one in pool if all(one is not sent.machine for sent in query.hand_offs)] or pool
 
-    def _distance(self, now: int, query: Query, machine: Machine) -> float:
+    def _estimate(self, now: int, query: Query, machine: Machine) -> float:
         """Estimate how long the query takes there, more with unusual silence or failures of the machine."""
         time = self._pace(now, machine) * (query.cost + self._open_work(now, machine))
         if machine.silent_since is not None:
@@ -98,7 +98,7 @@
         return machine.load + sum(load for at, load in machine.peer_loads.values() if now < at + PEER_TTL)
 
     def _tell_peers(self, machine: Machine) -> None:
-        if machine.sharers is None:  # no ranking for each front where machines are not shared
+        if machine.sharers is None:  # skips ranking it for all fronts if none share
             machine.sharers = [front for front in range(self.charter.fronts if self.group_share else 0)
                                if front != self.charter.me and rank(machine.id, front) < self.group_share]
         payload = LOAD_MARK + machine.tag + bytes([min(255, round(machine.load / LOAD_STEP))])
--- a/umbermoor/front/policy/verdict.py
+++ b/umbermoor/front/policy/verdict.py
@@ -10,17 +10,17 @@
 
 ORDER = {Phase.TRIAL: 0, Phase.RELEASED: 1, Phase.GOING_BACK: 2, Phase.WITHDRAWN: 3}
 SIGMA = 0.05  # how far apart the true means of two builds are expected to lie
-MARGIN, FLEET_MARGIN = 0.02, 0.06  # fixed lead for a vote back; with the fleet's n, twice that for lateness
+MARGIN, FLEET_MARGIN = 0.02, 0.06  # fixed lead for a vote back; with the fleet's n, doubled for lateness
 LONE_FACTOR = 3  # times s/sqrt(n) added to the lead where one vote, so maybe chance, sends back; elsewhere 2
 JUDGING_TIME = 4 * SECOND  # a stage is judged this long after its newest machine was listed, even short of n*
 MAX_MEAN = 0.965  # higher means count as this, so that s never vanishes and one late answer doesn't decide
 MAX_SOUND_MEAN = 0.985  # the same for the share that did not fail, judged apart: lateness would hide failures
-SLOWDOWN = 1.4  # answer times over those before the trial at which earlier machines hold up the release
+SLOWDOWN = 1.4  # earlier machines' answer times, over those before the trial, that hold up the release
 SLOWER_RATIO = 1.3  # a build goes back if its warm machines take this many times as long, less 2/sqrt(n)
 SLOW_TRIAL, SLOW_RELEASE = 8 * SECOND, 14 * SECOND  # slowdown that sends a build back, on trial and released
 TALLY_DECAY = 0.6  # factor on sums of tallied answer times per tally
 MIN_TRIAL_SHARE = 0.2  # with a smaller share of the machines on trial a slowdown has another cause
-SLOW_TARGETS = 2.5  # per second of target time, up to 1: factor on SLOW_TRIAL and SLOW_RELEASE
+SLOW_TARGETS = 2.5  # factor on both per second of target time, up to 1: troubles shorten with target times
 RENEWAL = 0.7  # a vote is cast again after this share of its lifetime
 
 
@@ -72,7 +72,7 @@
                 self.paces[self._is_new(build)].add(took * done, self.usual_work[profile] * done, done)
 
     def complaint(self, now: int, machine: str, profile: int, age: int) -> None:
-        """Count a report of a wrong answer, scored as good, for those not reported too; it may be false."""
+        """Score a reported wrong answer, which looked good, and unreported ones with it. It may be false."""
         known = self.machines.get(machine)
         if known and self.news and self.charter.complaint_share and now - age - known.listed >= self.settling:
             new = self._is_new(known.build)
@@ -108,7 +108,7 @@
                     self.paces[self._is_new(build)].add(took, query.cost)
 
     def _evidence(self) -> tuple[Contrast, Contrast]:
-        """Return both sides in this stage and over the whole trial, so that few outcomes decide nothing."""
+        """Return both sides in this stage and in the trial; too few give way to past ones or a prior."""
         seen = self.stage.contrast(self.charter.fronts)
         base = next((one for one in (seen.earlier, self.past_stages.earlier) if one.n >= MIN_OUTCOMES),
                     Score(1, PRIOR_MEAN, MAX_SOUND_MEAN))
@@ -133,7 +133,7 @@
         return (Do.VOTE, *vote)
 
     def _vote_delay(self, verdict: Verdict) -> int:
-        """Spread votes on over time: cast all at once, the platform would also refuse votes back."""
+        """Delay a vote on at random: if all fronts vote at once, the platform refuses votes back too."""
         apart = self.charter.fronts / self.charter.votes_a_second if self.charter.votes_a_second else 0.0
         apart = min(apart * SECOND, self.charter.vote_life)
         return 0 if verdict in (Verdict.BACK, Verdict.HOLD) else round(self.random() * apart)
@@ -181,7 +181,7 @@
             self.slow_since = None  # counts from the time at which enough machines are on trial
         self.slow_since = (self.slow_since or since) if slow else None
         lasted = now - (self.slow_since or 1 << 62)
-        # Tallies come late: a front's own answers withhold a vote on, but never vote back by chance.
+        # Tallies come late: own answers withhold a vote on. They never vote back: chance would decide.
         ahead = None if self.fleet_wide and own and since <= now else ahead
         return ahead if lasted < 0 else Verdict.BACK if lasted >= limit else None
 
@@ -192,7 +192,7 @@
 
     def _mean_trails(self, new: float, n: float, earlier: float, limit: float, part: float) -> bool:
         s = spread(mu := min(max(earlier, 0.0), limit))  # more complaints than good answers make it negative
-        if self.news.phase is Phase.TRIAL and self.earlier_bad:  # false complaints weigh as several, too
+        if self.news.phase is Phase.TRIAL and self.earlier_bad:  # a false complaint weighs as several
             s = sqrt(s * s + self.earlier_bad / (self.earlier_ok + 1) / self.charter.complaint_share ** 2)
         fixed = FLEET_MARGIN * (1 + (limit == MAX_MEAN)) if self.fleet_wide else MARGIN
         lead = fixed + (LONE_FACTOR if self.charter.votes_back <= 1 else 2) * s / sqrt(n)
