--- a/umbermoor/benchlink/__init__.py
+++ b/umbermoor/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the simulator's wire and the decision module; it decides nothing."""
+"""The adapter between the simulator's protocol and the decision module."""
--- a/umbermoor/front/interface.py
+++ b/umbermoor/front/interface.py
@@ -1,9 +1,9 @@
-"""What passes between a host and the decision module: plain data, and the calls.
+"""The interface between a host and the decision module: plain data types and the calls.
 
-A host (the bench's adapter today, a socket front later) makes one ``rules.Front`` from a
-``Charter``, reports what it sees through the calls of ``Decider`` and then pulls decisions with
-``decide`` until it answers None. Times are whole microseconds of the host's clock; ids are opaque
-text; a profile, zone or customer is a position in a list.
+A host (the socket front, the laboratory's virtual front or the simulator's adapter) makes one
+``rules.Front`` from a ``Charter``, reports events through the calls of ``Decider`` and then calls
+``decide`` until it returns None. Times are whole microseconds of the host's clock; ids are opaque
+text; a profile, zone or customer is an index into a list.
 """
 
 from collections.abc import Sequence
@@ -12,30 +12,40 @@
 
 
 class Repeat(Enum):
+    """Whether a query may be executed more than once."""
+
     RETRIABLE = "retriable"  # may run again
-    FINGERPRINTED = "fingerprinted"  # its group of machines drops a repeat for a while
+    FINGERPRINTED = "fingerprinted"  # its group of machines drops duplicates within a window
     BINDING = "binding"  # must never run twice
 
 
 class Group(Enum):
+    """The machines that detect duplicates of a fingerprinted query together."""
+
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
 
 class Control(Enum):
+    """How the platform moves a release from stage to stage; under TIMER it does so by itself."""
+
     ANY = "any"
     SHARE = "share"
     TIMER = "timer"
 
 
 class Readiness(IntEnum):
+    """State of a machine in the list."""
+
     GONE = 0
     READY = 1
     DRAINING = 2
 
 
 class Phase(IntEnum):
+    """Phase of a release. GOING_BACK: its traffic share is being taken back."""
+
     TRIAL = 0
     GOING_BACK = 1
     RELEASED = 2
@@ -43,6 +53,8 @@
 
 
 class Verdict(IntEnum):
+    """A vote on a build: none, to the next stage, to stay in this stage, back."""
+
     NONE = 0
     ON = 1
     HOLD = 2
@@ -66,6 +78,8 @@
 
 
 class Listing(IntEnum):
+    """What a message about the list of machines holds. CACHED: the whole list, maybe outdated."""
+
     FULL = 0
     CHANGES = 1
     CACHED = 2
@@ -73,58 +87,59 @@
 
 
 class Profile(NamedTuple):
-    """One row of the table of what differs by profile."""
+    """Properties of the queries of one profile."""
 
-    target: int
-    patience: int
-    late_value: float
+    target: int  # answered within this time a query has its full value
+    patience: int  # clients give up after this time
+    late_value: float  # value of a later answer
     repeat: Repeat
     group: Group
-    window: int
-    value: float = 1.0  # of a query done in time
+    window: int  # how long the group drops duplicates of a fingerprinted query
+    value: float = 1.0  # of a query answered within the target time
 
 
 class Charter(NamedTuple):
-    """What a front is told when it starts."""
+    """The start settings of a front.
+
+    Renaming a field invalidates stored snapshots: their digest covers this record's repr.
+    """
 
-    me: int
-    fronts: int
+    me: int  # number of this front
+    fronts: int  # number of all fronts
     seed: int
     zone: int
     profiles: tuple[Profile, ...]
-    list_asked: bool
+    list_asked: bool  # the list of machines comes on request only
     may_probe: bool
-    may_tell: bool
-    may_copy: bool
+    may_tell: bool  # fronts can send each other messages
+    may_copy: bool  # a query may be open at two machines
     may_cancel: bool
-    most_hand_offs: int
-    most_advice: int  # longest time a denied client stays away when told; 0: no advice reaches it
-    drain_grace: int
-    cold_from: float
-    warm_within: int
-    fall_multiple: float
-    fall_span: int
+    most_hand_offs: int  # per query
+    most_advice: int  # longest retry-after time that a denied client obeys; 0: it gets none
+    drain_grace: int  # how long a draining machine still takes hand-offs
+    cold_from: float  # share of its capacity that a machine has when it starts
+    warm_within: int  # time in which it grows to all of it
+    fall_multiple: float  # load over its capacity at which a cold machine fails
+    fall_span: int  # time over which that load is measured
     control: Control
-    votes_on: int
-    votes_back: int
-    votes_hold: int
-    votes_a_second: float  # calls that the platform takes of all fronts; 0: no such limit
-    vote_life: int
-    vote_wait: int
-    least_stage: int
-    stage_caps: tuple[float, ...]
-    guarded_stages: int
-    cap_by_profile: bool
-    free_hand_offs: float
-    one_way: bool
-    tallied_every: (
-        int  # how long the platform counts hand-offs before it tells; 0: it tells nothing
-    )
-    complaint_share: float  # of the wrong answers, the share that clients report; 0: none
+    votes_on: int  # votes needed for the next stage
+    votes_back: int  # votes needed to roll back
+    votes_hold: int  # votes needed to stay in the stage
+    votes_a_second: float  # calls that the platform accepts of all fronts; 0: no limit
+    vote_life: int  # a vote lapses after this time
+    vote_wait: int  # time-out of the answer to a vote
+    least_stage: int  # shortest time of a stage
+    stage_caps: tuple[float, ...]  # by stage, the new build's share of queries
+    guarded_stages: int  # first stages that only retriable queries may enter
+    cap_by_profile: bool  # the cap holds for each profile by itself
+    free_hand_offs: float  # credit that may accumulate for hand-offs to the trial
+    one_way: bool  # a key that the new build has answered may not go to an earlier one
+    tallied_every: int  # period of the platform's counts of hand-offs; 0: it sends none
+    complaint_share: float  # share of the wrong answers that clients report; 0: none
 
 
 class Entry(NamedTuple):
-    """One machine as the list names it."""
+    """A machine in the list."""
 
     machine: str
     build: int
@@ -132,23 +147,23 @@
     cell: int
     readiness: Readiness
     size: float
-    born: int  # 0: long ago
+    born: int  # when it started; 0: long ago
 
 
 class News(NamedTuple):
-    """Where the newest build stands."""
+    """State of the newest build's release, or the answer to a vote."""
 
     build: int
     stage: int
     phase: Phase
-    cap: float
-    age: int
+    cap: float  # share of queries that it may take
+    age: int  # time since the stage began
     answers_vote: bool
-    ending: Ending
+    ending: Ending  # how the vote ended, if this answers one
 
 
 class Do(Enum):
-    """What a decision asks of the host, with the values that follow it in the tuple."""
+    """What a decision asks of the host; its value names the items that follow in the tuple."""
 
     HAND_OFF = "query, machine, time-out"
     CANCEL = "query, number of the hand-off"
@@ -162,11 +177,11 @@
     NOTE = "text for the log"
 
 
-Decision = tuple[Any, ...]  # a Do, then the values it names
+Decision = tuple[Any, ...]  # a Do, then the items that its value names
 
 
 class Decider(Protocol):
-    """The calls on a front. All but ``decide`` only take note."""
+    """The calls on a front. All but ``decide`` only record what is reported."""
 
     def take_query(
         self,
--- a/umbermoor/front/start_settings.py
+++ b/umbermoor/front/start_settings.py
@@ -1,5 +1,4 @@
-"""Reads the start settings, as the simulator's first message and a front's configuration both hold
-them."""
+"""Reads start settings, which the simulator's first message and a front's configuration hold."""
 
 from typing import Any
 
@@ -9,10 +8,12 @@
 
 
 def micros(ms: float | None) -> int:
+    """Return milliseconds as whole microseconds; 0 for None."""
     return round((ms or 0) * 1000)
 
 
 def read_start_settings(seed: int, info: dict[str, Any]) -> Charter:
+    """Return the charter of a front; missing settings get neutral values."""
     rules, limits, domain = (info.get(part) or {} for part in ("rules", "limits", "domain"))
     profiles = tuple(
         Profile(
@@ -26,7 +27,7 @@
         )
         for row in info["request_classes"]
     )
-    advised = limits.get("retry_after")
+    has_retry_after = limits.get("retry_after")
     return Charter(
         me=info.get("me") or 0,
         fronts=info.get("peers_total") or 1,
@@ -39,7 +40,7 @@
         may_copy=bool(limits.get("parallel_tries")),
         may_cancel=bool(limits.get("cancelling")),
         most_hand_offs=limits.get("try_limit") or 1,
-        most_advice=micros(limits.get("max_retry_after_ms")) if advised else 0,
+        most_advice=micros(limits.get("max_retry_after_ms")) if has_retry_after else 0,
         drain_grace=micros(rules.get("stop_sending_within_ms")),
         cold_from=rules.get("cold_from") or 1.0,
         warm_within=micros(rules.get("warm_within_ms")),
--- a/umbermoor/statistics/__init__.py
+++ b/umbermoor/statistics/__init__.py
@@ -1,1 +1,1 @@
-"""The ground under front and gateway: what both share and what knows neither of them."""
+"""Statistics used by the front and the gateway; depends on neither."""
--- a/umbermoor/statistics/windowed.py
+++ b/umbermoor/statistics/windowed.py
@@ -1,24 +1,24 @@
-"""Sums over a sliding window, kept in a few slots."""
+"""Sums over a sliding window that is divided into slots."""
 
 SLOTS = 20
 
 
 class SlidingWindowSum:
-    """The sum of what was added within the last `span` microseconds.
+    """The sum of the amounts added within the last `span` microseconds.
 
-    It is exact to within one slot, on the side of too much.
+    It may include amounts that are older by up to one slot.
     """
 
     __slots__ = ("counts", "slot_number", "slot_us", "total")
 
     def __init__(self, span: int) -> None:
         self.slot_us = max(1, span // SLOTS)
-        self.slot_number = 0  # of the newest slot, counted from time 0
+        self.slot_number = 0  # of the newest slot; slot 0 begins at time 0
         self.counts = [0.0] * (SLOTS + 1)
         self.total = 0.0
 
     def _advance(self, now: int) -> None:
-        """Empties the slots that have left the window by `now`."""
+        """Empty the slots that have left the window by `now`."""
         newest = now // self.slot_us
         if newest <= self.slot_number:
             return
@@ -33,12 +33,12 @@
         self.slot_number = newest
 
     def add(self, now: int, count: float) -> None:
-        """Adds `count` at `now`."""
+        """Add `count` at `now`."""
         self._advance(now)
         self.counts[self.slot_number % len(self.counts)] += count
         self.total += count
 
     def sum(self, now: int) -> float:
-        """What was added within the window that ends at `now`."""
+        """Return the sum over the window that ends at `now`."""
         self._advance(now)
         return self.total
