--- a/umbermoor/front/interface.py
+++ b/umbermoor/front/interface.py
@@ -66,14 +66,15 @@
 
     OK = 0
     ERROR = 1
-    FULL = 2
+    FULL = 2  # turned away: over the machine's or the platform's limit
     TIMEOUT = 3
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    MOOT = 7  # a hand-off obsolete before it was sent; a vote on what is not open
 
 
+# Endings of hand-offs that the machine certainly did not execute.
 NEVER_RAN = frozenset({Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT})
 
 
--- a/umbermoor/front/policy/state.py
+++ b/umbermoor/front/policy/state.py
@@ -36,14 +36,14 @@
         self.took = self.work = 1.0 * SECOND  # fleet's answer times and the work ahead of them, decaying
         self.decay, self.open, self.sent_sum = FLEET_DECAY, 0, 0  # open hand-offs; sum of send times
         self.gap, self.fleet_failures, self.mean_cost = SECOND / 2.0, 0.0, max(self.usual_work, default=0.0)
-        self.started = self.watch_at = self.news = self.slow_since = None  # see _after_slowdown
+        self.started = self.watch_at = self.news = self.slow_since = None  # slow_since: start of a slowdown
         self.hint_slope = LogSlope(HINT_DECAY, HINT_PRIOR)  # how far answer times follow hints
         self.arrivals, self.done_work = DecayingSum(HORIZON / 2), DecayingSum(WORK_SPAN)
         self.query_errors, self.machine_errors, self.error_run = DecayingSum(HORIZON), DecayingSum(HORIZON), 0
         self.copy_credit, self.wake_at, self.watch_fails, self.complaints, self.earlier_ok = 1.0, 0, 0, 0, 0
         self.credit: dict[int, float] = defaultdict(float)  # hand-offs that the cap still allows the trial
         self.settling, self.trial_share = min(SETTLING_TIME, charter.warm_within), 0.0
-        self.base_paces, self.stage_began_at, self.tally_age = (0.0, 0.0), 0, charter.tallied_every
+        self.baselines, self.stage_began_at, self.tally_age = (0.0, 0.0), 0, charter.tallied_every
         self.turns_due = 0.0  # hand-offs due to the trial by its share
         self.ids_by_tag: dict[bytes, str] = {}  # ids of ready machines by their tags in peers' messages
         self.group_share = self.peak_work_rate = 0.0  # share of fronts that use one machine
--- a/umbermoor/front/policy/verdict.py
+++ b/umbermoor/front/policy/verdict.py
@@ -8,7 +8,7 @@
 from umbermoor.front.policy.state import ANSWER_MARGIN, FAULT_RATIO, MAX_ERRORS, MIN_OUTCOMES, PRIOR_MEAN, SECOND, TICK
 from umbermoor.front.records import Contrast, HandOff, Pace, Query, Score
 
-ORDER = {Phase.TRIAL: 0, Phase.RELEASED: 1, Phase.GOING_BACK: 2, Phase.WITHDRAWN: 3}
+ORDER = {Phase.TRIAL: 0, Phase.RELEASED: 1, Phase.GOING_BACK: 2, Phase.WITHDRAWN: 3}  # earlier: stale news
 SIGMA = 0.05  # how far apart the true means of two builds are expected to lie
 MARGIN, FLEET_MARGIN = 0.02, 0.06  # fixed lead for a vote back; with the fleet's n, doubled for lateness
 LONE_FACTOR = 3  # times s/sqrt(n) added to the lead where one vote, so maybe chance, sends back; elsewhere 2
@@ -30,8 +30,8 @@
             cast, self.pending_vote = self.pending_vote, None
             if news.ending is not Ending.OK:
                 if news.ending is not Ending.TIMEOUT:
-                    turn = self._vote_delay(cast[2] if cast else Verdict.NONE)
-                    self.vote_after = now + round(2 * TICK * (1 + self.random())) + turn
+                    delay = self._vote_delay(cast[2] if cast else Verdict.NONE)
+                    self.vote_after = now + round(2 * TICK * (1 + self.random())) + delay
                 return
             self.standing_vote, self.voted_at = cast, now
         old = self.news
@@ -41,8 +41,8 @@
             return
         if old is None or news.build != old.build:
             self.past_stages, self.slow_since = Contrast(), None  # the last build may have slowed all
-            if old is None or old.phase is Phase.RELEASED or not any(self.base_paces):
-                self.base_paces = self.stage.pace(), self.own_pool.pace()
+            if old is None or old.phase is Phase.RELEASED or not any(self.baselines):
+                self.baselines = self.stage.pace(), self.own_pool.pace()
         if old is None or (old.build, old.phase, old.stage) != (news.build, news.phase, news.stage):
             self.past_stages = self._evidence()[1] if old and old.build == news.build else Contrast()
             self.stage, self.complaints, self.stage_began_at = self.stage.next_stage(), 0, now - news.age
@@ -127,13 +127,13 @@
             return None
         if vote != self.noted_vote:
             self.noted_vote, self.vote_after = vote, now + self._vote_delay(verdict)
-            slow = f"{self.stage.pace():.3g}, {self.own_pool.pace():.3g}; before %.3g, %.3g" % self.base_paces
+            slow = f"{self.stage.pace():.3g}, {self.own_pool.pace():.3g}; before %.3g, %.3g" % self.baselines
             return (Do.NOTE, f"votes {verdict.name}: {news}; {self._evidence()} {self.paces}, earlier {slow}")
         self.pending_vote, self.vote_sent_at = vote, now
         return (Do.VOTE, *vote)
 
     def _vote_delay(self, verdict: Verdict) -> int:
-        """Delay a vote on at random: if all fronts vote at once, the platform refuses votes back too."""
+        """Return a random delay of votes on: among too many at once votes back are refused too."""
         apart = self.charter.fronts / self.charter.votes_a_second if self.charter.votes_a_second else 0.0
         apart = min(apart * SECOND, self.charter.vote_life)
         return 0 if verdict in (Verdict.BACK, Verdict.HOLD) else round(self.random() * apart)
@@ -141,14 +141,14 @@
     def _verdict(self, now: int, news: News) -> Verdict | None:
         """Return the vote by Test & Roll: at n*, or short of it once the stage has had its time."""
         released, timed = news.phase is Phase.RELEASED, self.charter.control is Control.TIMER
-        ahead, last = None if timed or released else Verdict.ON, news.stage >= len(self.charter.stage_caps) - 1
-        if (vote := self._after_slowdown(now, ahead, SLOW_RELEASE if released else SLOW_TRIAL)) is Verdict.BACK:
+        on, last = None if timed or released else Verdict.ON, news.stage >= len(self.charter.stage_caps) - 1
+        if (vote := self._after_slowdown(now, on, SLOW_RELEASE if released else SLOW_TRIAL)) is Verdict.BACK:
             return vote
-        ahead = vote if last else ahead  # earlier stages don't wait: the slowdown may pass, the build be good
+        on = vote if last else on  # earlier stages don't wait: the slowdown may pass, the build be good
         earlier, new = self.paces
-        sure = 1 - (LONE_FACTOR if self.by_tallies else 2) / sqrt(max(1, new.n))  # tallies cluster by machine
-        sure *= not released and min(earlier.n, new.n) >= 4 * MIN_OUTCOMES
-        if sure * new.mean() > SLOWER_RATIO * earlier.mean():  # at light load its extra work is still in time
+        scale = 1 - (LONE_FACTOR if self.by_tallies else 2) / sqrt(max(1, new.n))  # tallies clump by machine
+        scale *= not released and min(earlier.n, new.n) >= 4 * MIN_OUTCOMES
+        if scale * new.mean() > SLOWER_RATIO * earlier.mean():  # at light load extra work is still in time
             return Verdict.BACK
         expected = self._expected(now) * (self.charter.fronts if self.fleet_wide else 1)
         listed = [machine.listed for machine in self.machines.values() if machine.build == news.build]
@@ -160,7 +160,7 @@
         since = now - max(*listed, self.started) if listed else 0
         timely = bool(listed) and since >= patience
         if last and self.fleet_wide and now < self.stage_began_at + self.charter.least_stage + SECOND:
-            ahead = None  # changes nothing yet, and a vote from before this stage had its traffic would stand
+            on = None  # changes nothing yet, and a vote from before this stage had its traffic would stand
         for new, earlier in ((stage.new, stage.earlier), (total.new, total.earlier)):
             enough = needed(expected, min(max(earlier.mean(released), 0.0), MAX_MEAN), SIGMA, MIN_OUTCOMES)
             if new.n >= enough or timely and new.n >= MIN_OUTCOMES:
@@ -168,22 +168,22 @@
                     return Verdict.BACK
                 # One vote on suffices: the least informed of many fronts must not cast it.
                 unsure = self.fleet_wide and new.n < enough and since < max(patience, tallied) + JUDGING_TIME
-                return None if unsure and self._trails(new, earlier, released, 0.5) else ahead
+                return None if unsure and self._trails(new, earlier, released, 0.5) else on
         trails = stage.new.n and stage.new.mean(released) < stage.earlier.mean(released)
-        return (None if trails else ahead) if timely else Verdict.HOLD if timed and trails else None
+        return (None if trails else on) if timely else Verdict.HOLD if timed and trails else None
 
-    def _after_slowdown(self, now: int, ahead: Verdict | None, limit: int) -> Verdict | None:
+    def _after_slowdown(self, now: int, on: Verdict | None, limit: int) -> Verdict | None:
         """Hold up or vote back a build that slows all machines with its traffic. May hold up good ones."""
         limit = round(limit * min(1.0, SLOW_TARGETS * self.charter.profiles[0].target / SECOND))
         since = now if self.trial_share >= MIN_TRIAL_SHARE or self.news.phase is Phase.RELEASED else 1 << 62
-        slow, own = (pool.pace() > SLOWDOWN * base > 0 for pool, base in zip((self.stage, self.own_pool), self.base_paces))
+        slow, own = (pool.pace() > SLOWDOWN * base > 0 for pool, base in zip((self.stage, self.own_pool), self.baselines))
         if self.fleet_wide and self.slow_since and self.slow_since > now:
             self.slow_since = None  # counts from the time at which enough machines are on trial
         self.slow_since = (self.slow_since or since) if slow else None
         lasted = now - (self.slow_since or 1 << 62)
         # Tallies come late: own answers withhold a vote on. They never vote back: chance would decide.
-        ahead = None if self.fleet_wide and own and since <= now else ahead
-        return ahead if lasted < 0 else Verdict.BACK if lasted >= limit else None
+        on = None if self.fleet_wide and own and since <= now else on
+        return on if lasted < 0 else Verdict.BACK if lasted >= limit else None
 
     def _trails(self, new: Score, earlier: Score, released: bool, part: float = 1.0) -> bool:
         """Return whether a posterior mean of the new build trails the earlier one by `part` of the lead."""
--- a/umbermoor/front/rules.py
+++ b/umbermoor/front/rules.py
@@ -46,7 +46,7 @@
 
     def stream_started(self, now: int, query: str, number: int) -> None:
         if record := self.queries.get(query):
-            record.due = 1 << 62
+            record.due = 1 << 62  # never: the answer has begun
 
     def client_left(self, now: int, query: str) -> None:
         if record := self.queries.get(query):
@@ -121,13 +121,13 @@
         """Return what to do with a query now: a hand-off, a second copy, a final answer, or None to wait."""
         profile = self.charter.profiles[record.profile]
         end = record.due if profile.late_value else min(record.due, record.arrived_at + profile.target - ANSWER_MARGIN)
-        out = any(hand_off.ending is None for hand_off in record.hand_offs)
-        if out and not (record.copy_at and now >= record.copy_at and self.copy_credit >= 1):
+        waiting = any(hand_off.ending is None for hand_off in record.hand_offs)
+        if waiting and not (record.copy_at and now >= record.copy_at and self.copy_credit >= 1):
             return None
         if now < end and record.errors < MAX_ERRORS and (machine := self._choose(now, record, end - now)):
-            self.copy_credit -= out
+            self.copy_credit -= waiting
             return self._send(now, query, record, machine, end)
-        if out:
+        if waiting:
             return None
         self._end(query, record)
         harmless = (profile.repeat is Repeat.RETRIABLE or not record.first_run
@@ -148,9 +148,9 @@
         return (Do.HAND_OFF, query, machine.id, end - now)
 
     def _end(self, query: str, record: Query) -> None:
-        out = [number for number, hand_off in enumerate(record.hand_offs) if hand_off.ending is None]
+        unended = [number for number, hand_off in enumerate(record.hand_offs) if hand_off.ending is None]
         if not record.ended and self.charter.may_cancel:
-            self.outbox.extend((Do.CANCEL, query, number) for number in out)
+            self.outbox.extend((Do.CANCEL, query, number) for number in unended)
         record.ended = True
-        if not out:
+        if not unended:
             self.queries.pop(query, None)
