--- a/umbermoor/gateway/replication/bootstrap.py
+++ b/umbermoor/gateway/replication/bootstrap.py
@@ -7,7 +7,7 @@
 
 from umbermoor.gateway.replication.context import Context
 from umbermoor.gateway.replication.heartbeats import Heartbeats
-from umbermoor.gateway.replication.messages import Found, Settled
+from umbermoor.gateway.replication.messages import FoundingRequest, FoundingSynced
 from umbermoor.gateway.replication.replica_set import MAX_MEMBERS
 from umbermoor.gateway.replication.timing import FOUNDING_QUIET, RETRY_INTERVAL
 from umbermoor.gateway.replication.view_change import ViewChange
@@ -55,7 +55,7 @@
         if context.identity.is_founder:
             self._settle_others()
         else:
-            settled = Settled(context.sets.names, context.views.promise)
+            settled = FoundingSynced(context.sets.names, context.views.promise)
             context.outbox.send(context.identity.seeds[0], settled)
 
     def tick(self) -> None:
@@ -79,10 +79,10 @@
             peer = context.peers.get(name)
             if name not in self._settled and peer:
                 system = context.sets.accepted.replica_set.system
-                found = Found(context.sets.names, peer.heartbeat.incarnation, system)
+                found = FoundingRequest(context.sets.names, peer.heartbeat.incarnation, system)
                 context.outbox.send(name, found)
 
-    def on_found(self, sender: str, message: Found) -> None:
+    def on_found(self, sender: str, message: FoundingRequest) -> None:
         """The founder has a replica settle."""
         context, lifecycle = self._context, self._context.lifecycle
         members = message.members
@@ -97,7 +97,7 @@
             lifecycle.founding_synced()
             self._tell_settled()
 
-    def on_settled(self, sender: str, message: Settled) -> None:
+    def on_settled(self, sender: str, message: FoundingSynced) -> None:
         """Another replica has the members on disk."""
         context = self._context
         is_founding = context.identity.is_founder and not context.views.promise
--- a/umbermoor/gateway/replication/codec.py
+++ b/umbermoor/gateway/replication/codec.py
@@ -270,14 +270,14 @@
     Format("ping", messages.Heartbeat, HEARTBEAT),
     Format(
         "found",
-        messages.Found,
+        messages.FoundingRequest,
         (
             MEMBERS,
             Field("life", "incarnation", NUMBER),
             Field("system", "system", NUMBER, 0, False),
         ),
     ),
-    Format("settled", messages.Settled, (MEMBERS, PROMISE)),
+    Format("settled", messages.FoundingSynced, (MEMBERS, PROMISE)),
     Format("learn", messages.PromiseQuery, (NONCE,)),
     Format("learnt", messages.PromiseQueryReply, (NONCE, PROMISE)),
     Format("prepare", messages.Prepare, (EPOCH, VERSION_FIELD)),
--- a/umbermoor/gateway/replication/messages.py
+++ b/umbermoor/gateway/replication/messages.py
@@ -63,7 +63,7 @@
     proven_set: EpochSet | None = None  # for one that does not know it
 
 
-class Found(NamedTuple):
+class FoundingRequest(NamedTuple):
     """The founder asks a cold replica to record the members of the new system."""
 
     members: tuple[str, ...]
@@ -71,7 +71,7 @@
     system: int  # 0: derived from the names, by an earlier revision
 
 
-class Settled(NamedTuple):
+class FoundingSynced(NamedTuple):
     """The founding is on this replica's disk."""
 
     members: tuple[str, ...]
@@ -225,8 +225,8 @@
 
 Message = (
     Heartbeat
-    | Found
-    | Settled
+    | FoundingRequest
+    | FoundingSynced
     | PromiseQuery
     | PromiseQueryReply
     | Prepare
--- a/umbermoor/gateway/replication/replica.py
+++ b/umbermoor/gateway/replication/replica.py
@@ -38,7 +38,7 @@
 from umbermoor.gateway.replication.view_triggers import ViewTriggers
 
 # Before they know who the members are, replicas hear these from anybody,
-FROM_ANYBODY = (messages.Heartbeat, messages.Found, messages.Settled)
+FROM_ANYBODY = (messages.Heartbeat, messages.FoundingRequest, messages.FoundingSynced)
 # and members these from learners.
 FROM_LEARNERS = (messages.PromiseQuery, messages.Fetch)
 
@@ -103,8 +103,8 @@
     def _make_handlers(self) -> dict[type, Callable[[str, Any], None]]:
         return {
             messages.Heartbeat: self.heartbeats.on_heartbeat,
-            messages.Found: self.bootstrap.on_found,
-            messages.Settled: self.bootstrap.on_settled,
+            messages.FoundingRequest: self.bootstrap.on_found,
+            messages.FoundingSynced: self.bootstrap.on_settled,
             messages.PromiseQuery: self.transfer.on_promise_query,
             messages.PromiseQueryReply: self.transfer.on_promise_reply,
             messages.Prepare: self.acceptor.on_prepare,
