--- a/umbermoor/gateway/replication/view_triggers.py
+++ b/umbermoor/gateway/replication/view_triggers.py
@@ -93,7 +93,7 @@
             for name, peer in context.peers.heard(context.now).items()
             if peer.heartbeat.disk_healthy and not peer.heartbeat.disk_lost
         ]
-        return context.disk.works(context.now) and not context.sets.current.quorum(healthy)
+        return context.disk.accepts_writes(context.now) and not context.sets.current.quorum(healthy)
 
     def _find(self) -> Trigger:
         context = self._context
--- a/umbermoor/gateway/replication/write_queue.py
+++ b/umbermoor/gateway/replication/write_queue.py
@@ -119,11 +119,11 @@
         self._probed_at = now
         return True
 
-    def works(self, now: int) -> bool:
+    def accepts_writes(self, now: int) -> bool:
         """Whether it takes writes, be it slowly."""
         is_hanging = self._failing_since is not None and now - self._failing_since >= HANGING
         return not self._is_refused and not is_hanging
 
     def healthy(self, now: int) -> bool:
         """Whether it takes writes, and has been quick for as long as it has to."""
-        return now >= self._on_probation_until and self.works(now)
+        return now >= self._on_probation_until and self.accepts_writes(now)
