--- a/umbermoor/gateway/replication/heartbeats.py
+++ b/umbermoor/gateway/replication/heartbeats.py
@@ -70,7 +70,7 @@
         context, views, transfer = self._context, self._context.views, self._transfer
         self._sequence += 1
         context.contact.sent(context.now, self._sequence)
-        is_filled = context.is_member or transfer.learner_filled
+        is_filled = context.is_member or transfer.learner_state_synced
         disk_lost, proven = context.lifecycle.disk_lost, context.sets.proven.replica_set
         return Heartbeat(
             incarnation=context.identity.incarnation,
--- a/umbermoor/gateway/replication/state_transfer.py
+++ b/umbermoor/gateway/replication/state_transfer.py
@@ -34,7 +34,7 @@
         self._promises: dict[str, int] = {}  # as told, by member
         self._asked_at = 0
         self._fetched_at = -FETCH_INTERVAL
-        self.learner_filled = False  # a learner's disk has taken what it learnt
+        self.learner_state_synced = False  # a learner's disk has taken what it learnt
         context.sets.subscribe(self._void_promises)
         activation.subscribe(self._fetch_soon)
 
@@ -116,7 +116,7 @@
         )
 
     def _on_learner_filled(self) -> None:
-        self.learner_filled = True
+        self.learner_state_synced = True
 
     def _fetch_soon(self) -> None:
         """A newer view is active: whoever is outside of it asks at once."""
