--- a/umbermoor/gateway/replication/acceptor.py
+++ b/umbermoor/gateway/replication/acceptor.py
@@ -142,7 +142,7 @@
         self, sender: str, view: View, replica_set: ReplicaSet, state: Mapping[str, JsonValue]
     ) -> None:
         context = self._context
-        records = context.map.records_to_become(state) | view_records(view)
+        records = context.map.diff_records(state) | view_records(view)
         if context.lifecycle.disk_lost:
             records[LEARNER_VERSION] = None
         self._proposals.drop_below(view.epoch)
--- a/umbermoor/gateway/replication/replicated_map.py
+++ b/umbermoor/gateway/replication/replicated_map.py
@@ -60,7 +60,7 @@
         """Take over what others know to be committed."""
         self.committed, self.version = dict(committed), version
 
-    def records_to_become(self, values: Mapping[str, JsonValue]) -> Records:
+    def diff_records(self, values: Mapping[str, JsonValue]) -> Records:
         """What is to be put on disk for `values` to become those."""
         records: Records = {}
         for key in self.values:
--- a/umbermoor/gateway/replication/state_transfer.py
+++ b/umbermoor/gateway/replication/state_transfer.py
@@ -109,7 +109,7 @@
         That shows that its disk takes writes, and who is taken in writes little then.
         """
         context = self._context
-        records = context.map.records_to_become(state)
+        records = context.map.diff_records(state)
         context.map.fill(state)
         context.disk.enqueue(
             {**records, **learner_version_record(version)}, "fill", self._on_learner_filled
