--- a/umbermoor/gateway/replication/lifecycle.py
+++ b/umbermoor/gateway/replication/lifecycle.py
@@ -4,7 +4,7 @@
 nothing until it is given the state, as its promises can no longer be known: docs/storage.md.
 """
 
-from umbermoor.gateway.replication.stored_records import no_founding_records
+from umbermoor.gateway.replication.stored_records import founding_removal_records
 from umbermoor.gateway.replication.write_queue import WriteQueue, do_nothing
 
 
@@ -34,7 +34,7 @@
     def void_founding(self) -> None:
         """The system was founded before, when this disk was another: the new one must not be."""
         self.disk_lost, self.settled = True, False
-        self._disk.enqueue(no_founding_records(), "members", do_nothing)
+        self._disk.enqueue(founding_removal_records(), "members", do_nothing)
 
     def view_synced(self) -> None:
         """A view and its state are on disk: whatever was lost is filled."""
--- a/umbermoor/gateway/replication/stored_records.py
+++ b/umbermoor/gateway/replication/stored_records.py
@@ -103,7 +103,7 @@
     return {MEMBERS: json_bytes(members), SYSTEM: json_bytes(system)}
 
 
-def no_founding_records() -> Records:
+def founding_removal_records() -> Records:
     """A founding that came to nothing."""
     return {MEMBERS: None, SYSTEM: None}
 
