--- a/umbermoor/gateway/effects.py
+++ b/umbermoor/gateway/effects.py
@@ -1,44 +1,45 @@
-"""What the gateway's state machines return for a host to carry out, and the outcomes they speak of.
+"""Effects that the gateway's state machines return to their host, and the outcomes of calls.
 
-The state machines do no I/O. Each input returns a list of effects, in the order in which a host is
-to carry them out: a message to send, a write to sync, the result of a call.
+The state machines do no I/O. Each input returns a list of effects, which the host must carry out in
+order: messages to send, writes to sync, and results of calls.
 """
 
 from collections.abc import Mapping
 from enum import Enum
 from typing import Any, NamedTuple, TypeAlias
 
-# Values of operators and of other processes, as JSON holds them.
+# Values received from operators and from other processes, in their JSON form.
 JsonValue: TypeAlias = bool | int | float | str | list["JsonValue"] | dict[str, "JsonValue"] | None
 JsonObject: TypeAlias = dict[str, JsonValue]
 
 
 class Status(Enum):
-    """How a call ended. Outcomes are values: a host maps them to HTTP statuses."""
+    """How a call ended. The host maps statuses to HTTP status codes."""
 
     OK = "ok"
-    # not done as far as is known here; the caller may retry unchanged, at another member
+    # Not carried out as far as this replica knows, although it may have been. The caller may repeat
+    # the same call at another member.
     UNAVAILABLE = "later"
-    CONFLICT = "clash"  # it contradicts what is in progress or stored
-    INVALID = "wrong"  # it can never be done as asked
+    CONFLICT = "clash"  # the call contradicts what is in progress or stored
+    INVALID = "wrong"  # the call can never succeed as it is
     NOT_FOUND = "unknown"
 
 
 class Outcome(Enum):
-    """What a conditional write came to, as decided by the head, which orders all writes.
+    """The outcome of a conditional write, decided by the head, which orders all writes.
 
-    The values go over the wire between members.
+    The values are sent over the wire between members.
     """
 
-    ACCEPTED = "taken"  # it is in force, or was until something newer replaced it
-    UNCHANGED = "same"  # a repetition of what is in force
-    STALE = "older"  # something newer is in force: it changes nothing
-    CONFLICT = "clash"  # its precondition does not hold, or its revision has other content
-    NOT_FOUND = "unknown"  # it names something that does not exist
+    ACCEPTED = "taken"  # the write took effect; a newer one may have replaced it since
+    UNCHANGED = "same"  # the write repeats what is already in force
+    STALE = "older"  # something newer is in force, so the write changes nothing
+    CONFLICT = "clash"  # its precondition does not hold, or its revision exists with other content
+    NOT_FOUND = "unknown"  # the write names something that does not exist
 
 
 class Decision(NamedTuple):
-    """An outcome, the value to store where that is ACCEPTED, and one line that says why."""
+    """An outcome, the value to store if it is ACCEPTED, and one line that gives the reason."""
 
     outcome: Outcome
     value: Any = None
@@ -46,29 +47,29 @@
 
 
 class Send(NamedTuple):
-    """A message to another process, best effort: it may be lost, duplicated or late."""
+    """A message to another process, sent best effort: it may be lost, duplicated or delayed."""
 
-    to: str  # its IP address
+    to: str  # IP address of the receiver
     message: JsonObject
 
 
 class Write(NamedTuple):
-    """Records to store, all or none. The host reports back once they are synced, or refused."""
+    """Records to store, all or none. The host reports back when they are synced or refused."""
 
     token: int
-    puts: Mapping[str, bytes | None]  # None removes
+    puts: Mapping[str, bytes | None]  # None removes the record
 
 
 class CallResult(NamedTuple):
-    """The end of a call that a host passed in under the number `request_id`."""
+    """The result of a call that the host passed in under the number `request_id`."""
 
     request_id: int
     status: Status
-    value: Any = None  # of a read: the map; of a put: a Decision
+    value: Any = None  # for a read, the map; for a put, a Decision
 
 
 Effect = Send | Write | CallResult
 
 
 class UnsupportedFormatError(Exception):
-    """What is stored was written by a later revision: it is not damaged, and is not touched."""
+    """Raised for a store written by a later revision; the store is intact and left unchanged."""
--- a/umbermoor/gateway/replication/anti_entropy.py
+++ b/umbermoor/gateway/replication/anti_entropy.py
@@ -1,7 +1,7 @@
-"""Whether replicas hold the same: digests of what is committed, compared at one version. No I/O.
+"""Comparison of digests of the committed map between replicas at the same version. No I/O.
 
-At one version all replicas hold one map, so a difference is a fault of memory or of the program; it
-is told, not repaired: who is wrong can't be said by two.
+All replicas hold the same map at the same version, so a difference means a memory fault or a bug.
+It is reported, not repaired, because two replicas cannot tell which of them is wrong.
 """
 
 import json
@@ -11,27 +11,27 @@
 from umbermoor.gateway.effects import JsonObject, JsonValue
 from umbermoor.gateway.replication.view import Version
 
-MAX_DIFFERING = 64  # replicas that a difference is remembered of
+MAX_DIFFERING = 64  # replicas for which a difference is remembered
 DIGEST_SIZE = 12  # bytes
 NO_VERSION: Version = (0, 0)
 
 
 def digest(committed: Mapping[str, JsonValue]) -> str:
-    """Of a map, whatever the order of its keys."""
+    """Return the digest of a map; the order of its keys does not matter."""
     text = json.dumps(committed, sort_keys=True, separators=(",", ":"))
     return blake2b(text.encode(errors="surrogatepass"), digest_size=DIGEST_SIZE).hexdigest()
 
 
 class DigestComparison:
-    """What a replica tells of its map, and what it makes of what the others tell."""
+    """Builds this replica's digest messages and compares received ones with its own map."""
 
     def __init__(self) -> None:
         self.compared = 0
-        self.differing: dict[str, Version] = {}  # by replica: the version at which it last differed
-        self._own: tuple[Version, str] = (NO_VERSION, "")
+        self.differing: dict[str, Version] = {}  # replica -> version at which it last differed
+        self._cached_digest: tuple[Version, str] = (NO_VERSION, "")
 
     def message(self, version: Version, committed: Mapping[str, JsonValue]) -> JsonObject:
-        """What to send to the others, as JSON."""
+        """Return the digest message to send to the other replicas, as a JSON object."""
         return {
             "kind": "digest",
             "version": list(version),
@@ -45,7 +45,11 @@
         version: Version,
         committed: Mapping[str, JsonValue],
     ) -> bool:
-        """Whether it is news that the sender holds another map at the version that is held here."""
+        """Compare a received digest with the map held here.
+
+        Returns True only the first time that the sender is found to hold another map at the same
+        version. Messages for another version, or without a valid digest, are ignored.
+        """
         if message.get("version") != list(version) or version == NO_VERSION:
             return False
         if not isinstance(message.get("digest"), str):
@@ -61,6 +65,6 @@
         return is_new
 
     def _digest(self, version: Version, committed: Mapping[str, JsonValue]) -> str:
-        if self._own[0] != version:
-            self._own = version, digest(committed)
-        return self._own[1]
+        if self._cached_digest[0] != version:
+            self._cached_digest = version, digest(committed)
+        return self._cached_digest[1]
--- a/umbermoor/gateway/replication/chain.py
+++ b/umbermoor/gateway/replication/chain.py
@@ -1,8 +1,10 @@
-"""The chain: writes go from the head to the tail, acknowledgements back.
+"""The chain: writes pass from the head to the tail, acknowledgements pass back to the head.
 
-Each replica syncs a write before it hands it on, so what the tail has synced all have, and that is
-committed. Source: van Renesse and Schneider, Chain Replication (2004). Sequence numbers count the
-writes of a view from 1 on.
+Each replica syncs a write before it forwards it. A write that the tail has synced is therefore on
+the disk of every replica of the chain, and counts as committed. Sequence numbers count the writes
+of a view from 1.
+
+Source: van Renesse and Schneider, Chain Replication (2004).
 """
 
 from collections import deque
@@ -17,49 +19,50 @@
 from umbermoor.gateway.replication.timing import ACKNOWLEDGE_TIMEOUT, APPEND_RETRY
 from umbermoor.gateway.replication.view_activation import ViewActivation
 
-BATCH = 16  # entries in a message
+MAX_BATCH_ENTRIES = 16  # most entries in one `Append` message
 
 
 class Chain:
-    """The writes of the view joined that are not known to be committed."""
+    """Forwards the writes of the joined view and tracks those not yet known to be committed."""
 
     def __init__(self, context: Context, activation: ViewActivation) -> None:
         self._context, self._activation = context, activation
         self._listeners: list[Callable[[], None]] = []
-        self._pending: deque[Entry] = deque()  # the last one is that of the map's last sequence
+        self._pending: deque[Entry] = deque()  # the last entry has number `map.last_sequence`
         self._synced = context.map.last_sequence
-        self._sent = 0  # to the successor
-        self._acknowledged = 0  # by the successor
+        self._sent = 0  # last sequence number sent to the successor
+        self._acknowledged = 0  # last sequence number that the successor acknowledged
         self._sent_at = 0
-        self._progress_at = 0  # when the successor last acknowledged, or was first sent, something
+        # When the successor last acknowledged a write, or was first sent one while it owed none.
+        self._progress_at = 0
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Have it called whenever more is committed."""
+        """Call `listener` whenever further writes are committed."""
         self._listeners.append(listener)
 
     def reset(self) -> None:
-        """Another view was accepted: its writes begin anew."""
+        """Drop all pending writes: another view was accepted, whose writes count from 1."""
         self._pending.clear()
         self._sent = self._acknowledged = self._synced = 0
 
     @property
     def uncommitted(self) -> int:
-        """How many writes are on their way."""
+        """Number of writes not yet known to be committed."""
         return len(self._pending)
 
     @property
     def pending(self) -> tuple[Entry, ...]:
-        """The writes on their way."""
+        """Writes not yet known to be committed, in order."""
         return tuple(self._pending)
 
     @property
     def is_stalled(self) -> bool:
-        """Whether the successor has acknowledged nothing for too long."""
+        """Whether the successor owes acknowledgements and has sent none for ACKNOWLEDGE_TIMEOUT."""
         is_waiting = self._acknowledged < self._sent
         return is_waiting and self._context.now - self._progress_at > ACKNOWLEDGE_TIMEOUT
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Write these next; they are handed on once they are synced."""
+        """Apply the entries and write them to disk; forward them once they are synced."""
         context = self._context
         records: Records = {}
         for entry in entries:
@@ -80,17 +83,17 @@
         self._acknowledge()
 
     def _forward(self) -> None:
-        """Hand on what is synced here and was not handed on."""
+        """Send the successor every entry that is synced here and was not sent yet."""
         if self._sent < self._synced and self._acknowledged == self._sent:
             self._progress_at = self._context.now
         while self._sent < self._synced:
             self._sent = self._send_batch(self._sent + 1)
 
     def _send_batch(self, first: int) -> int:
-        """Send the entries from `first` on; the sequence number of the last one sent."""
+        """Send a batch of entries from `first` on; return the last sequence number sent."""
         context = self._context
         first_pending = context.map.last_sequence - len(self._pending) + 1
-        last = min(self._synced, first + BATCH - 1)
+        last = min(self._synced, first + MAX_BATCH_ENTRIES - 1)
         entries = tuple(
             self._pending[sequence - first_pending] for sequence in range(first, last + 1)
         )
@@ -101,7 +104,7 @@
         return last
 
     def retry(self) -> None:
-        """Send again what the successor has not acknowledged."""
+        """Resend the first batch not acknowledged if nothing was sent for APPEND_RETRY."""
         views = self._context.views
         if not views.joined or self._acknowledged >= self._sent:
             return
@@ -109,17 +112,19 @@
             self._send_batch(self._acknowledged + 1)
 
     def on_append(self, sender: str, message: Append) -> None:
-        """The predecessor hands writes on."""
+        """Handle writes that the predecessor forwards."""
         context, views = self._context, self._context.views
         if not views.joined or message.epoch != views.joined or sender != views.predecessor:
             return
-        self._activation.activate_accepted()  # a head takes nothing before
+        # The head takes no write before its view is active, so this message proves that it is.
+        self._activation.activate_accepted()
         self.commit(message.committed)
         expected = context.map.last_sequence + 1
         entries = message.entries[max(0, expected - message.first) :]
-        # Fencing: a later view needs the promises of a quorum, each synced before it is sent
-        # (acceptor), and this chain is a quorum too. So once a later view can be active, a replica
-        # here has promised its epoch and refuses what an earlier head still sends.
+        # Fencing: a later view needs promises from a quorum, each synced before it is sent (see
+        # `acceptor`). The members of this chain are a quorum too, and any two quorums share a
+        # replica. So before a later view can become active, at least one replica of this chain
+        # has promised its epoch, and that replica refuses writes that the earlier head still sends.
         if entries and message.first <= expected and views.promise == views.joined:
             self.append(entries)
         else:
@@ -134,7 +139,7 @@
         context.outbox.send(predecessor, Acknowledge(context.views.joined, self._synced, committed))
 
     def on_acknowledge(self, sender: str, message: Acknowledge) -> None:
-        """The successor has synced writes, or knows more to be committed."""
+        """Handle the successor's report of what it has synced and knows to be committed."""
         views = self._context.views
         if not views.joined or message.epoch != views.joined or sender != views.successor:
             return
@@ -144,7 +149,10 @@
             self._acknowledge()
 
     def commit(self, sequence: int) -> bool:
-        """The tail has synced the view's writes up to there; whether that was news."""
+        """Commit writes up to `sequence`, as the tail has synced them.
+
+        Never commits beyond what is synced here. Returns whether any write was newly committed.
+        """
         context = self._context
         committed = context.committed_sequence
         target = min(sequence, self._synced)
--- a/umbermoor/gateway/replication/codec.py
+++ b/umbermoor/gateway/replication/codec.py
@@ -1,8 +1,8 @@
-"""The wire format of the messages between replicas: JSON objects, each with its `kind`.
+"""Wire format of the messages between replicas: JSON objects, each with a `kind`.
 
-The table FORMATS holds for each kind its fields in their order on the wire. A message of another
-shape is dropped whole, so what handles one need not look again; fields that are not known are
-ignored; those that earlier revisions do not send have a default.
+The table FORMATS lists the fields of each kind in their order on the wire. `decode` rejects a
+message of any other shape as a whole, so handlers need not validate it again. Unknown fields are
+ignored; fields that earlier revisions do not send have a default.
 """
 
 from collections.abc import Callable
@@ -17,28 +17,28 @@
 NUMBER_LIMIT = 2**62
 MAX_NAMES = 64
 MAX_NAME_LENGTH = 64
-MAX_KEY_BYTES = 480  # as long as LMDB takes with what is put before it
+MAX_KEY_BYTES = 480  # LMDB limits a key to 511 bytes, including the prefix put before this one
 MAX_REASON_LENGTH = 400
 OUTCOMES = frozenset(outcome.value for outcome in Outcome)
 
 
 def is_number(value: object) -> bool:
-    """Whether it is a whole number of the range."""
+    """Whether `value` is an integer from 0 to below NUMBER_LIMIT."""
     return type(value) is int and 0 <= value < NUMBER_LIMIT
 
 
 def is_flag(value: object) -> bool:
-    """Whether it is true or false."""
+    """Whether `value` is a boolean."""
     return type(value) is bool
 
 
 def is_name(value: object) -> bool:
-    """Whether it may be a replica's name."""
+    """Whether `value` is a valid name of a replica."""
     return type(value) is str and 0 < len(value) <= MAX_NAME_LENGTH
 
 
 def is_key(value: object) -> bool:
-    """Whether it may be a key of the map."""
+    """Whether `value` is a valid key of the map."""
     return (
         type(value) is str
         and len(value.encode(errors="replace")) <= MAX_KEY_BYTES
@@ -128,14 +128,17 @@
 
 
 class FieldType(NamedTuple):
-    """How one type of field is checked, read and written; None: as it is."""
+    """Validation, decoding and encoding of one type of field.
+
+    `decode` or `encode` is None where the JSON value is used unchanged.
+    """
 
     is_valid: Callable[[object], bool]
     decode: Callable[[Any], Any] | None = None
     encode: Callable[[Any], JsonValue] | None = None
 
     def or_null(self) -> "FieldType":
-        """The same type, or null, which is None."""
+        """Return this type extended by null, which is decoded as None."""
         is_valid, decode, encode = self
         return FieldType(
             lambda value: value is None or is_valid(value),
@@ -180,17 +183,19 @@
 
 
 class Field(NamedTuple):
-    """One field of a kind of message."""
+    """One field of one kind of message."""
 
-    key: str  # on the wire
-    attribute: str  # of the message's class
+    key: str  # name on the wire
+    attribute: str  # name in the message's class
     type: FieldType
-    default: Any = REQUIRED  # taken where the field is not sent; None or False where left out
-    is_left_out: bool = True  # not sent where it has the default
+    # Value taken where the field is not received. `Format.encode` compares by identity, so the
+    # default of a field that may be omitted is None or False.
+    default: Any = REQUIRED
+    omit_default: bool = True  # not sent where the value is the default
 
 
 class Format:
-    """The wire format of one kind; its fields are in the order of the message's attributes."""
+    """Wire format of one kind of message; the fields are in the order of the class's attributes."""
 
     __slots__ = ("_readers", "_writers", "kind", "message")
 
@@ -198,17 +203,17 @@
         self.kind, self.message = kind, message
         attributes = tuple(field.attribute for field in fields)
         if attributes != message._fields:
-            raise TypeError(f"{kind}: fields {attributes} in place of {message._fields}")
+            raise TypeError(f"{kind}: got fields {attributes}, expected {message._fields}")
         self._readers = tuple(
             (field.key, field.type.is_valid, field.type.decode, field.default) for field in fields
         )
         self._writers = tuple(
-            (field.key, field.type.encode, field.default if field.is_left_out else REQUIRED)
+            (field.key, field.type.encode, field.default if field.omit_default else REQUIRED)
             for field in fields
         )
 
     def decode(self, value: dict[str, Any]) -> Message | None:
-        """The message, or None where the object is of another shape."""
+        """Return the message, or None if a field is missing or invalid."""
         contents = []
         for key, is_valid, convert, default in self._readers:
             if key in value:
@@ -224,10 +229,10 @@
         return message
 
     def encode(self, message: Message) -> JsonObject:
-        """The object to send."""
+        """Return the JSON object to send."""
         value: JsonObject = {"kind": self.kind}
-        for (key, convert, left_out), content in zip(self._writers, message):
-            if content is not left_out:
+        for (key, convert, omitted), content in zip(self._writers, message):
+            if content is not omitted:
                 encoded: Any = convert(content) if convert else content
                 value[key] = encoded
         return value
@@ -354,7 +359,7 @@
 
 
 def decode(value: object) -> Message | None:
-    """The message that a JSON value holds; None where it is none, and is to be dropped.
+    """Return the message that a JSON value holds, or None if it is invalid and must be dropped.
 
     >>> decode({"kind": "confirm", "epoch": 7, "nonce": 1, "beside": "ignored"})
     Confirm(epoch=7, nonce=1)
@@ -367,7 +372,7 @@
 
 
 def encode(message: Message) -> JsonObject:
-    """The JSON object of a message; it shares the message's values.
+    """Return the JSON object of a message, which shares mutable values with the message.
 
     >>> encode(messages.Confirm(epoch=7, nonce=1))
     {'kind': 'confirm', 'epoch': 7, 'nonce': 1}
--- a/umbermoor/gateway/replication/disk_care.py
+++ b/umbermoor/gateway/replication/disk_care.py
@@ -1,4 +1,4 @@
-"""Writes that repeat what is on disk already: probes of a slow disk, repairs of a rotten record."""
+"""Rewrites of values already on disk, to probe a slow disk or to repair a damaged record."""
 
 from collections.abc import Iterable, Sequence
 
@@ -8,7 +8,10 @@
 
 
 def probe_disk(context: Context) -> None:
-    """See whether a disk that was slow still is, by what a change writes, while nobody waits."""
+    """Test whether a disk that was slow still is, by writing what a view change would write.
+
+    Does so only while this replica serves no view, so that no caller waits for the write.
+    """
     lifecycle = context.lifecycle
     if context.views.serving or lifecycle.disk_lost or not lifecycle.settled:
         return
@@ -17,9 +20,9 @@
 
 
 def repair_records(context: Context, records: Sequence[str]) -> bool:
-    """Write those records again, as they are held here.
+    """Write the given records again from the values held in memory.
 
-    Returns False, and writes nothing, if one of them is no value of the map.
+    Returns False, and writes nothing, if one of them is not a value of the map.
     """
     keys = [record.removeprefix(VALUE_PREFIX) for record in records]
     for key, record in zip(keys, records):
--- a/umbermoor/gateway/replication/pages.py
+++ b/umbermoor/gateway/replication/pages.py
@@ -1,8 +1,8 @@
-"""Whether the pages of an LMDB file hang together, read without mapping it.
+"""Consistency check of the pages of an LMDB file, without mapping it into memory.
 
-LMDB trusts its file: a page number that a flipped bit sent astray ends the process by a signal, at
-each start anew. So the file is walked by plain reads first. Source: LMDB 0.9 (`mdb.c`, data version
-1), little endian, 64 bits.
+LMDB trusts its file: a page number corrupted by a flipped bit makes it access memory outside the
+map, and a signal kills the process, again at each restart. So the trees are first walked with plain
+reads. Source: LMDB 0.9 (`mdb.c`, data version 1), little endian, 64 bits.
 """
 
 import os
@@ -15,33 +15,35 @@
 PAGE_SIZE = 4096  # bytes, on most systems
 MIN_PAGE_SIZE, MAX_PAGE_SIZE = 512, 1 << 16
 MAX_MAP_SIZE = 1 << 34  # bytes
-MAX_UNWRITTEN = 1 << 26  # bytes at the end of pages that a commit took and gave back
+# Pages that a commit allocated and freed again may never have been written, so the file may be
+# shorter than its number of pages says, by up to so many bytes.
+MAX_UNWRITTEN = 1 << 26
 HEADER_SIZE = 16  # bytes of a page's header
-NODE_HEADER_SIZE = 8
+NODE_HEADER_SIZE = 8  # bytes
 BRANCH, LEAF, OVERFLOW, META = 0x01, 0x02, 0x04, 0x08  # flags of a page
-INTEGER_KEY = 0x08  # the flag of the free pages' tree; the records' tree has none
-BIG_DATA = 0x01  # a node whose value lies on overflow pages
-NO_ROOT = (1 << 64) - 1  # of an empty tree
+INTEGER_KEY = 0x08  # flag of the tree of free pages; the tree of records has no flag
+BIG_DATA = 0x01  # flag of a node whose value lies on overflow pages
+NO_ROOT = (1 << 64) - 1  # root page number of an empty tree
 MAX_DEPTH = 16
 META_BODY = struct.Struct("<IIQQ" + "IHHQQQQQ" * 2 + "QQ")
-COMMIT_SIZE = 8  # bytes at the end of a meta page's body
-FIRST_PAGE = 2  # behind the two meta pages
+COMMIT_SIZE = 8  # bytes of the commit number at the end of a meta page's body
+FIRST_PAGE = 2  # first page after the two meta pages
 
 
 class MetaPage(NamedTuple):
-    """What a commit left in one of the two meta pages."""
+    """The contents of one of the two meta pages, as left by a commit."""
 
     offset: int  # in the file, bytes
-    page_size: int
-    roots: tuple[int, int]  # of the free pages' tree, and of the records'
+    page_size: int  # bytes
+    roots: tuple[int, int]  # root page of the tree of free pages, and of the tree of records
     last_page: int
     txn: int  # number of the commit
 
 
 class _Node(NamedTuple):
-    """A node of a page: a key, with a child page or a value."""
+    """A node of a page: a key with a child page (in a branch) or with a value (in a leaf)."""
 
-    offset: int  # in the page
+    offset: int  # in the page, bytes
     low: int
     high: int
     flags: int
@@ -49,24 +51,25 @@
 
     @property
     def child(self) -> int:
-        """Of a branch: the page's number."""
+        """Page number of the child; only for a node of a branch page."""
         return self.low | self.high << 16 | self.flags << 32
 
     @property
     def value_size(self) -> int:
-        """Of a leaf, in bytes."""
+        """Size of the value in bytes; only for a node of a leaf page."""
         return self.low | self.high << 16
 
     @property
     def value_offset(self) -> int:
-        """Of a leaf: in the page."""
+        """Offset of the value in the page; only for a node of a leaf page."""
         return self.offset + NODE_HEADER_SIZE + self.key_size
 
 
 def read_metas(file: BinaryIO) -> tuple[MetaPage, MetaPage] | None:
-    """The two meta pages, the one in force first; None if nothing was ever committed.
+    """Read the two meta pages and return the current one first; None if nothing was ever committed.
 
-    Raises DamagedPagesError.
+    Raises:
+        DamagedPagesError: A meta page is damaged.
     """
     metas: list[MetaPage] = []
     size = os.fstat(file.fileno()).st_size
@@ -81,12 +84,12 @@
         newest, older = sorted(metas, key=lambda meta: -meta.txn)
         return (newest, older) if newest.txn else None
     if size <= 2 * PAGE_SIZE and not any(meta.txn for meta in metas):
-        return None  # its end came while it was made
+        return None  # the process ended while it created the file
     raise DamagedPagesError("a meta page is garbled")
 
 
 def _read_meta(file: BinaryIO, offset: int, file_size: int) -> MetaPage | None:
-    """The meta page there; None if it is none."""
+    """Read the meta page at `offset`; None if there is no valid one."""
     file.seek(offset)
     page = file.read(HEADER_SIZE + META_BODY.size)
     if len(page) < HEADER_SIZE + META_BODY.size:
@@ -106,9 +109,11 @@
 
 
 def check(path: str) -> bool:
-    """Whether anything was ever committed to the file at `path`.
+    """Check the pages of the file at `path`; return whether anything was ever committed to it.
 
-    Raises DamagedPagesError, and OSError.
+    Raises:
+        DamagedPagesError: The pages are inconsistent.
+        OSError: The file cannot be read.
     """
     with open(path, "rb") as file:
         metas = read_metas(file)
@@ -117,18 +122,18 @@
         return bool(metas)
 
 
-def commit_in_force(path: str) -> int:
-    """The number of the commit in force; 0: there is none."""
+def current_commit(path: str) -> int:
+    """Return the number of the current commit; 0 if there is none."""
     with open(path, "rb") as file:
         metas = read_metas(file)
     return metas[0].txn if metas else 0
 
 
 def first_record_of_other_tree(path: str) -> tuple[bytes, bytes] | None:
-    """The first record of the tree that is not in force, if that one hangs together.
+    """Return the first record of the tree that is not current; None if that tree is inconsistent.
 
-    Where the number of the newest commit is spoilt or was not written, the tree in force is not the
-    newest one.
+    The current tree is not the newest one if the number of the newest commit was corrupted or was
+    not written.
     """
     with open(path, "rb") as file:
         if not (metas := read_metas(file)):
@@ -140,8 +145,8 @@
             return None
 
 
-def put_in_force(path: str, txn: int) -> None:
-    """Number the tree that is not in force `txn`, synced."""
+def make_other_tree_current(path: str, txn: int) -> None:
+    """Make the other tree the current one: write `txn` as its commit number, and sync the file."""
     with open(path, "r+b") as file:
         if metas := read_metas(file):
             file.seek(metas[1].offset + HEADER_SIZE + META_BODY.size - COMMIT_SIZE)
@@ -158,7 +163,10 @@
 
 
 def _first_record(file: BinaryIO, meta: MetaPage) -> tuple[bytes, bytes] | None:
-    """The first record, of a tree that was checked."""
+    """Return the first record of a tree that was checked; None if there is none to read here.
+
+    A value on overflow pages is not read.
+    """
     number = meta.roots[1]
     while number != NO_ROOT:
         page = _read_page(file, meta, number, set())
@@ -179,7 +187,11 @@
 def _read_page(
     file: BinaryIO, meta: MetaPage, number: int, seen: set[int], count: int = 1
 ) -> bytes:
-    """The first of `count` pages, each in use once only."""
+    """Read the first of `count` consecutive pages, and mark all of them in `seen` as used.
+
+    Raises:
+        DamagedPagesError: A page is out of range, is used twice, or does not hold its own number.
+    """
     if number < FIRST_PAGE or max(number, number + count - 1) > meta.last_page:
         raise DamagedPagesError(f"page {number} is outside")
     for used in range(number, number + count):
--- a/umbermoor/gateway/replication/put_replies.py
+++ b/umbermoor/gateway/replication/put_replies.py
@@ -1,6 +1,7 @@
-"""The end of a put: its decision goes back to the replica whose host made the call.
+"""Replies to puts, sent to the replica whose host made the call.
 
-The tail sends it once an accepted write is committed, the head where nothing changes.
+The tail replies to an accepted write once it is committed; the head replies to a put that changes
+nothing.
 """
 
 from umbermoor.gateway.effects import Decision
@@ -9,6 +10,6 @@
 
 
 def send_decision(context: Context, call: CallId, decision: Decision) -> None:
-    """Tell the caller what its conditional write came to."""
+    """Send the decision on a conditional write to the replica that made the call."""
     done = PutDone(call.incarnation, call.number, decision.outcome, decision.reason)
     context.outbox.send(call.origin, done)
--- a/umbermoor/gateway/replication/reads.py
+++ b/umbermoor/gateway/replication/reads.py
@@ -1,6 +1,6 @@
-"""Reads at the tail, and the quorum rounds that they and repeated decisions wait for.
+"""Reads at the tail, and the quorum rounds that reads and decisions without a write wait for.
 
-Source: read index, see `quorum_rounds`; docs/consistency.md.
+The method is the read index of Raft; see `quorum_rounds` for the source, and docs/consistency.md.
 """
 
 from collections.abc import Collection
@@ -19,11 +19,11 @@
 from umbermoor.gateway.replication.timing import READ_WAIT, RETRY_INTERVAL
 from umbermoor.gateway.replication.view import Version
 
-MAX_WAITING = 256  # calls that wait for a round
+MAX_WAITING = 256  # calls that may wait for a quorum round
 
 
 class Reads:
-    """Answers what is known here once a majority has confirmed that it is the newest."""
+    """Answers calls from the local state once a majority has confirmed that it is the newest."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
@@ -31,23 +31,23 @@
 
     @property
     def has_room(self) -> bool:
-        """Whether one more call may wait."""
+        """Whether one more call may wait for a quorum round."""
         return len(self._rounds) < MAX_WAITING
 
     def reset(self) -> None:
-        """Another view was accepted: what waits is its callers' to repeat."""
+        """Drop all waiting calls: another view was accepted, and callers must repeat them."""
         self._rounds = QuorumRounds(self._rounds.nonce)
 
     def void(self) -> None:
-        """The process stood still: the round under way proves nothing."""
+        """Discard the round under way, which proves nothing as the process was suspended."""
         self._rounds.void()
 
     def add(self, call: CallId, question: Question) -> None:
-        """Answer that once a round that is still to begin has ended."""
+        """Answer the call once a quorum round that begins after this moment has ended."""
         self._rounds.add(call, self._context.now + READ_WAIT, question)
 
     def on_read(self, sender: str, message: ReadRequest) -> None:
-        """A read came to the tail."""
+        """Handle a read; ignored unless this replica is the serving tail."""
         views = self._context.views
         if message.epoch != views.joined or not views.serving or views.successor is not None:
             return
@@ -56,41 +56,44 @@
         self.begin_round()
 
     def begin_round(self) -> None:
-        """Ask a majority, if something waits for that and none is being asked."""
+        """Begin a quorum round if calls wait for one and none is under way."""
         if self._rounds.begin(self._context.rng.getrandbits(48)):
-            self._ask()
+            self._send_questions()
             self._conclude()
 
     def retry(self) -> None:
-        """Ask again those who have not answered, or begin the next round."""
+        """Expire old calls; ask again in an overdue round, or begin the next one if calls wait."""
         now = self._context.now
         self._rounds.expire(now)
         if self._rounds.is_due(now - RETRY_INTERVAL):
-            self._ask()
+            self._send_questions()
         elif len(self._rounds):
             self.begin_round()
 
-    def _ask(self) -> None:
+    def _send_questions(self) -> None:
         context = self._context
         self._rounds.note_asked(context.now)
         for name in context.others():
             context.outbox.send(name, Confirm(context.views.joined, self._rounds.nonce))
 
     def on_confirm(self, sender: str, message: Confirm) -> None:
-        """A head or tail asks whether a later epoch was promised here."""
+        """Confirm to a head or tail that no later epoch was promised here, if that is so."""
         context = self._context
         if context.counts and context.views.promise <= message.epoch:
             context.outbox.send(sender, Confirmed(message.epoch, message.nonce))
 
     def on_confirmed(self, sender: str, message: Confirmed) -> None:
-        """One of the others has promised no later epoch."""
+        """Count the confirmation of another replica that has promised no later epoch."""
         if message.epoch != self._context.views.joined:
             return
         if self._rounds.confirm(sender, message.nonce):
             self._conclude()
 
     def _conclude(self) -> None:
-        """Answer what came before a quorum told that no later epoch was promised."""
+        """Answer the calls of the round once a quorum has confirmed it has promised no later epoch.
+
+        These calls came before the round began, so no later view was in force when they came.
+        """
         if not self._context.views.serving:
             return
         for call, question in self._rounds.end(self._is_quorum):
--- a/umbermoor/gateway/replication/replicated_map.py
+++ b/umbermoor/gateway/replication/replicated_map.py
@@ -1,4 +1,4 @@
-"""The map that all members hold: as written here, and as known to be committed."""
+"""The map that all members replicate: as written locally, and as known to be committed."""
 
 from collections.abc import Mapping
 
@@ -13,39 +13,43 @@
 
 
 class ReplicatedMap:
-    """Two states of one map. `values` is, or will next be, on disk."""
+    """The written and the committed state of the map.
+
+    `values` is the state on disk once the queued writes are synced; `committed` is the state that
+    reads return.
+    """
 
     def __init__(self, stored: StoredState) -> None:
         self.values = stored.values
-        self.last_sequence = stored.last_sequence  # of the writes in `values`, in the view accepted
+        self.last_sequence = stored.last_sequence  # last write in `values`, in the accepted view
         self.committed: dict[str, JsonValue] = {}
         self.version: Version = (0, 0)  # of `committed`
 
     def apply(self, entry: Entry) -> Records:
-        """Write the next entry; what is to be put on disk."""
+        """Apply the next entry to `values`; return the records to write to disk."""
         self.last_sequence += 1
         _put(self.values, entry)
         return value_record(entry.key, entry.value)
 
     def commit(self, entry: Entry) -> None:
-        """An entry is committed; `commit_version` says up to where."""
+        """Apply a committed entry to `committed`; the caller sets `commit_version` afterwards."""
         _put(self.committed, entry)
 
     def commit_version(self, version: Version) -> None:
-        """All writes up to there are committed."""
+        """Set the version of `committed`, once all entries up to it have been committed."""
         self.version = version
 
     def begin_view(self, values: Mapping[str, JsonValue]) -> None:
-        """A view is accepted, whose map begins as that."""
+        """Start an accepted view, whose map begins with `values`."""
         self.values = dict(values)
         self.last_sequence = 0
 
     def fill(self, values: Mapping[str, JsonValue]) -> None:
-        """A learner writes down what is committed."""
+        """Replace `values` by the committed state that a learner received."""
         self.values = dict(values)
 
     def clear(self) -> Records:
-        """Give up what is on disk; what is to be removed there."""
+        """Empty `values`; return the records that remove them from disk."""
         records: Records = {}
         for key in self.values:
             records |= value_record(key, None)
@@ -53,15 +57,15 @@
         return records
 
     def activate(self, epoch: int) -> None:
-        """The view accepted is active: what it began with is committed."""
+        """Mark the accepted view as active: the state that it began with is committed."""
         self.committed, self.version = dict(self.values), (epoch, 0)
 
     def adopt(self, version: Version, committed: Mapping[str, JsonValue]) -> None:
-        """Take over what others know to be committed."""
+        """Replace the committed state by a newer one received from another replica."""
         self.committed, self.version = dict(committed), version
 
     def diff_records(self, values: Mapping[str, JsonValue]) -> Records:
-        """What is to be put on disk for `values` to become those."""
+        """Return the records whose write turns the map on disk into `values`."""
         records: Records = {}
         for key in self.values:
             if key not in values:
--- a/umbermoor/gateway/replication/requests.py
+++ b/umbermoor/gateway/replication/requests.py
@@ -1,7 +1,7 @@
-"""Calls of this replica's host that are under way: puts go to the head, reads to the tail.
+"""Calls in progress of this replica's host: puts are sent to the head, reads to the tail.
 
-A call that cannot be answered in time is answered UNAVAILABLE, and may be done nevertheless. A put
-is never handed to two heads: the first may have done it. Times are whole microseconds.
+A call that gets no answer in time ends as UNAVAILABLE, although it may still be carried out. A put
+is never sent to two heads, because the first may have applied it. Times are whole microseconds.
 """
 
 from dataclasses import dataclass, field
@@ -23,10 +23,10 @@
 
 CALL_TIMEOUT = 700 * MILLISECOND
 RESEND_INTERVAL = 150 * MILLISECOND
-MAX_CALLS = 1024  # under way; more are answered UNAVAILABLE
-FOREVER = 1 << 62  # us
+MAX_CALLS = 1024  # calls in progress; further calls are answered UNAVAILABLE
+AFTER_ANY_DEADLINE = 1 << 62  # us; later than the deadline of any call
 
-STATUS_OF_OUTCOME = {  # of the others: OK
+STATUS_OF_OUTCOME = {  # all other outcomes map to OK
     Outcome.CONFLICT: Status.CONFLICT,
     Outcome.NOT_FOUND: Status.NOT_FOUND,
 }
@@ -34,20 +34,20 @@
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call that is not answered."""
+    """A call that is not answered yet."""
 
-    request_id: int  # the host's number
-    until: int
-    put: tuple[str, JsonValue] | None  # key and value; None: a read
-    epoch: int = 0  # of the view that it was handed to, 0: to none
+    request_id: int  # the host's number for the call
+    deadline: int
+    put: tuple[str, JsonValue] | None  # key and value; None for a read
+    epoch: int = 0  # epoch of the view that it was sent to; 0: not sent, or refused
     sent_at: int = 0
 
-    def is_lost(self, epoch: int) -> bool:
-        """Whether it was handed to an earlier head, which may have done it or not."""
+    def is_in_doubt(self, epoch: int) -> bool:
+        """Whether this is a put sent to an earlier head, which may or may not have applied it."""
         return self.put is not None and 0 < self.epoch < epoch
 
     def is_due(self, now: int, epoch: int) -> bool:
-        """Whether it is to be sent now, in that epoch."""
+        """Whether to send the call now to the view of `epoch`."""
         if self.epoch == epoch:
             return now - self.sent_at >= RESEND_INTERVAL
         return self.put is None or self.epoch == 0
@@ -55,40 +55,43 @@
 
 @dataclass(slots=True)
 class PendingCalls:
-    """All of them, by numbers that rise in an incarnation."""
+    """The pending calls, by numbers that increase within an incarnation."""
 
     _calls: dict[int, PendingCall] = field(default_factory=dict)
-    _next: int = 1
+    _next_number: int = 1
 
     def add(self, now: int, request_id: int, put: tuple[str, JsonValue] | None) -> bool:
-        """Note one more; whether there is room."""
+        """Add a call; return False, and add nothing, if there are MAX_CALLS already."""
         if len(self._calls) >= MAX_CALLS:
             return False
-        self._calls[self._next] = PendingCall(request_id, now + CALL_TIMEOUT, put)
-        self._next += 1
+        self._calls[self._next_number] = PendingCall(request_id, now + CALL_TIMEOUT, put)
+        self._next_number += 1
         return True
 
-    def end(self, number: int) -> PendingCall | None:
-        """Take that one out; None if it has ended."""
+    def remove(self, number: int) -> PendingCall | None:
+        """Remove and return a call; None if it has ended already."""
         return self._calls.pop(number, None)
 
-    def refused(self, number: int, epoch: int) -> None:
-        """The head of that epoch will not take this one: the next may."""
+    def mark_unsent(self, number: int, epoch: int) -> None:
+        """Let the call be sent to the next head, as the head of `epoch` will not apply it."""
         call = self._calls.get(number)
         if call and call.epoch == epoch:
             call.epoch = 0
 
     def take_expired(self, now: int, epoch: int) -> list[int]:
-        """Take out what can no longer be told: `request_id`s; `epoch` is the newest active."""
+        """Remove the calls that are past their deadline or in doubt; return their `request_id`s.
+
+        `epoch` is that of the newest active view.
+        """
         expired = [
             number
             for number, call in self._calls.items()
-            if now >= call.until or call.is_lost(epoch)
+            if now >= call.deadline or call.is_in_doubt(epoch)
         ]
         return [self._calls.pop(number).request_id for number in expired]
 
     def take_due(self, now: int, epoch: int) -> list[tuple[int, PendingCall]]:
-        """What is to be sent now in that epoch, marked as sent."""
+        """Return the calls to send now to the view of `epoch`, and mark them as sent."""
         due = []
         for number, call in self._calls.items():
             if call.is_due(now, epoch):
@@ -98,7 +101,7 @@
 
 
 class Requests:
-    """Sends calls along, and ends them."""
+    """Sends the host's calls to the head or tail, and reports their results to the host."""
 
     def __init__(
         self, context: Context, transfer: StateTransfer, activation: ViewActivation
@@ -108,8 +111,8 @@
         activation.subscribe(self.send_due)
 
     def put(self, request_id: int, key: str, value: JsonValue) -> None:
-        """Begin a conditional write; INVALID if the key is too long, or the value is not JSON's."""
-        if not _is_fit(key, value):
+        """Begin a conditional write; INVALID if the key is too long or the value is not JSON."""
+        if not _is_valid_put(key, value):
             self._context.outbox.finish(CallResult(request_id, Status.INVALID))
         else:
             self._begin(request_id, (key, value))
@@ -126,11 +129,11 @@
             context.outbox.finish(CallResult(request_id, Status.UNAVAILABLE))
 
     def send_due(self) -> None:
-        """End what can no longer be told; send what was not sent, or is to be sent again."""
+        """End the calls whose outcome can no longer be known; send or resend those that are due."""
         context = self._context
         active = context.views.active
-        # One that was taken out can tell nothing any more: at once.
-        now = context.now if context.is_member else FOREVER
+        # A replica that was removed from the set gets no more answers, so all its calls end now.
+        now = context.now if context.is_member else AFTER_ANY_DEADLINE
         for request_id in self._calls.take_expired(now, active.epoch):
             context.outbox.finish(CallResult(request_id, Status.UNAVAILABLE))
         if not active.epoch or not context.is_usable:
@@ -150,22 +153,22 @@
             context.outbox.send(chain[0], PutRequest(epoch, incarnation, number, key, value))
 
     def on_done(self, sender: str, message: PutDone) -> None:
-        """A put has ended."""
+        """Report the decision on a put to the host."""
         if message.incarnation != self._context.identity.incarnation:
             return
-        call = self._calls.end(message.number)
+        call = self._calls.remove(message.number)
         if call:
             decision = Decision(message.outcome, None, message.reason)
             status = STATUS_OF_OUTCOME.get(message.outcome, Status.OK)
             self._context.outbox.finish(CallResult(call.request_id, status, decision))
 
     def on_refused(self, sender: str, message: PutRefused) -> None:
-        """The head has promised a later epoch."""
+        """Handle the refusal of a put by a head that has promised a later epoch."""
         if message.incarnation == self._context.identity.incarnation:
-            self._calls.refused(message.number, message.epoch)
+            self._calls.mark_unsent(message.number, message.epoch)
 
     def on_read_reply(self, sender: str, message: ReadReply) -> None:
-        """A read has ended, unless what it needs is not held here."""
+        """Report a read's result to the host, unless the map here is older than the reply's."""
         context = self._context
         if message.incarnation != context.identity.incarnation:
             return
@@ -173,13 +176,13 @@
             self._transfer.learn_committed(message.version, message.state)
         if context.map.version < message.version:
             return
-        call = self._calls.end(message.number)
+        call = self._calls.remove(message.number)
         if call:
             committed = dict(context.map.committed)
             context.outbox.finish(CallResult(call.request_id, Status.OK, committed))
 
 
-def _is_fit(key: str, value: JsonValue) -> bool:
+def _is_valid_put(key: str, value: JsonValue) -> bool:
     try:
         return codec.is_key(key) and bool(json_bytes(value))
     except (TypeError, ValueError, RecursionError):
--- a/umbermoor/gateway/replication/state_transfer.py
+++ b/umbermoor/gateway/replication/state_transfer.py
@@ -1,7 +1,8 @@
-"""How a replica gets the state that it lacks.
+"""Transfer of state to replicas that lack it.
 
-One whose disk was lost asks what was promised before it may be given a view's state; learners and
-those outside the chain fetch what is committed: docs/replication.md.
+A replica whose disk was lost must ask the other members which epochs they have promised before it
+may be given a view's state. Learners and replicas outside the chain fetch the committed state:
+docs/replication.md.
 """
 
 from collections.abc import Mapping
@@ -26,31 +27,32 @@
 
 
 class StateTransfer:
-    """Promises asked for after a loss of the disk, and fetches of what is committed."""
+    """Collects promises after a loss of the disk, and fetches and serves the committed state."""
 
     def __init__(self, context: Context, chain: Chain, activation: ViewActivation) -> None:
         self._context, self._chain, self._activation = context, chain, activation
-        self._nonce = 0  # of the questions for promises; 0: none was asked
-        self._promises: dict[str, int] = {}  # as told, by member
+        self._nonce = 0  # of the queries for promises; 0: none was sent
+        self._promises: dict[str, int] = {}  # member -> the epoch that it reported as promised
         self._asked_at = 0
         self._fetched_at = -FETCH_INTERVAL
-        self.learner_state_synced = False  # a learner's disk has taken what it learnt
-        context.sets.subscribe(self._void_promises)
+        self.learner_state_synced = False  # a learner synced the state it received
+        context.sets.subscribe(self._discard_promises)
         activation.subscribe(self._fetch_soon)
 
-    def _void_promises(self) -> None:
-        """The members have changed: who promised has to be asked anew."""
+    def _discard_promises(self) -> None:
+        """Discard the collected promises: the members changed and must be asked again."""
         self._promises, self._nonce = {}, 0
 
     def view_synced(self) -> None:
-        """A view's state is on disk: what others promised no longer matters."""
+        """Discard the collected promises: a view's state is on disk, so they no longer matter."""
         self._promises = {}
 
     @property
     def ready_to_fill(self) -> bool:
-        """Whether enough others told what they promised.
+        """Whether enough other members have reported their promises.
 
-        Every majority that promised before has one among them.
+        They are enough if every majority that may have promised an epoch before the loss contains
+        one of them.
         """
         context = self._context
         if not context.lifecycle.disk_lost or not context.sets.names:
@@ -59,11 +61,19 @@
 
     @property
     def promise_floor(self) -> int:
-        """What was promised on the disk that was lost is no higher."""
+        """The highest promise that was reported; this replica must accept only later epochs.
+
+        No majority that counted a promise from the lost disk has promised a higher epoch, because
+        each such majority contains a member that has reported.
+        """
         return max(self._promises.values(), default=0)
 
     def ask_promises(self) -> None:
-        """Ask the others, once promises from before the loss can no longer come to count."""
+        """Query the others' promises, at intervals of RETRY_INTERVAL.
+
+        Starts only DISK_LOSS_QUARANTINE after the process did, when no promise that this replica
+        gave before the loss can count for a proposer any more.
+        """
         context = self._context
         if self.ready_to_fill:
             return
@@ -78,19 +88,24 @@
                 context.outbox.send(name, PromiseQuery(self._nonce))
 
     def on_promise_query(self, sender: str, message: PromiseQuery) -> None:
-        """One whose disk was lost asks."""
+        """Answer a replica whose disk was lost, if this replica itself counts in a majority."""
         if self._context.counts:
             reply = PromiseQueryReply(message.nonce, self._context.views.promise)
             self._context.outbox.send(sender, reply)
 
     def on_promise_reply(self, sender: str, message: PromiseQueryReply) -> None:
-        """One of the others tells."""
+        """Record the promise that another member reports."""
         is_asked = self._context.lifecycle.disk_lost and self._nonce
         if is_asked and message.nonce == self._nonce:
             self._promises[sender] = message.promise
 
     def learn_committed(self, version: Version, state: Mapping[str, JsonValue]) -> None:
-        """Others know that to be committed."""
+        """Take over a committed state that other replicas know, if it is newer than the own one.
+
+        If it is of the view joined here, that view is active, and the pending writes up to its
+        sequence number are committed. If it is of another view, the state replaces the committed
+        map; a learner also writes it to its disk.
+        """
         context, views = self._context, self._context.views
         if version <= context.map.version:
             return
@@ -101,29 +116,32 @@
         if version > context.map.version and epoch != views.joined:
             context.map.adopt(version, state)
             if context.lifecycle.disk_lost and not context.is_member:
-                self._fill_learner(version, state)
+                self._store_learner_state(version, state)
 
-    def _fill_learner(self, version: Version, state: Mapping[str, JsonValue]) -> None:
-        """A learner writes what it learns.
+    def _store_learner_state(self, version: Version, state: Mapping[str, JsonValue]) -> None:
+        """Write the received state to the learner's disk.
 
-        That shows that its disk takes writes, and who is taken in writes little then.
+        This shows that its disk takes writes, and leaves little to write when it becomes a member.
         """
         context = self._context
         records = context.map.diff_records(state)
         context.map.fill(state)
         context.disk.enqueue(
-            {**records, **learner_version_record(version)}, "fill", self._on_learner_filled
+            {**records, **learner_version_record(version)}, "fill", self._on_learner_state_synced
         )
 
-    def _on_learner_filled(self) -> None:
+    def _on_learner_state_synced(self) -> None:
         self.learner_state_synced = True
 
     def _fetch_soon(self) -> None:
-        """A newer view is active: whoever is outside of it asks at once."""
+        """Let the next `catch_up` fetch without delay: a newer view is active."""
         self._fetched_at = self._context.now - FETCH_INTERVAL
 
     def catch_up(self) -> None:
-        """One outside the chain fetches what is committed beyond what it holds."""
+        """Fetch newer committed state if this replica is outside the chain.
+
+        A member whose disk was lost does not fetch; it is given the state with the next view.
+        """
         context = self._context
         is_to_be_filled = context.lifecycle.disk_lost and context.is_member
         if context.views.serving or is_to_be_filled:
@@ -140,11 +158,11 @@
             context.outbox.send(context.rng.choice(ahead), Fetch(context.map.version))
 
     def on_fetch(self, sender: str, message: Fetch) -> None:
-        """One outside the chain asks."""
-        held = self._context.map
-        if message.version < held.version:
-            self._context.outbox.send(sender, Fetched(held.version, dict(held.committed)))
+        """Send the committed map to a replica that holds an older version."""
+        own_map = self._context.map
+        if message.version < own_map.version:
+            self._context.outbox.send(sender, Fetched(own_map.version, dict(own_map.committed)))
 
     def on_fetched(self, sender: str, message: Fetched) -> None:
-        """What was asked for."""
+        """Take over the committed map that was fetched."""
         self.learn_committed(message.version, message.state)
--- a/umbermoor/gateway/replication/status.py
+++ b/umbermoor/gateway/replication/status.py
@@ -1,4 +1,4 @@
-"""Where a replica stands, as operators and checks see it."""
+"""The status of a replica, as shown to operators and used by checks."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -10,32 +10,32 @@
 
 
 class Role(StrEnum):
-    """A replica's part in the chain; the values are those of the operators' calls."""
+    """A replica's role in the chain; the values appear in the answers to operators' calls."""
 
     HEAD = "head"  # orders writes
     MIDDLE = "middle"
     TAIL = "tail"  # commits writes, and answers reads
-    OUTSIDE = "out"  # a member that is not in the active chain
-    DISK_LOST = "blank"  # its disk holds nothing yet: new, or lost
-    LEARNER = "learner"  # no member; it follows what is committed
+    OUTSIDE = "out"  # a member that does not serve in the active chain
+    DISK_LOST = "blank"  # a replica with no state on its disk, as it is new or its disk was lost
+    LEARNER = "learner"  # not a member; it follows the committed state
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaStatus:
-    """One replica's own knowledge, which may be older than that of the others."""
+    """The status as known to one replica, which may be behind the others."""
 
-    epoch: int  # of the newest view known to be active; 0: none
+    epoch: int  # of the newest view known to be active; 0 if none is known
     chain: tuple[str, ...]  # of that view, from head to tail
     role: Role
-    version: Version  # of what is committed here
-    uncommitted: int  # writes under way along the chain
+    version: Version  # of the map that this replica knows to be committed
+    uncommitted: int  # writes not yet known to be committed
     members: tuple[str, ...]
     set_number: int  # of the replica set
     degraded: bool  # fewer losses can be tolerated now than configured
-    learners: tuple[str, ...]  # heard lately
+    learners: tuple[str, ...]  # learners from which a heartbeat came lately
 
     def to_json(self) -> JsonObject:
-        """As the operators' calls show it."""
+        """Return the JSON object with the field names of the operators' calls."""
         return {
             "epoch": self.epoch,
             "chain": list(self.chain),
@@ -50,7 +50,7 @@
 
 
 def status_of(context: Context, uncommitted: int) -> ReplicaStatus:
-    """Where a replica stands, with so many writes under way."""
+    """Return the status of a replica that has `uncommitted` writes not yet committed."""
     active, sets = context.views.active, context.sets.current
     return ReplicaStatus(
         epoch=active.epoch,
--- a/umbermoor/gateway/replication/store.py
+++ b/umbermoor/gateway/replication/store.py
@@ -1,15 +1,16 @@
 """A replica's records on disk, in LMDB: the only I/O of this package.
 
-Run it in a thread, one write at a time. What is stored proves itself at the start (`pages`,
-`manifest`). What does not hold together is given up whole: its promises can no longer be known, so
-the replica counts as one whose disk was lost. A file `lost` says so until the replica is filled
-again.
-
-Source: LMDB copies pages on write and turns between two meta pages: pages are written and synced,
-then a meta page. So a write that was torn by a loss of power leaves what the write before it left.
-The meta page is synced by a call of its own (`metasync=False` and `sync`), as not every system
-takes a descriptor opened for synced writes at its word. Meta pages have no digest, and the one with
-the higher commit number is in force: so the manifest holds that number too: docs/storage.md.
+Run the store in a thread, one write at a time. Its contents are verified when it is opened (see
+`pages` and `manifest`). A store that fails verification is discarded as a whole, because the
+promises in it can no longer be known; the replica then counts as one whose disk was lost. A file
+named `lost` records this until the replica has been given the state again.
+
+LMDB copies pages on write and alternates between two meta pages: a commit writes and syncs its
+pages, then a meta page. So a write that is torn by a loss of power leaves the state of the write
+before it. The meta page is synced by a separate call (`metasync=False` and `sync`), because not
+every system honours a descriptor that was opened for synced writes. Meta pages have no digest, and
+the one with the higher commit number is current; the manifest therefore holds that number too:
+docs/storage.md.
 """
 
 import errno
@@ -22,14 +23,14 @@
 from umbermoor.gateway.effects import UnsupportedFormatError
 from umbermoor.gateway.replication import manifest, pages
 from umbermoor.gateway.replication.errors import DamagedStoreError
-from umbermoor.gateway.replication.manifest import MANIFEST_KEY, ProvenRecords, prove
+from umbermoor.gateway.replication.manifest import MANIFEST_KEY, VerifiedRecords, verify_records
 from umbermoor.gateway.replication.stored_records import MEMBERS
 
 DATA, LOCK, LOST = "data.mdb", "lock.mdb", "lost"  # file names
-MAX_REASON_LENGTH = 200  # characters of the file LOST that are read
+MAX_REASON_LENGTH = 200  # characters read from the file LOST
 
-# What LMDB raises for a file that is damaged.
-UNSOUND = (
+# Errors that LMDB raises for a damaged file.
+DAMAGE_ERRORS = (
     lmdb.CorruptedError,
     lmdb.InvalidError,
     lmdb.PageNotFoundError,
@@ -37,12 +38,12 @@
     lmdb.PanicError,
     lmdb.BadValsizeError,
 )
-# What `verify` finds beside errors of the system.
+# Errors that `verify` raises besides OSError.
 STORE_ERRORS = (DamagedStoreError, UnsupportedFormatError, lmdb.Error)
 
 
 class Store:
-    """What is synced under one directory.
+    """The records synced to one directory.
 
     >>> import tempfile
     >>> with tempfile.TemporaryDirectory() as path:
@@ -60,37 +61,44 @@
     """
 
     def __init__(self, path: str, size: int) -> None:
-        """Open or create it for up to `size` bytes, pages of the tree included.
+        """Open or create the store in directory `path`.
 
-        Raises OSError and lmdb.Error as the system tells; UnsupportedFormatError.
+        Args:
+            path: The directory.
+            size: The most bytes that the file may hold, including the pages of the tree.
+
+        Raises:
+            OSError, lmdb.Error: The system cannot open or create the store.
+            UnsupportedFormatError: A later revision wrote the store.
         """
         self.path, self.size = path, size
-        self.full = False  # the last write found no room
-        self.lost = ""  # why what was stored counts as lost; "": it does not
+        self.full = False  # whether the last write failed for lack of space
+        self.lost = ""  # reason why the stored state counts as lost; "" if it does not
         self._lmdb: lmdb.Environment | None = None
         self._digests: dict[bytes, int] = {}
-        self._unformatted: dict[bytes, bytes] = {}  # of format 1, still to be written as this one's
+        self._format_1_records: dict[bytes, bytes] = {}  # to be rewritten in the current format
         os.makedirs(path, exist_ok=True)
         sync_folder(os.path.dirname(os.path.abspath(path)))
-        if MEMBERS.encode() in self._open_sound():
-            self._clear_lost()
+        if MEMBERS.encode() in self._open_or_reset():
+            self._remove_loss_marker()
         elif not self.lost:
-            self.lost = self._read_lost()
+            self.lost = self._read_loss_reason()
 
     # reading and writing
 
     def load(self) -> dict[str, bytes]:
-        """All records, found sound."""
+        """Return all records, verified."""
         return {key.decode(): value for key, value in self._read().items()}
 
     def write(self, puts: Mapping[str, bytes | None]) -> bool:
-        """Write those, None removes: whether all of it is synced.
+        """Write records, all or none; the value None removes a record.
 
-        False: the disk refused, or is full. Then all of it is there, or nothing of it.
+        Returns True once all of them are synced, and False if the disk refused or is full; then
+        either all of them are stored or none.
         """
         if not self._lmdb:
             return False
-        records: dict[bytes, bytes | None] = dict(self._unformatted.items())
+        records: dict[bytes, bytes | None] = dict(self._format_1_records.items())
         records |= {key.encode(): value for key, value in puts.items()}
         try:
             self._commit(self._lmdb, records)
@@ -112,19 +120,20 @@
                     transaction.delete(key)
                     digests.pop(key, None)
                 else:
-                    sealed = manifest.seal(key, value)
-                    digests[key] = manifest.digest_of(sealed)
-                    transaction.put(key, sealed)
+                    stored_value = manifest.append_digest(key, value)
+                    digests[key] = manifest.stored_digest_of(stored_value)
+                    transaction.put(key, stored_value)
             transaction.put(MANIFEST_KEY, manifest.make_manifest(digests, transaction.id()))
-        self._digests, self._unformatted = digests, {}
+        self._digests, self._format_1_records = digests, {}
         environment.sync(True)
 
     def sweep(self) -> list[str] | None:
-        """The records that are no longer what was written, by the digests kept in memory.
+        """Compare the stored records with the digests kept in memory; return the damaged keys.
 
-        None if the pages no longer hang together. Run it beside writes, as they are, one at a time.
+        Returns None if the pages or the set of records are inconsistent. Like a write, it must not
+        run at the same time as another write or sweep.
         """
-        if not self._lmdb or self._unformatted:
+        if not self._lmdb or self._format_1_records:
             return []
         try:
             pages.check(self._file(DATA))
@@ -141,7 +150,7 @@
         ]
 
     def used(self) -> int:
-        """Bytes of the file's pages that were ever in use."""
+        """Return the size in bytes of all pages of the file that were ever in use."""
         if not self._lmdb:
             return 0
         page_count = self._lmdb.info()["last_pgno"] + 1
@@ -149,7 +158,7 @@
 
     @property
     def open(self) -> bool:
-        """Whether it can be read and written."""
+        """Whether the store can be read and written."""
         return self._lmdb is not None
 
     def close(self) -> None:
@@ -162,28 +171,28 @@
 
     # opening
 
-    def _open_sound(self) -> dict[bytes, bytes]:
-        """Open it; what does not hold together is removed first, and a new one made."""
+    def _open_or_reset(self) -> dict[bytes, bytes]:
+        """Open the store; if it is damaged, discard it and open a new one."""
         try:
             return self._open()
         except (DamagedStoreError, lmdb.Error) as error:
-            if isinstance(error, lmdb.Error) and not isinstance(error, UNSOUND):
+            if isinstance(error, lmdb.Error) and not isinstance(error, DAMAGE_ERRORS):
                 raise
-            self._give_up(str(error))
+            self._discard(str(error))
         return self._open()
 
     def _open(self) -> dict[bytes, bytes]:
-        """Open it, and read all records. Raises DamagedStoreError and lmdb.Error."""
-        self._prepare()
+        """Open the store and read all records. Raises DamagedStoreError and lmdb.Error."""
+        self._check_file()
         self._lmdb = lmdb.open(self.path, map_size=self.size, sync=True, metasync=False, max_dbs=0)
-        sync_folder(self.path)  # so that the files' names last too
+        sync_folder(self.path)  # makes the names of the files durable too
         return self._read()
 
-    def _prepare(self) -> None:
-        """Look at the file before LMDB does. Raises DamagedPagesError.
+    def _check_file(self) -> None:
+        """Check the file before LMDB maps it. Raises DamagedPagesError.
 
-        A tree that was synced as a whole, and is newer by its manifest than the one in force, is
-        put in force.
+        If the other tree is consistent, and its manifest shows that the commit after the current
+        one wrote it, that tree is made the current one.
         """
         path = self._file(DATA)
         if not os.path.exists(path):
@@ -194,45 +203,46 @@
         first = pages.first_record_of_other_tree(path)
         if not first or first[0] != MANIFEST_KEY:
             return
-        commit = manifest.commit_of(first[1])
-        if commit and commit == pages.commit_in_force(path) + 1:
-            pages.put_in_force(path, commit)
+        commit = manifest.manifest_commit(first[1])
+        if commit and commit == pages.current_commit(path) + 1:
+            pages.make_other_tree_current(path, commit)
 
     def _read(self) -> dict[bytes, bytes]:
-        """The records, proved. Raises DamagedRecordsError."""
+        """Read and verify the records. Raises DamagedRecordsError."""
         if self._lmdb is None:
             raise DamagedStoreError("the store is not open")
         records, commit = read_all(self._lmdb)
-        proven = self._prove(records, commit)
-        self._digests = proven.digests
-        self._unformatted = dict(proven.values) if proven.is_unformatted else {}
-        return proven.values
+        verified = self._verify(records, commit)
+        self._digests = verified.digests
+        self._format_1_records = dict(verified.values) if verified.is_format_1 else {}
+        return verified.values
 
-    def _prove(self, records: dict[bytes, bytes], commit: int) -> ProvenRecords:
-        return prove(self.path, records, commit)
+    def _verify(self, records: dict[bytes, bytes], commit: int) -> VerifiedRecords:
+        return verify_records(self.path, records, commit)
 
     def _reopen(self) -> None:
-        """Look at the file anew: LMDB gives it up when its meta page could not be written."""
-        self._drop()
+        """Close and reopen the file: LMDB refuses all use after it failed to write a meta page."""
+        self._close_environment()
         try:
             self._open()
         except (DamagedStoreError, lmdb.Error, OSError) as error:
-            self._drop()
+            self._close_environment()
             self.lost = f"after a refused write: {error}"
 
-    # giving up
+    # discarding a damaged store
 
-    def _drop(self) -> None:
+    def _close_environment(self) -> None:
         self.close()
         self._lmdb = None
 
-    def _give_up(self, reason: str) -> None:
-        """Remove what is stored, and say that it was lost.
+    def _discard(self, reason: str) -> None:
+        """Remove the stored files, after recording that their contents were lost.
 
-        Said first: else one that ends in the midst would be taken for new where the system is.
+        The file LOST is synced first. Otherwise a process that ends between the two steps would
+        start as a new replica while the system that it belonged to still exists.
         """
         self.lost = reason.replace("\n", " ")
-        self._drop()
+        self._close_environment()
         with open(self._file(LOST), "w", encoding="utf-8") as file:
             file.write(self.lost)
             file.flush()
@@ -246,13 +256,13 @@
                 os.remove(self._file(name))
         sync_folder(self.path)
 
-    def _read_lost(self) -> str:
+    def _read_loss_reason(self) -> str:
         if not os.path.exists(self._file(LOST)):
             return ""
         with open(self._file(LOST), encoding="utf-8", errors="replace") as file:
             return file.read(MAX_REASON_LENGTH) or "found at an earlier start"
 
-    def _clear_lost(self) -> None:
+    def _remove_loss_marker(self) -> None:
         try:
             os.remove(self._file(LOST))
         except FileNotFoundError:
@@ -261,17 +271,22 @@
 
 
 def read_all(environment: lmdb.Environment) -> tuple[dict[bytes, bytes], int]:
-    """All records as they are stored, and the number of the commit that left them."""
+    """Return all records as stored, and the number of the commit that left them."""
     with environment.begin() as transaction:
         records = {bytes(key): bytes(value) for key, value in transaction.cursor()}
         return records, transaction.id()
 
 
 def verify(path: str) -> tuple[int, int]:
-    """Look at what is stored under `path` as a start would, and change nothing.
+    """Verify the store in directory `path` as a start would, without changing it.
+
+    A commit in progress there can look like damage; in that case, verify again.
+
+    Returns:
+        The number of records and the total size of their values in bytes.
 
-    Returns how many records there are, and their bytes. A commit that is under way there may pass
-    for damage: look again. Raises STORE_ERRORS and OSError.
+    Raises:
+        STORE_ERRORS, OSError: The store is damaged, of a later format, or cannot be read.
     """
     file = os.path.join(path, DATA)
     if not pages.check(file):
@@ -281,12 +296,12 @@
         records, commit = read_all(environment)
     finally:
         environment.close()
-    values = prove(path, records, commit).values
+    values = verify_records(path, records, commit).values
     return len(values), sum(map(len, values.values()))
 
 
 def sync_folder(path: str) -> None:
-    """Sync a directory, so that the names in it last."""
+    """Sync a directory, so that the file names in it are durable."""
     descriptor = os.open(path, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/umbermoor/gateway/replication/stored_records.py
+++ b/umbermoor/gateway/replication/stored_records.py
@@ -1,6 +1,7 @@
-"""The records that a replica keeps on its disk: their keys and JSON, read and made in one place.
+"""The keys and JSON contents of the records that a replica keeps on its disk.
 
-Written together, all or none; `store` holds them. Docs: docs/storage.md.
+This module alone reads and builds them. Records returned by one function must be written together,
+all or none; `store` stores them. See docs/storage.md.
 """
 
 import json
@@ -12,29 +13,30 @@
 from umbermoor.gateway.replication.replica_set import NO_MEMBERS, EpochSet, ReplicaSet, founded
 from umbermoor.gateway.replication.view import Version, View
 
-Records = dict[str, bytes | None]  # None removes
+Records = dict[str, bytes | None]  # None removes the record
 
-MEMBERS = "members"  # the names of the replica set, both sets of a change
-SYSTEM = "system"  # the number drawn at the founding
-REPLICA_SETS = "sets"  # of the view accepted last; epoch and set of the newest one known active
-ZONES = "zones"  # of the other members, as last told
+MEMBERS = "members"  # names of the replica set; during a change, of both sets
+SYSTEM = "system"  # number drawn when the system was founded
+# Set of the view accepted last; epoch and set of the newest view known to be active.
+REPLICA_SETS = "sets"
+ZONES = "zones"  # zones of the other members, as last received
 PROMISE = "promise"  # the highest epoch promised
-VIEW = "view"  # accepted last
-VERSION = "version"  # of the map
-LEARNER_VERSION = "learner"  # of the map, where it is a learner's
-VALUE_PREFIX = "state/"  # and a key of the map
+VIEW = "view"  # the view accepted last
+VERSION = "version"  # version of the map
+LEARNER_VERSION = "learner"  # version of a learner's map
+VALUE_PREFIX = "state/"  # followed by a key of the map
 
 
 def json_bytes(value: object) -> bytes:
-    """The compact JSON of a value. Raises TypeError, ValueError and RecursionError."""
+    """Encode a value as compact JSON. Raises TypeError, ValueError and RecursionError."""
     return json.dumps(value, separators=(",", ":")).encode()
 
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """What was on disk when the process started."""
+    """The state read from disk when the process started."""
 
-    members: tuple[str, ...]  # (): neither founded nor filled
+    members: tuple[str, ...]  # () if the replica was neither founded nor given the state
     accepted_set: EpochSet
     proven_set: EpochSet
     zones: dict[str, str]
@@ -45,7 +47,11 @@
 
 
 def load(records: Mapping[str, bytes]) -> StoredState:
-    """Read the records. Raises InconsistentStateError."""
+    """Parse the records.
+
+    Raises:
+        InconsistentStateError: The epoch of the map's version is not that of the accepted view.
+    """
     members = tuple(json.loads(records.get(MEMBERS, b"[]")))
     epoch, chain = json.loads(records.get(VIEW, b"[0,[]]"))
     version = json.loads(records.get(VERSION, b"[0,0]"))
@@ -70,27 +76,30 @@
 
 
 def value_record(key: str, value: JsonValue) -> Records:
-    """A value of the map; None removes it."""
+    """Return the record of a value of the map; None removes it."""
     return {VALUE_PREFIX + key: None if value is None else json_bytes(value)}
 
 
 def version_record(version: Version) -> Records:
-    """The map's version."""
+    """Return the record of the map's version."""
     return {VERSION: json_bytes(version)}
 
 
 def learner_version_record(version: Version) -> Records:
-    """The version of a learner's map."""
+    """Return the record of the version of a learner's map."""
     return {LEARNER_VERSION: json_bytes(version)}
 
 
 def promise_record(epoch: int) -> Records:
-    """The highest epoch promised."""
+    """Return the record of the highest epoch promised."""
     return {PROMISE: json_bytes(epoch)}
 
 
 def view_records(view: View) -> Records:
-    """A view that is accepted, and with it promised; its map begins at sequence number 0."""
+    """Return the records of an accepted view.
+
+    Accepting a view also promises its epoch; its map begins at sequence number 0.
+    """
     return {
         **promise_record(view.epoch),
         VIEW: json_bytes(view),
@@ -99,19 +108,19 @@
 
 
 def founding_records(members: tuple[str, ...], system: int) -> Records:
-    """A system founded, with those members."""
+    """Return the records of a founded system and its members."""
     return {MEMBERS: json_bytes(members), SYSTEM: json_bytes(system)}
 
 
 def founding_removal_records() -> Records:
-    """A founding that came to nothing."""
+    """Return the records that remove a founding that failed."""
     return {MEMBERS: None, SYSTEM: None}
 
 
 def replica_set_records(
     accepted: ReplicaSet, proven: EpochSet, names: tuple[str, ...], zones: Mapping[str, str]
 ) -> Records:
-    """The replica sets known here."""
+    """Return the records of the replica sets, member names and zones that a replica knows."""
     sets = [accepted.to_json(), proven.epoch, proven.replica_set.to_json()]
     return {
         REPLICA_SETS: json_bytes(sets),
@@ -121,5 +130,5 @@
 
 
 def zones_record(zones: Mapping[str, str]) -> Records:
-    """The zones of the other members."""
+    """Return the record of the zones of the other members."""
     return {ZONES: json_bytes(zones)}
