--- a/umbermoor/gateway/replication/reads.py
+++ b/umbermoor/gateway/replication/reads.py
@@ -16,7 +16,7 @@
 )
 from umbermoor.gateway.replication.put_replies import send_decision
 from umbermoor.gateway.replication.quorum_rounds import Question, QuorumRounds
-from umbermoor.gateway.replication.timing import READ_WAIT, RETRY_INTERVAL
+from umbermoor.gateway.replication.timing import READ_WAIT_TIMEOUT, RETRY_INTERVAL
 from umbermoor.gateway.replication.view import Version
 
 MAX_WAITING = 256  # calls that wait for a round
@@ -44,7 +44,7 @@
 
     def add(self, call: CallId, question: Question) -> None:
         """Answer that once a round that is still to begin has ended."""
-        self._rounds.add(call, self._context.now + READ_WAIT, question)
+        self._rounds.add(call, self._context.now + READ_WAIT_TIMEOUT, question)
 
     def on_read(self, sender: str, message: ReadRequest) -> None:
         """A read came to the tail."""
--- a/umbermoor/gateway/replication/timing.py
+++ b/umbermoor/gateway/replication/timing.py
@@ -41,7 +41,7 @@
 YIELD = 700 * MILLISECOND  # who promised another's epoch proposes nothing for so long at least
 
 # Reads.
-READ_WAIT = 1000 * MILLISECOND  # a read waits no longer at the tail for a quorum round
+READ_WAIT_TIMEOUT = 1000 * MILLISECOND  # a read waits no longer at the tail for a quorum round
 
 # Bootstrap and state transfer.
 DISK_LOSS_QUARANTINE = 1000 * MILLISECOND  # until a lost disk's replica asks what was promised
