--- a/umbermoor/gateway/replication/acceptor.py
+++ b/umbermoor/gateway/replication/acceptor.py
@@ -70,7 +70,7 @@
         is_learner = context.lifecycle.settled and not context.is_member
         if context.lifecycle.disk_lost:
             self._promise_without_disk(sender, epoch)
-        elif epoch > views.promise and (context.counts or is_learner):
+        elif epoch > views.promise and (context.may_vote or is_learner):
             self._proposals.yield_to_other(context.now, context.rng)
             self.give_promise(epoch, sender, message.version)
         elif epoch == views.promise == views.promise_synced:
--- a/umbermoor/gateway/replication/context.py
+++ b/umbermoor/gateway/replication/context.py
@@ -90,7 +90,7 @@
         return self.is_member and not self.lifecycle.disk_lost
 
     @property
-    def counts(self) -> bool:
+    def may_vote(self) -> bool:
         """Whether it may be one of a majority.
 
         Not one whose disk was lost, nor a founder that has not found all others new.
--- a/umbermoor/gateway/replication/reads.py
+++ b/umbermoor/gateway/replication/reads.py
@@ -79,7 +79,7 @@
     def on_confirm(self, sender: str, message: Confirm) -> None:
         """A head or tail asks whether a later epoch was promised here."""
         context = self._context
-        if context.counts and context.views.promise <= message.epoch:
+        if context.may_vote and context.views.promise <= message.epoch:
             context.outbox.send(sender, Confirmed(message.epoch, message.nonce))
 
     def on_confirmed(self, sender: str, message: Confirmed) -> None:
--- a/umbermoor/gateway/replication/state_transfer.py
+++ b/umbermoor/gateway/replication/state_transfer.py
@@ -79,7 +79,7 @@
 
     def on_promise_query(self, sender: str, message: PromiseQuery) -> None:
         """One whose disk was lost asks."""
-        if self._context.counts:
+        if self._context.may_vote:
             reply = PromiseQueryReply(message.nonce, self._context.views.promise)
             self._context.outbox.send(sender, reply)
 
--- a/umbermoor/gateway/simulation/replica_world.py
+++ b/umbermoor/gateway/simulation/replica_world.py
@@ -336,7 +336,7 @@
         member = machine.member
         if (
             member
-            and member.context.counts
+            and member.context.may_vote
             and member.context.views.promise
             and not member.view_change.attempt
         ):
