--- a/umbermoor/gateway/replication/acceptor.py
+++ b/umbermoor/gateway/replication/acceptor.py
@@ -67,7 +67,7 @@
         """A proposer asks for a promise."""
         context, views = self._context, self._context.views
         epoch = message.epoch
-        is_learner = context.lifecycle.settled and not context.is_member
+        is_learner = context.lifecycle.membership_synced and not context.is_member
         if context.lifecycle.disk_lost:
             self._promise_without_disk(sender, epoch)
         elif epoch > views.promise and (context.may_vote or is_learner):
@@ -123,7 +123,7 @@
         """
         lifecycle = self._context.lifecycle
         if not lifecycle.disk_lost:
-            return lifecycle.settled
+            return lifecycle.membership_synced
         has_asked_them = replica_set.old == self._context.sets.current.new
         return self._transfer.ready_to_fill and has_asked_them
 
--- a/umbermoor/gateway/replication/bootstrap.py
+++ b/umbermoor/gateway/replication/bootstrap.py
@@ -62,7 +62,7 @@
         """The founder, until the first view is proposed: have the others settle."""
         context = self._context
         is_founding = context.identity.is_founder and not context.views.promise
-        if context.lifecycle.settled and is_founding:
+        if context.lifecycle.membership_synced and is_founding:
             self._settle_others()
 
     def _settle_others(self) -> None:
@@ -93,7 +93,7 @@
         is_for_this_process = message.incarnation == context.identity.incarnation
         if lifecycle.cold_start and not context.sets.names and is_for_this_process:
             self._settle(members, message.system)
-        elif lifecycle.settled and members == context.sets.names:
+        elif lifecycle.membership_synced and members == context.sets.names:
             lifecycle.founding_synced()
             self._tell_settled()
 
@@ -101,7 +101,7 @@
         """Another replica has the members on disk."""
         context = self._context
         is_founding = context.identity.is_founder and not context.views.promise
-        if not is_founding or not context.lifecycle.settled:
+        if not is_founding or not context.lifecycle.membership_synced:
             return
         if message.members != context.sets.names:
             return
--- a/umbermoor/gateway/replication/context.py
+++ b/umbermoor/gateway/replication/context.py
@@ -96,7 +96,7 @@
         Not one whose disk was lost, nor a founder that has not found all others new.
         """
         is_founding = self.identity.is_founder and not self.views.promise
-        return self.is_usable and self.lifecycle.settled and not is_founding
+        return self.is_usable and self.lifecycle.membership_synced and not is_founding
 
     @property
     def accepted_version(self) -> Version:
--- a/umbermoor/gateway/replication/disk_care.py
+++ b/umbermoor/gateway/replication/disk_care.py
@@ -10,7 +10,7 @@
 def probe_disk(context: Context) -> None:
     """See whether a disk that was slow still is, by what a change writes, while nobody waits."""
     lifecycle = context.lifecycle
-    if context.views.serving or lifecycle.disk_lost or not lifecycle.settled:
+    if context.views.serving or lifecycle.disk_lost or not lifecycle.membership_synced:
         return
     if context.disk.begin_probe(context.now):
         context.disk.enqueue(_records(context, context.map.values), "probe", do_nothing)
--- a/umbermoor/gateway/replication/heartbeats.py
+++ b/umbermoor/gateway/replication/heartbeats.py
@@ -160,7 +160,7 @@
         context = self._context
         has_promised = heartbeat.promise and not heartbeat.disk_lost
         is_founding = context.identity.is_founder and not context.views.promise
-        return bool(has_promised and context.lifecycle.settled and is_founding)
+        return bool(has_promised and context.lifecycle.membership_synced and is_founding)
 
     def _on_non_member(self, sender: str, heartbeat: Heartbeat) -> None:
         """One that is no member: a learner of this system, or one to be told that it is none."""
--- a/umbermoor/gateway/replication/lifecycle.py
+++ b/umbermoor/gateway/replication/lifecycle.py
@@ -11,13 +11,13 @@
 class Lifecycle:
     """Whether this replica is cold, has lost its disk, and has its membership on disk."""
 
-    __slots__ = ("_disk", "cold_start", "disk_lost", "settled")
+    __slots__ = ("_disk", "cold_start", "disk_lost", "membership_synced")
 
     def __init__(self, disk: WriteQueue, cold_start: bool, has_members: bool) -> None:
         self._disk = disk
         self.cold_start = cold_start and not has_members
         self.disk_lost = not cold_start and not has_members
-        self.settled = has_members  # who the members are is synced
+        self.membership_synced = has_members  # who the members are is synced
 
     def found(self) -> None:
         """The system is founded; its members are being written."""
@@ -25,7 +25,7 @@
 
     def founding_synced(self) -> None:
         """They are on disk."""
-        self.settled = True
+        self.membership_synced = True
 
     def fill_from_others(self) -> None:
         """There is a system already: this replica is one of it whose disk is empty."""
@@ -33,9 +33,9 @@
 
     def void_founding(self) -> None:
         """The system was founded before, when this disk was another: the new one must not be."""
-        self.disk_lost, self.settled = True, False
+        self.disk_lost, self.membership_synced = True, False
         self._disk.enqueue(no_founding_records(), "members", do_nothing)
 
     def view_synced(self) -> None:
         """A view and its state are on disk: whatever was lost is filled."""
-        self.disk_lost, self.settled = False, True
+        self.disk_lost, self.membership_synced = False, True
--- a/umbermoor/gateway/replication/set_state.py
+++ b/umbermoor/gateway/replication/set_state.py
@@ -99,4 +99,4 @@
         return is_other
 
     def _has_disk(self) -> bool:
-        return not self._lifecycle.disk_lost and self._lifecycle.settled
+        return not self._lifecycle.disk_lost and self._lifecycle.membership_synced
--- a/umbermoor/gateway/replication/view_change.py
+++ b/umbermoor/gateway/replication/view_change.py
@@ -57,7 +57,11 @@
     def consider(self) -> None:
         """Propose a view, if there is a cause that has held for long enough."""
         context = self._context
-        if not context.is_usable or not context.lifecycle.settled or not context.views.promise:
+        if (
+            not context.is_usable
+            or not context.lifecycle.membership_synced
+            or not context.views.promise
+        ):
             return
         if not self.may_begin:
             return
