--- a/umbermoor/gateway/replication/head.py
+++ b/umbermoor/gateway/replication/head.py
@@ -46,7 +46,7 @@
     def on_put(self, sender: str, message: PutRequest) -> None:
         """A conditional write came."""
         views = self._context.views
-        if not message.epoch or message.epoch != views.joined or views.place != 0:
+        if not message.epoch or message.epoch != views.joined or views.chain_index != 0:
             return
         call = CallId(sender, message.incarnation, message.number)
         earlier = self._decided.find(message.incarnation, message.number)
--- a/umbermoor/gateway/replication/reconfiguration.py
+++ b/umbermoor/gateway/replication/reconfiguration.py
@@ -180,7 +180,7 @@
             self._due_succession, self._due_since = due, context.now
         if due is None:
             return
-        patience = context.views.place * SUCCESSION_STAGGER
+        patience = context.views.chain_index * SUCCESSION_STAGGER
         if context.now - self._due_since >= patience:
             self.begun_succession = due
             until = context.now + CHANGE_TIMEOUT
--- a/umbermoor/gateway/replication/status.py
+++ b/umbermoor/gateway/replication/status.py
@@ -73,6 +73,6 @@
         return Role.DISK_LOST
     if not views.serving:
         return Role.OUTSIDE
-    if views.place == 0:
+    if views.chain_index == 0:
         return Role.HEAD
     return Role.TAIL if views.successor is None else Role.MIDDLE
--- a/umbermoor/gateway/replication/view_state.py
+++ b/umbermoor/gateway/replication/view_state.py
@@ -55,7 +55,7 @@
         return 0 < self.joined == self.active.epoch == self.promise
 
     @property
-    def place(self) -> int:
+    def chain_index(self) -> int:
         """This replica's place in the chain accepted; 0: head. Raises ValueError outside of it."""
         return self.accepted.chain.index(self._own_name)
 
@@ -70,6 +70,6 @@
         return self._neighbour(+1)
 
     def _neighbour(self, step: int) -> str | None:
-        place = self.place + step
+        place = self.chain_index + step
         chain = self.accepted.chain
         return chain[place] if 0 <= place < len(chain) else None
--- a/umbermoor/gateway/replication/view_triggers.py
+++ b/umbermoor/gateway/replication/view_triggers.py
@@ -134,11 +134,11 @@
             if trigger is not NO_TRIGGER:
                 return trigger
         if self._chain.is_stalled and context.disk.healthy(context.now):
-            successor = context.views.accepted.chain[context.views.place + 1]
+            successor = context.views.accepted.chain[context.views.chain_index + 1]
             return Trigger(Cause.STALLED, 0, frozenset((successor,)))
         heard = context.peers.heard(context.now).items()
         if any(self._may_enter(name, peer) for name, peer in heard):
-            delay = context.views.place * 250 * MILLISECOND + rng.randrange(100 * MILLISECOND)
+            delay = context.views.chain_index * 250 * MILLISECOND + rng.randrange(100 * MILLISECOND)
             return Trigger(Cause.ENTRY, delay)
         return NO_TRIGGER
 
