--- a/umbermoor/gateway/replication/change_plan.py
+++ b/umbermoor/gateway/replication/change_plan.py
@@ -76,8 +76,8 @@
         remove: the member to take out; "": none.
         tolerated_losses: as configured.
 
-    >>> from umbermoor.gateway.replication.replica_set import founded
-    >>> three = founded(["a", "b", "c"], 7)
+    >>> from umbermoor.gateway.replication.replica_set import initial_replica_set
+    >>> three = initial_replica_set(["a", "b", "c"], 7)
     >>> plan_change(three, ["a", "b", "c"], ["d"], "d", "a", 1).refusal
     ''
     >>> plan_change(three, ["a", "b", "c"], [], "", "a", 1).refusal
--- a/umbermoor/gateway/replication/heartbeats.py
+++ b/umbermoor/gateway/replication/heartbeats.py
@@ -11,7 +11,7 @@
 from umbermoor.gateway.replication.learners import zones_of_others
 from umbermoor.gateway.replication.messages import Heartbeat, HeartbeatId
 from umbermoor.gateway.replication.peers import Exclusions
-from umbermoor.gateway.replication.replica_set import EpochSet, founded
+from umbermoor.gateway.replication.replica_set import EpochSet, initial_replica_set
 from umbermoor.gateway.replication.state_transfer import StateTransfer
 from umbermoor.gateway.replication.timing import HEARTBEAT_INTERVAL, ZONE_INTERVAL
 from umbermoor.gateway.replication.view_activation import ViewActivation
@@ -186,7 +186,7 @@
         may_learn = heartbeat.set_number is not None and lifecycle.disk_lost
         if context.name in heartbeat.members or may_learn:
             lifecycle.fill_from_others()
-            first = EpochSet(0, founded(heartbeat.members, heartbeat.system or 0))
+            first = EpochSet(0, initial_replica_set(heartbeat.members, heartbeat.system or 0))
             context.sets.meet(heartbeat.proven_set or first)
 
     def _learn_set(self, sender: str, heartbeat: Heartbeat) -> None:
--- a/umbermoor/gateway/replication/replica_set.py
+++ b/umbermoor/gateway/replication/replica_set.py
@@ -56,7 +56,7 @@
     def is_replacement(self) -> bool:
         """Whether a change is under way in which one enters and another leaves.
 
-        >>> three = founded(["a", "b", "c"], 7)
+        >>> three = initial_replica_set(["a", "b", "c"], 7)
         >>> three.changed("d", "a").is_replacement, three.changed("d").is_replacement
         (True, False)
         """
@@ -70,7 +70,7 @@
     def quorum(self, who: Collection[str]) -> bool:
         """Whether they hold a majority of both sets.
 
-        >>> change = founded(["a", "b", "c"], 7).changed(add="d", remove="a")
+        >>> change = initial_replica_set(["a", "b", "c"], 7).changed(add="d", remove="a")
         >>> change.quorum({"b", "c"}), change.quorum({"a", "b"})
         (True, False)
         >>> change.completed().quorum({"b", "d"})
@@ -83,7 +83,7 @@
     def blocks(self, who: Collection[str]) -> bool:
         """Whether every majority, of either set, has one of them.
 
-        >>> three = founded(["a", "b", "c"], 7)
+        >>> three = initial_replica_set(["a", "b", "c"], 7)
         >>> three.blocks({"a"}), three.blocks({"a", "b"})
         (False, True)
         """
@@ -99,7 +99,7 @@
     def changed(self, add: str = "", remove: str = "") -> "ReplicaSet":
         """The change of a completed set; a newcomer's rank was nobody's in the last changes.
 
-        >>> founded(["a", "b", "c"], 7).changed(add="d", remove="a").new
+        >>> initial_replica_set(["a", "b", "c"], 7).changed(add="d", remove="a").new
         (('b', 1), ('c', 2), ('d', 3))
         """
         number = self.number + 1
@@ -148,7 +148,7 @@
         return cls(value[0], ReplicaSet.from_json(value[1]))
 
 
-def founded(names: Iterable[str], system: int = 0) -> ReplicaSet:
+def initial_replica_set(names: Iterable[str], system: int = 0) -> ReplicaSet:
     """The first set; without a system's number it is derived from the names.
 
     So did an earlier revision, which drew none.
--- a/umbermoor/gateway/replication/set_state.py
+++ b/umbermoor/gateway/replication/set_state.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 
 from umbermoor.gateway.replication.lifecycle import Lifecycle
-from umbermoor.gateway.replication.replica_set import EpochSet, ReplicaSet, founded
+from umbermoor.gateway.replication.replica_set import EpochSet, ReplicaSet, initial_replica_set
 from umbermoor.gateway.replication.stored_records import (
     Records,
     StoredState,
@@ -49,7 +49,7 @@
 
     def found(self, members: tuple[str, ...], system: int, then: Callback) -> None:
         """Write down the first set, and call `then` once it is synced."""
-        first = founded(members, system)
+        first = initial_replica_set(members, system)
         self.accepted = self.accepted._replace(replica_set=first)
         self.proven = EpochSet(0, first)
         self._refresh()
--- a/umbermoor/gateway/replication/stored_records.py
+++ b/umbermoor/gateway/replication/stored_records.py
@@ -9,7 +9,12 @@
 
 from umbermoor.gateway.effects import JsonValue
 from umbermoor.gateway.replication.errors import InconsistentStateError
-from umbermoor.gateway.replication.replica_set import NO_MEMBERS, EpochSet, ReplicaSet, founded
+from umbermoor.gateway.replication.replica_set import (
+    NO_MEMBERS,
+    EpochSet,
+    ReplicaSet,
+    initial_replica_set,
+)
 from umbermoor.gateway.replication.view import Version, View
 
 Records = dict[str, bytes | None]  # None removes
@@ -51,7 +56,11 @@
     version = json.loads(records.get(VERSION, b"[0,0]"))
     if version[0] != epoch:
         raise InconsistentStateError(version[0], epoch)
-    first = founded(members, json.loads(records.get(SYSTEM, b"0"))) if members else NO_MEMBERS
+    first = (
+        initial_replica_set(members, json.loads(records.get(SYSTEM, b"0")))
+        if members
+        else NO_MEMBERS
+    )
     sets = json.loads(records.get(REPLICA_SETS, b"null")) or [None, 0, None]
     return StoredState(
         members=members,
