--- a/umbermoor/gateway/replication/replica_set.py
+++ b/umbermoor/gateway/replication/replica_set.py
@@ -80,11 +80,11 @@
             return False
         return not self.is_joint or has_majority(self.old, who)
 
-    def blocks(self, who: Collection[str]) -> bool:
+    def intersects_all_majorities(self, who: Collection[str]) -> bool:
         """Whether every majority, of either set, has one of them.
 
         >>> three = initial_replica_set(["a", "b", "c"], 7)
-        >>> three.blocks({"a"}), three.blocks({"a", "b"})
+        >>> three.intersects_all_majorities({"a"}), three.intersects_all_majorities({"a", "b"})
         (False, True)
         """
         return all(
--- a/umbermoor/gateway/replication/state_transfer.py
+++ b/umbermoor/gateway/replication/state_transfer.py
@@ -55,7 +55,7 @@
         context = self._context
         if not context.lifecycle.disk_lost or not context.sets.names:
             return False
-        return context.sets.current.blocks(self._promises)
+        return context.sets.current.intersects_all_majorities(self._promises)
 
     @property
     def promise_floor(self) -> int:
