--- a/umbermoor/gateway/replication/quorum_rounds.py
+++ b/umbermoor/gateway/replication/quorum_rounds.py
@@ -55,7 +55,7 @@
         self._confirmed.add(sender)
         return True
 
-    def end(self, quorum: Callable[[Collection[str]], bool]) -> list[tuple[CallId, Question]]:
+    def complete(self, quorum: Callable[[Collection[str]], bool]) -> list[tuple[CallId, Question]]:
         """What may be answered, as enough of the others confirmed; nothing if fewer did."""
         if self._asked is None or not quorum(self._confirmed):
             return []
--- a/umbermoor/gateway/replication/reads.py
+++ b/umbermoor/gateway/replication/reads.py
@@ -93,7 +93,7 @@
         """Answer what came before a quorum told that no later epoch was promised."""
         if not self._context.views.serving:
             return
-        for call, question in self._rounds.end(self._is_quorum):
+        for call, question in self._rounds.complete(self._is_quorum):
             if isinstance(question, Decision):
                 send_decision(self._context, call, question)
             else:
