--- a/benchmarks/second_loss.py
+++ b/benchmarks/second_loss.py
@@ -16,61 +16,61 @@
 import sys
 from collections.abc import Callable
 
-from tests.gateway.replica_set_world import Sets, founded_sets
+from tests.gateway.replica_set_world import ReplicaSetWorld, founded_sets
 from umbermoor.gateway.effects import Status
 from umbermoor.gateway.units import MILLISECOND
 
 SPARE = "10.0.0.100"
 
 
-def ordered(world: Sets, add: str, remove: str) -> None:
+def ordered(world: ReplicaSetWorld, add: str, remove: str) -> None:
     place = next(name for name in world.members() if name != remove)
     number = world.change(place, add, remove)
     world.run(1000 * MILLISECOND, lambda: world.changes[number] is not None)
     assert world.changes[number] is Status.OK, world.refusals
 
 
-def killed(world: Sets, victim: str) -> None:
+def killed(world: ReplicaSetWorld, victim: str) -> None:
     world.stop(victim)
     world.run(300 * MILLISECOND)
     world.start(victim)
 
 
-def away(world: Sets, victim: str) -> None:
+def away(world: ReplicaSetWorld, victim: str) -> None:
     world.stop(victim)
     world.run(4000 * MILLISECOND)
     world.start(victim)
 
 
-def emptied(world: Sets, victim: str) -> None:
+def emptied(world: ReplicaSetWorld, victim: str) -> None:
     assert world.lose_disk(victim)
     world.run(2000 * MILLISECOND)
     world.start(victim)
 
 
-def left(world: Sets, victim: str) -> None:
+def left(world: ReplicaSetWorld, victim: str) -> None:
     world.leave(victim)
     world.run(500 * MILLISECOND)
     world.stop(victim)
     world.start(victim)
 
 
-def replaced(world: Sets, victim: str) -> None:
+def replaced(world: ReplicaSetWorld, victim: str) -> None:
     ordered(world, SPARE, victim)
     world.stop(victim)
 
 
-def lost_and_replaced(world: Sets, victim: str) -> None:
+def lost_and_replaced(world: ReplicaSetWorld, victim: str) -> None:
     world.stop(victim)
     world.run(2500 * MILLISECOND)
     ordered(world, SPARE, victim)
 
 
-def grown(world: Sets, victim: str) -> None:
+def grown(world: ReplicaSetWorld, victim: str) -> None:
     ordered(world, SPARE, "")
 
 
-KINDS: dict[str, Callable[[Sets, str], None]] = {
+KINDS: dict[str, Callable[[ReplicaSetWorld, str], None]] = {
     "killed, back after 0.3 s": killed,
     "away for 4 s, back": away,
     "lost its disk, back after 2 s": emptied,
@@ -81,7 +81,7 @@
 }
 
 
-def thin_for(world: Sets, span: int) -> int:
+def thin_for(world: ReplicaSetWorld, span: int) -> int:
     """Milliseconds until the last moment in which a member told that it is thin, or was none that
     serves."""
     began = last = world.now
