--- a/umbermoor/gateway/replication/__init__.py
+++ b/umbermoor/gateway/replication/__init__.py
@@ -1,19 +1,22 @@
-"""The gateway's durable state: a map that every controller holds whole, on its own disk.
+"""The gateway's durable state: a map of which every controller stores a full copy on its own disk.
 
-Writes go along a chain of replicas from its head, which orders them, to its tail, which commits
-them: by then every replica of the chain has them synced. A view (an epoch, and who is in the chain)
-takes the place of the last one when a replica falls silent, loses its disk, or comes back; it is
-agreed on by a majority of the replica set, and a chain is never smaller than that. There is no log:
-a replica that comes into a chain is given the whole map. Sources: van Renesse and Schneider, Chain
-Replication (2004); Lamport, Paxos Made Simple (2001); Ongaro and Ousterhout, Raft (2014).
+Writes pass along a chain of replicas from the head, which orders them, to the tail, which commits
+them. A write is synced on every replica of the chain before it is committed. When a replica stops
+responding, loses its disk or returns, a new view (an epoch and the members of the chain) replaces
+the current one. A majority of the replica set must agree on a view, and a chain always contains at
+least a majority. There is no log: a replica that joins a chain receives the whole map. Sources: van
+Renesse and Schneider, Chain Replication (2004); Lamport, Paxos Made Simple (2001); Ongaro and
+Ousterhout, Raft (2014).
 
-What it stands on: of 2m+1 members no more than m lose their disks at once (until filled again),
-clocks run at about one rate, and what was synced stays. Messages may be lost, doubled, late and cut
-one way; processes may end at any step. Docs: docs/replication.md.
+Assumptions: of 2m+1 members, at most m have lost their disks at any time (a disk counts as lost
+until it is filled again), all clocks run at about the same rate, and synced data is durable.
+Messages may be lost, duplicated, delayed or blocked in one direction, and processes may end at any
+step. Docs: docs/replication.md.
 
-Open `replica` first: it joins the state machines, and each of those owns its fields. `messages` is
-what replicas say to each other, `context` what the parts of one share, `store` the only I/O: a host
-carries messages and time. Nothing is imported but `effects`. Three replicas and their disks:
+Start reading at `replica`: it connects the state machines, each of which owns its fields.
+`messages` defines what replicas send each other, `context` holds the state that the state machines
+of one replica share, and `store` is the only module that does I/O: the host delivers messages and
+time. Outside of this package, only `effects` is imported. Three replicas and their disks:
 
 >>> import json, random
 >>> from umbermoor.gateway.replication.replica import Replica
@@ -55,7 +58,7 @@
 >>> replicas[names[0]].status().role.value, replicas[names[2]].status().role.value
 ('head', 'tail')
 
-One is lost; a view without it is agreed on, and holds what was committed:
+One replica is lost. The others agree on a view without it, which keeps what was committed:
 
 >>> lost = replicas.pop(names[0])
 >>> now = pass_time(now, 1500)
--- a/umbermoor/gateway/replication/acceptor.py
+++ b/umbermoor/gateway/replication/acceptor.py
@@ -1,8 +1,8 @@
-"""The acceptor: promises epochs, and accepts views with the state that they begin with.
+"""The acceptor: promises epochs, and accepts views together with their initial state.
 
-Source: Lamport, Paxos Made Simple (2001). Both count only once they are on disk. One whose disk was
-lost gives a promise that does not count, and accepts nothing up to what it may have promised:
-docs/replication.md.
+Source: Lamport, Paxos Made Simple (2001). A promise or an acceptance is sent only once it is
+synced to disk. A replica whose disk was lost sends promises that do not count, and accepts no view
+up to the highest epoch that it may have promised before the loss: docs/replication.md.
 """
 
 from collections.abc import Mapping
@@ -24,7 +24,7 @@
 
 
 class Acceptor:
-    """Answers proposers, this replica's own among them."""
+    """Answers proposers, including the proposer of this replica."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
     # promises
 
     def give_promise(self, epoch: int, to: str, proposers_version: Version) -> None:
-        """Promise that epoch, and tell so once it is synced."""
+        """Promise the epoch, and report the promise once it is synced."""
         then = partial(self._on_promise_synced, epoch, to, proposers_version)
         self._context.views.give_promise(epoch, then)
 
@@ -64,7 +64,7 @@
         context.outbox.send(to, promised)
 
     def on_prepare(self, sender: str, message: Prepare) -> None:
-        """A proposer asks for a promise."""
+        """Handle a proposer's request to promise an epoch."""
         context, views = self._context, self._context.views
         epoch = message.epoch
         is_learner = context.lifecycle.membership_synced and not context.is_member
@@ -79,7 +79,10 @@
             context.outbox.send(sender, Refused(epoch, views.promise))
 
     def _promise_without_disk(self, sender: str, epoch: int) -> None:
-        """A promise that does not count: this replica may be in the chain, and be filled."""
+        """Send a promise that does not count.
+
+        It tells the proposer that this replica may join the chain and receive the state.
+        """
         context, transfer = self._context, self._transfer
         if not transfer.ready_to_fill or epoch <= transfer.promise_floor:
             return
@@ -90,19 +93,19 @@
     # views
 
     def on_new_view(self, sender: str, message: NewView) -> None:
-        """A proposer asks to accept a view."""
+        """Handle a proposer's request to accept a view."""
         context, views = self._context, self._context.views
         epoch = message.epoch
         if epoch == views.joined:
             if views.joined_synced == epoch:
                 context.outbox.send(sender, Accepted(epoch))
             return
-        least = self._least_acceptable()
-        if epoch < least:
-            context.outbox.send(sender, Refused(epoch, least))
+        lowest = self._lowest_acceptable_epoch()
+        if epoch < lowest:
+            context.outbox.send(sender, Refused(epoch, lowest))
             return
         replica_set = message.replica_set or context.sets.current
-        if not self._may_accept(replica_set) or not self._is_sound(message, replica_set):
+        if not self._may_accept(replica_set) or not self._is_valid(message, replica_set):
             return
         state = message.state
         if state is None:
@@ -111,32 +114,37 @@
             state = context.map.values
         self._accept(sender, View(epoch, message.chain), replica_set, state)
 
-    def _least_acceptable(self) -> int:
+    def _lowest_acceptable_epoch(self) -> int:
         floor = self._transfer.promise_floor + 1 if self._context.lifecycle.disk_lost else 0
         return max(self._context.views.promise, floor)
 
     def _may_accept(self, replica_set: ReplicaSet) -> bool:
-        """Whether this replica has its disk, or knows what was promised on the one it lost.
+        """Whether this replica has its disk, or knows what was promised on the disk that it lost.
 
-        They must be of the set that the view follows, as the lost promises counted there: who knows
-        an older set asked others.
+        The promises must have been queried from the replica set that the view follows, because that
+        is the set in which the lost promises counted. A replica that knows only an older set has
+        queried other members.
         """
         lifecycle = self._context.lifecycle
         if not lifecycle.disk_lost:
             return lifecycle.membership_synced
-        has_asked_them = replica_set.old == self._context.sets.current.new
-        return self._transfer.ready_to_fill and has_asked_them
+        has_queried_old_set = replica_set.old == self._context.sets.current.new
+        return self._transfer.ready_to_fill and has_queried_old_set
 
-    def _is_sound(self, message: NewView, replica_set: ReplicaSet) -> bool:
-        """Whether the view is newer, and its chain a majority of that set of this system."""
+    def _is_valid(self, message: NewView, replica_set: ReplicaSet) -> bool:
+        """Whether the view is newer than the accepted one and valid for the given replica set.
+
+        Its chain must hold a majority of that set, and the set must belong to this replica's
+        system.
+        """
         context = self._context
         if message.epoch <= context.views.accepted.epoch or context.name not in message.chain:
             return False
         names = replica_set.names
         if message.members != names or not set(message.chain) <= set(names):
             return False
-        is_of_system = replica_set.system == context.sets.proven.replica_set.system
-        return replica_set.quorum(message.chain) and is_of_system
+        is_same_system = replica_set.system == context.sets.proven.replica_set.system
+        return replica_set.quorum(message.chain) and is_same_system
 
     def _accept(
         self, sender: str, view: View, replica_set: ReplicaSet, state: Mapping[str, JsonValue]
@@ -149,10 +157,10 @@
         context.views.accept(view)
         context.map.begin_view(state)
         context.sets.accept(view, replica_set)
-        if replica_set.is_replacement:  # the newcomer may be gone before it tells its zone again
-            context.sets.note_zones(zones_of_others(context))
+        if replica_set.is_replacement:  # the newcomer may stop before it reports its zone again
+            context.sets.update_zones(zones_of_others(context))
         records |= context.sets.records()
-        context.views.restart_silence(context.now)
+        context.views.restart_silence_timer(context.now)
         self._triggers.reset()
         self._chain.reset()
         self._head.reset()
--- a/umbermoor/gateway/replication/change_plan.py
+++ b/umbermoor/gateway/replication/change_plan.py
@@ -1,7 +1,8 @@
-"""What a change of the replica set would leave, and what refuses it.
+"""What a change of the replica set would leave, and the reasons to refuse it.
 
-A change must leave as many members, and as many of them up, as the configured losses need, unless
-it makes things better; no change may put a majority into one zone: docs/replication.md.
+A change must leave as many members, and as many of them available, as the configured number of
+tolerated losses needs, unless it improves on the present set. No change may put a majority into one
+zone: docs/replication.md.
 """
 
 from collections import Counter
@@ -13,16 +14,16 @@
 
 
 class ChangePlan(NamedTuple):
-    """What a change would leave."""
+    """The replica set that a change would leave."""
 
     number: int  # of the new set
     members: tuple[str, ...]
-    available: tuple[str, ...]  # those in the chain, or up to date enough to be taken in
-    tolerated_losses: int  # of those that are available, how many may be lost at once
-    refusal: str  # why it is refused; "": it is not
+    available: tuple[str, ...]  # members in the chain, or learners ready to join it
+    tolerated_losses: int  # how many of the available members may be lost at once
+    refusal: str  # the reason to refuse the change; "": it is allowed
 
     def to_json(self) -> JsonObject:
-        """As the operators' calls show it."""
+        """Return the plan as the operators' calls show it."""
         value: JsonObject = {
             "number": self.number,
             "members": list(self.members),
@@ -37,9 +38,10 @@
 def zone_with_new_majority(
     before: Sequence[str], after: Sequence[str], zones: Mapping[str, str]
 ) -> str:
-    """The zone that would hold a majority after a change though none did before; "": none.
+    """Return the zone that would hold a majority after a change though no zone held one before.
 
-    Members of unknown zones count as if each had a zone of its own.
+    Returns "" if there is none. A member whose zone is unknown counts as alone in a zone of its
+    own.
 
     >>> zones = {"a": "north", "b": "east", "c": "west", "d": "east"}
     >>> zone_with_new_majority("abc", "bcd", zones)
@@ -66,15 +68,15 @@
     remove: str,
     tolerated_losses: int,
 ) -> ChangePlan:
-    """What a change of that completed set would leave.
+    """Return what a change of the completed set `present` would leave.
 
     Args:
-        present: the set in force.
-        chain: of its active view.
-        ready: learners that could be taken in.
+        present: the replica set in force.
+        chain: the chain of its active view.
+        ready: the learners that could become members now.
         add: the newcomer; "": none.
-        remove: the member to take out; "": none.
-        tolerated_losses: as configured.
+        remove: the member to remove; "": none.
+        tolerated_losses: the configured number of losses to tolerate.
 
     >>> from umbermoor.gateway.replication.replica_set import initial_replica_set
     >>> three = initial_replica_set(["a", "b", "c"], 7)
@@ -139,7 +141,7 @@
             f"{left} with {margin or 'none'} to lose: "
             f"bring back {down or 'the others'}, or replace it first"
         )
-    holding = [name for name in chain if name in after.members and name != add]
-    if margin < 0 or not after.quorum(holding):
+    chain_after = [name for name in chain if name in after.members and name != add]
+    if margin < 0 or not after.quorum(chain_after):
         return f"{left}, of which too few hold what is held"
     return ""
--- a/umbermoor/gateway/replication/errors.py
+++ b/umbermoor/gateway/replication/errors.py
@@ -1,12 +1,12 @@
-"""Errors of the replication package. Outcomes of calls are values: `umbermoor.gateway.effects`."""
+"""Errors of the replication package. Results of calls are values of `umbermoor.gateway.effects`."""
 
 
 class ReplicationError(Exception):
-    """Base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class InconsistentStateError(ReplicationError, ValueError):
-    """Stored records contradict each other: the replica must not start on them."""
+    """Stored records contradict each other, so the replica must not start from them."""
 
     def __init__(self, stored_epoch: int, view_epoch: int) -> None:
         super().__init__(f"a version of epoch {stored_epoch} was stored in view {view_epoch}")
@@ -15,12 +15,12 @@
 
 
 class DamagedStoreError(ReplicationError):
-    """What is stored does not hold together: it counts as lost."""
+    """The stored data is damaged, so the disk counts as lost."""
 
 
 class DamagedPagesError(DamagedStoreError):
-    """The file's pages are not what a commit left; says where."""
+    """Pages of the file differ from what a commit left; the message says where."""
 
 
 class DamagedRecordsError(DamagedStoreError):
-    """The records are not what was written; says which."""
+    """Records differ from what was written; the message says which."""
--- a/umbermoor/gateway/replication/health.py
+++ b/umbermoor/gateway/replication/health.py
@@ -1,4 +1,4 @@
-"""What a replica knows of the health of the whole: losses left, contact with a majority."""
+"""A replica's view of the system's health: remaining fault tolerance, contact with a majority."""
 
 from umbermoor.gateway.replication.context import Context
 from umbermoor.gateway.replication.replica_set import majority
@@ -11,34 +11,36 @@
     members = sets.members
     in_chain = [name for name in active.chain if name in members]
     spare = len(in_chain) - majority(sets.new)
-    wanted = min(context.identity.tolerated_losses, (len(members) - 1) // 2)
-    return not active.epoch or sets.is_joint or spare < wanted
+    needed_spare = min(context.identity.tolerated_losses, (len(members) - 1) // 2)
+    return not active.epoch or sets.is_joint or spare < needed_spare
 
 
 def is_connected(context: Context) -> bool:
     """Whether a quorum proved contact within a lease, and this replica is up to date.
 
-    They are reached both ways and promised no epoch above the chain that is known here to serve;
-    this replica holds what that chain began with, or later.
+    Those members are reached in both directions, and have promised no epoch above that of the chain
+    that is known here to serve. This replica holds the state that the chain began with, or a later
+    one.
     """
     views = context.views
     if not context.is_usable or context.map.version[0] != views.active.epoch:
         return False
-    proven = context.contact.proven(context.now, views.active.epoch, context.others())
+    proven = context.lease_proofs.proven_members(context.now, views.active.epoch, context.others())
     if 0 < views.promise <= views.active.epoch:
         proven |= {context.name}
-    is_chain_known = views.serving or context.hears_serving(SERVING_CONTACT_TIMEOUT)
+    is_chain_known = views.serving or context.hears_serving_chain(SERVING_CONTACT_TIMEOUT)
     return context.sets.current.quorum(proven) and is_chain_known
 
 
 def is_dispensable(context: Context) -> bool:
-    """Whether this process may end without holding anything up.
+    """Whether this process may end without blocking anything.
 
-    Another chain serves, so a majority holds what it holds.
+    It may if another chain serves, because a majority then holds everything that this replica
+    holds.
     """
     if not context.is_usable:
         return True
-    return context.name not in context.views.active.chain and context.hears_serving(
+    return context.name not in context.views.active.chain and context.hears_serving_chain(
         SERVING_CONTACT_TIMEOUT
     )
 
@@ -46,7 +48,7 @@
 def head_decides(context: Context) -> bool:
     """Whether the head decides conditional writes, as far as is known here.
 
-    One of an earlier revision takes what is newer.
+    A head of an earlier revision accepts any newer value instead.
     """
     chain = context.views.active.chain
     peer = context.peers.get(chain[0]) if chain else None
--- a/umbermoor/gateway/replication/heartbeats.py
+++ b/umbermoor/gateway/replication/heartbeats.py
@@ -1,7 +1,8 @@
-"""Heartbeats: what replicas tell each other of themselves, and what is learnt from them.
+"""Heartbeats: what replicas report about themselves, and what is learnt from the reports.
 
-They carry failure detection (`peers`), leases (`leases`), the newest active view, the replica set,
-and what is committed. Learners hear of the system by them. Times are whole microseconds.
+Heartbeats carry failure detection (`peers`), leases (`leases`), the newest active view, the replica
+set and the committed version. Learners learn about the system from them. Times are whole
+microseconds.
 """
 
 from collections.abc import Sequence
@@ -18,7 +19,7 @@
 
 
 class Heartbeats:
-    """Sends this replica's heartbeats, and takes in those of others."""
+    """Sends this replica's heartbeats, and handles those of others."""
 
     def __init__(
         self,
@@ -32,23 +33,23 @@
         self._activation, self._exclusions = activation, exclusions
         self._sequence = 0
         self._sent_at = -HEARTBEAT_INTERVAL
-        self.peers_grew_at = 0  # when one was heard that is new, newly started, or back
-        self.leaving = False  # this process is about to end, in order
+        self.last_arrival_at = 0  # when a peer was last heard that is new, restarted or back
+        self.leaving = False  # this process is shutting down gracefully
 
     def tick(self) -> None:
-        """Send them, if it is time."""
+        """Send heartbeats if the interval has passed."""
         if self._context.now - self._sent_at >= HEARTBEAT_INTERVAL:
             self.send_all()
 
     def leave(self) -> None:
-        """Tell the others from now on that this process is about to end."""
+        """Announce, now and in all further heartbeats, that this process is about to end."""
         self.leaving = True
         self.send_all()
 
     # sending
 
     def send_all(self, also: Sequence[str] = ()) -> None:
-        """Send one to each member and learner, and to those named."""
+        """Send a heartbeat to each member and learner, and to the replicas named in `also`."""
         context = self._context
         self._sent_at = context.now
         heartbeat = self._next()
@@ -59,17 +60,17 @@
             others = (*context.sets.names, *seeds, *context.peers.heard(context.now))
         for name in dict.fromkeys(others):
             if name != context.name:
-                context.outbox.send(name, self._addressed(heartbeat, name, with_echo=True))
+                context.outbox.send(name, self._address_to(heartbeat, name, with_echo=True))
 
     def send(self, to: str, with_echo: bool = False) -> None:
-        """Send one to that replica alone."""
-        self._context.outbox.send(to, self._addressed(self._next(), to, with_echo))
+        """Send a heartbeat to one replica."""
+        self._context.outbox.send(to, self._address_to(self._next(), to, with_echo))
 
     def _next(self) -> Heartbeat:
-        """The next heartbeat, as it is the same for all."""
+        """Build the next heartbeat, without the fields that depend on the receiver."""
         context, views, transfer = self._context, self._context.views, self._transfer
         self._sequence += 1
-        context.contact.sent(context.now, self._sequence)
+        context.lease_proofs.record_sent(context.now, self._sequence)
         is_filled = context.is_member or transfer.learner_filled
         disk_lost, proven = context.lifecycle.disk_lost, context.sets.proven.replica_set
         return Heartbeat(
@@ -97,8 +98,12 @@
         is_due = self._sequence % ZONE_INTERVAL == 1 or not self._context.is_member
         return (self._context.identity.zone or None) if is_due else None
 
-    def _addressed(self, heartbeat: Heartbeat, to: str, with_echo: bool) -> Heartbeat:
-        """The same with what that replica is told: an echo, the system and the set it lacks."""
+    def _address_to(self, heartbeat: Heartbeat, to: str, with_echo: bool) -> Heartbeat:
+        """Return the heartbeat with the fields for its receiver.
+
+        These are the echo of its last heartbeat, and the system number and the replica set if it
+        lacks them.
+        """
         context = self._context
         peer = context.peers.get(to)
         echo = None
@@ -106,31 +111,31 @@
             echo = HeartbeatId(peer.heartbeat.incarnation, peer.heartbeat.sequence)
         peer = peer or context.learners.get(to)
         proven = context.sets.proven
-        has_system = context.is_usable and peer and not peer.heartbeat.disk_lost
+        knows_system = context.is_usable and peer and not peer.heartbeat.disk_lost
         known_number = (peer.heartbeat.set_number or 0) if peer else -1
         lacks_set = proven.replica_set.number and known_number < proven.replica_set.number
         return heartbeat._replace(
             echo=echo,
-            system=None if has_system else proven.replica_set.system,
+            system=None if knows_system else proven.replica_set.system,
             proven_set=proven if lacks_set else None,
         )
 
     # receiving
 
     def on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
-        """Another replica, member or not, tells of itself."""
+        """Handle a heartbeat of another replica, which need not be a member."""
         context = self._context
-        was_known = sender in context.sets.names
-        self._learn_set(sender, heartbeat)
-        if was_known:
+        was_member = sender in context.sets.names
+        self._learn_replica_set(sender, heartbeat)
+        if was_member:
             self._learn_view(heartbeat)
         if context.is_member and sender not in context.sets.names:
             self._on_non_member(sender, heartbeat)
             return
         if not context.sets.names:
-            self._meet_member(sender, heartbeat)
+            self._learn_members(sender, heartbeat)
         if context.peers.record(context.now, sender, heartbeat):
-            self.peers_grew_at = context.now
+            self.last_arrival_at = context.now
             self._exclusions.readmit(sender)
             self.send(sender, with_echo=True)
         if context.sets.names:
@@ -144,11 +149,11 @@
     def _learn_from_member(self, sender: str, heartbeat: Heartbeat) -> None:
         context = self._context
         if heartbeat.zone is not None and context.is_member:
-            context.sets.remember_zones(zones_of_others(context))
+            context.sets.store_zones(zones_of_others(context))
         peer = context.peers.get(sender)
-        if peer and peer.heartbeat is heartbeat:  # it was not outdated
+        if peer and peer.heartbeat is heartbeat:  # not dropped as outdated
             incarnation = context.identity.incarnation
-            context.contact.heard(context.now, sender, heartbeat, incarnation)
+            context.lease_proofs.record_heartbeat(context.now, sender, heartbeat, incarnation)
         if self._shows_earlier_founding(heartbeat):
             context.lifecycle.void_founding()
         epoch, sequence = heartbeat.committed
@@ -156,27 +161,31 @@
             self._chain.commit(sequence)
 
     def _shows_earlier_founding(self, heartbeat: Heartbeat) -> bool:
-        """Whether a founder that has promised nothing hears of a promise."""
+        """Whether this founder has promised nothing, but the heartbeat tells of a promise."""
         context = self._context
         has_promised = heartbeat.promise and not heartbeat.disk_lost
         is_founding = context.identity.is_founder and not context.views.promise
         return bool(has_promised and context.lifecycle.membership_synced and is_founding)
 
     def _on_non_member(self, sender: str, heartbeat: Heartbeat) -> None:
-        """One that is no member: a learner of this system, or one to be told that it is none."""
+        """Handle a heartbeat of a replica that is not a member.
+
+        A learner of this system is recorded. Another replica that lists no members is sent a
+        heartbeat, so that it learns that it is not a member.
+        """
         context = self._context
-        is_of_system = (heartbeat.system or 0) in (0, context.sets.proven.replica_set.system)
-        may_learn = heartbeat.set_number is not None and is_of_system
+        is_same_system = (heartbeat.system or 0) in (0, context.sets.proven.replica_set.system)
+        may_learn = heartbeat.set_number is not None and is_same_system
         if may_learn and not heartbeat.cold_start and not context.lifecycle.disk_lost:
             if context.learners.record(context.now, sender, heartbeat):
                 self.send(sender)
         elif not heartbeat.members:
             self.send(sender)
 
-    def _meet_member(self, sender: str, heartbeat: Heartbeat) -> None:
-        """Learn who the members are.
+    def _learn_members(self, sender: str, heartbeat: Heartbeat) -> None:
+        """Learn the members from one of them.
 
-        If this is one of them that has lost its disk, or a machine that may learn.
+        This applies to a member that has lost its disk, and to a machine that may become a learner.
         """
         context, lifecycle = self._context, self._context.lifecycle
         if not heartbeat.promise or heartbeat.disk_lost or sender not in heartbeat.members:
@@ -185,12 +194,12 @@
             return
         may_learn = heartbeat.set_number is not None and lifecycle.disk_lost
         if context.name in heartbeat.members or may_learn:
-            lifecycle.fill_from_others()
+            lifecycle.join_existing_system()
             first = EpochSet(0, initial_replica_set(heartbeat.members, heartbeat.system or 0))
-            context.sets.meet(heartbeat.proven_set or first)
+            context.sets.adopt_without_disk(heartbeat.proven_set or first)
 
-    def _learn_set(self, sender: str, heartbeat: Heartbeat) -> None:
-        """A later set that is known to be in force."""
+    def _learn_replica_set(self, sender: str, heartbeat: Heartbeat) -> None:
+        """Adopt a later replica set that is known to be in force."""
         context, sets = self._context, self._context.sets
         if not sets.names:
             return
@@ -206,4 +215,4 @@
         known = sets.proven.replica_set
         is_newer = replica_set.number > known.number and epoch > sets.proven.epoch
         if is_newer and replica_set.system == known.system:
-            sets.prove(epoch, replica_set)
+            sets.record_proven(epoch, replica_set)
--- a/umbermoor/gateway/replication/learners.py
+++ b/umbermoor/gateway/replication/learners.py
@@ -1,4 +1,4 @@
-"""Learners: machines that follow what is committed, and could be made members."""
+"""Learners: machines that follow the committed state and could become members."""
 
 from umbermoor.gateway.replication.context import Context
 from umbermoor.gateway.replication.peers import Peer
@@ -6,7 +6,7 @@
 
 
 def known_zones(context: Context) -> dict[str, str]:
-    """Where members and learners run, as last told, also before a restart."""
+    """Return the zones of members and learners, as last reported, including before a restart."""
     zones = {}
     for name in (*context.sets.names, *context.learners.names()):
         peer = context.peers.get(name) or context.learners.get(name)
@@ -16,15 +16,16 @@
 
 
 def zones_of_others(context: Context) -> dict[str, str]:
-    """Where the other members run, as far as it is known here."""
+    """Return the zones of the other members, as far as they are known here."""
     zones = known_zones(context)
     return {name: zones[name] for name in context.others() if zones.get(name)}
 
 
 def ready_learners(context: Context) -> list[str]:
-    """Those that could be taken in now, sorted.
+    """Return the learners that could become members now, sorted.
 
-    Heard by the chain and hearing it, steadily, with a healthy disk, and ready to be filled.
+    Such a learner hears every member of the chain and is heard by it, has done so steadily, has a
+    healthy disk, and holds the state or can be given it.
     """
     heard = sorted(context.learners.heard(context.now).items())
     return [name for name, peer in heard if _is_ready(context, name, peer)]
--- a/umbermoor/gateway/replication/lifecycle.py
+++ b/umbermoor/gateway/replication/lifecycle.py
@@ -1,7 +1,7 @@
 """How a replica starts: cold, with its disk, or after its disk was lost.
 
-A cold replica belongs to a system that is yet to be founded. One whose disk was lost counts for
-nothing until it is given the state, as its promises can no longer be known: docs/storage.md.
+A cold replica belongs to a system that has not been founded yet. A replica whose disk was lost does
+not count until it is given the state, because its promises can no longer be known: docs/storage.md.
 """
 
 from umbermoor.gateway.replication.stored_records import no_founding_records
@@ -9,7 +9,7 @@
 
 
 class Lifecycle:
-    """Whether this replica is cold, has lost its disk, and has its membership on disk."""
+    """Whether this replica is cold, has lost its disk, and has synced its membership."""
 
     __slots__ = ("_disk", "cold_start", "disk_lost", "membership_synced")
 
@@ -17,25 +17,25 @@
         self._disk = disk
         self.cold_start = cold_start and not has_members
         self.disk_lost = not cold_start and not has_members
-        self.membership_synced = has_members  # who the members are is synced
+        self.membership_synced = has_members  # whether the list of members is synced
 
-    def found(self) -> None:
-        """The system is founded; its members are being written."""
+    def begin_founding(self) -> None:
+        """Note that the system is founded and its members are being written."""
         self.cold_start = False
 
     def founding_synced(self) -> None:
-        """They are on disk."""
+        """Note that the members are synced to disk."""
         self.membership_synced = True
 
-    def fill_from_others(self) -> None:
-        """There is a system already: this replica is one of it whose disk is empty."""
+    def join_existing_system(self) -> None:
+        """Note that a system exists already, and this replica is part of it with an empty disk."""
         self.cold_start, self.disk_lost = False, True
 
     def void_founding(self) -> None:
-        """The system was founded before, when this disk was another: the new one must not be."""
+        """Void the new founding: the system was founded before this disk was replaced."""
         self.disk_lost, self.membership_synced = True, False
         self._disk.enqueue(no_founding_records(), "members", do_nothing)
 
     def view_synced(self) -> None:
-        """A view and its state are on disk: whatever was lost is filled."""
+        """Note that a view and its state are synced, so a lost disk is filled again."""
         self.disk_lost, self.membership_synced = False, True
--- a/umbermoor/gateway/replication/outbox.py
+++ b/umbermoor/gateway/replication/outbox.py
@@ -1,4 +1,4 @@
-"""What a replica has its host do, in order; messages to itself do not leave it."""
+"""The effects that a replica requests from its host, in order, and its messages to itself."""
 
 from collections import deque
 
@@ -8,7 +8,7 @@
 
 
 class Outbox:
-    """Effects that wait for the host. Messages are encoded here, at the edge."""
+    """Effects that wait for the host. Messages are encoded when they are added."""
 
     __slots__ = ("_effects", "_local", "_own_name")
 
@@ -18,25 +18,25 @@
         self._local: deque[Message] = deque()
 
     def send(self, to: str, message: Message) -> None:
-        """Send it, or have it handled here after the present input."""
+        """Send a message. A message to this replica itself is handled after the current input."""
         if to == self._own_name:
             self._local.append(message)
         else:
             self._effects.append(Send(to, encode(message)))
 
     def add(self, effect: Effect) -> None:
-        """Any other effect."""
+        """Add an effect other than a message or a call's result."""
         self._effects.append(effect)
 
     def finish(self, result: CallResult) -> None:
-        """The end of a call of this replica's host."""
+        """Add the result of a call that this replica's host made."""
         self._effects.append(result)
 
     def next_local(self) -> Message | None:
-        """The next message to itself."""
+        """Remove and return the next message to this replica itself, if any."""
         return self._local.popleft() if self._local else None
 
     def take(self) -> list[Effect]:
-        """All effects so far."""
+        """Remove and return all effects added so far."""
         effects, self._effects = self._effects, []
         return effects
--- a/umbermoor/gateway/replication/peers.py
+++ b/umbermoor/gateway/replication/peers.py
@@ -1,4 +1,4 @@
-"""What a replica knows of the others by their heartbeats: who is heard, how steadily, by whom.
+"""What a replica knows about others from their heartbeats: who is heard, how steadily, and by whom.
 
 Times are whole microseconds.
 """
@@ -13,27 +13,27 @@
 
 @dataclass(slots=True)
 class Peer:
-    """One other replica, as its last heartbeat tells it."""
+    """Another replica, as described by its last heartbeat."""
 
     heard_at: int
-    steady_since: int  # heard without a gap, in one incarnation and with a healthy disk
+    steady_since: int  # since when heard without a gap, in one incarnation, with a healthy disk
     heartbeat: Heartbeat
-    joined: int = 0  # the epoch that it was last heard to be in, with a healthy disk
+    joined: int = 0  # the epoch that it last reported, with a healthy disk
     joined_at: int = 0
-    zone: str = ""  # as last told
+    zone: str = ""  # as last reported
 
     @property
     def committed(self) -> Version:
-        """The version that it knows to be committed."""
+        """The version that the peer knows to be committed."""
         return self.heartbeat.committed
 
     @property
     def can_join(self) -> bool:
-        """Whether it holds its state, or may be given it."""
+        """Whether the peer holds its state, or may be given it."""
         return not self.heartbeat.disk_lost or self.heartbeat.ready_to_fill
 
-    def take(self, now: int, heartbeat: Heartbeat) -> bool:
-        """Take a newer heartbeat in; whether the peer was started or came back since the last."""
+    def update(self, now: int, heartbeat: Heartbeat) -> bool:
+        """Record a newer heartbeat; return whether the peer restarted or came back since."""
         is_restarted = self.heartbeat.incarnation != heartbeat.incarnation
         is_back = now - self.heard_at > HEARD_TIMEOUT
         if is_restarted or is_back or not heartbeat.disk_healthy:
@@ -42,12 +42,15 @@
         return is_restarted or is_back
 
     def note_epoch(self, now: int) -> None:
-        """Note which view it is in; a lower epoch is that of an earlier incarnation."""
+        """Record the epoch that the peer has joined.
+
+        A lower epoch than the recorded one comes from an earlier incarnation and is ignored.
+        """
         if self.heartbeat.disk_healthy and self.heartbeat.joined >= self.joined:
             self.joined, self.joined_at = self.heartbeat.joined, now
 
     def note_zone(self) -> None:
-        """Note where it runs, where it tells that."""
+        """Record the zone of the peer, if the heartbeat carries it."""
         if self.heartbeat.zone is not None:
             self.zone = self.heartbeat.zone
 
@@ -61,9 +64,9 @@
     _peers: dict[str, Peer] = field(default_factory=dict)
 
     def record(self, now: int, sender: str, heartbeat: Heartbeat) -> bool:
-        """Take a heartbeat in, unless it is older than the last or there is no room.
+        """Record a heartbeat, unless it is older than the last one or the table is full.
 
-        Returns whether the sender is new, newly started, or back after a silence.
+        Returns whether the sender is new, restarted, or back after a silence.
         """
         peer = self._peers.get(sender)
         if peer is None:
@@ -74,7 +77,7 @@
         elif _is_outdated(peer.heartbeat, heartbeat):
             return False
         else:
-            is_new = peer.take(now, heartbeat)
+            is_new = peer.update(now, heartbeat)
         peer.note_zone()
         peer.note_epoch(now)
         return is_new
@@ -87,31 +90,31 @@
         return silent is not None and self._peers.pop(silent) is not None
 
     def adopt(self, name: str, peer: Peer) -> None:
-        """Know that peer too, as another table did."""
+        """Add a peer from another table, unless it is in this one already."""
         self._peers.setdefault(name, peer)
 
     def forget(self, names: tuple[str, ...]) -> None:
-        """Drop those."""
+        """Remove the named peers."""
         self._peers = {name: peer for name, peer in self._peers.items() if name not in names}
 
     def keep_only(self, names: tuple[str, ...]) -> None:
-        """Drop all others."""
+        """Remove all peers but the named ones."""
         self._peers = {name: peer for name, peer in self._peers.items() if name in names}
 
     def heard(self, now: int, within: int = HEARD_TIMEOUT) -> dict[str, Peer]:
-        """Those whose last heartbeat is no older than that."""
+        """Return the peers whose last heartbeat is no older than `within`."""
         return {name: peer for name, peer in self._peers.items() if now - peer.heard_at <= within}
 
     def names(self) -> tuple[str, ...]:
-        """All that are known, heard lately or not."""
+        """Return the names of all peers in the table, whether heard lately or not."""
         return tuple(self._peers)
 
     def get(self, name: str) -> Peer | None:
-        """What is known of that one."""
+        """Return the peer of that name, or None."""
         return self._peers.get(name)
 
     def in_contact(self, now: int, first: str, second: str) -> bool:
-        """Whether the two hear each other, as far as is known here."""
+        """Whether the two replicas hear each other, as far as is known here."""
         return self._hears(now, first, second) and self._hears(now, second, first)
 
     def _hears(self, now: int, listener: str, speaker: str) -> bool:
@@ -123,7 +126,7 @@
         return listener == self.own_name or speaker in peer.heartbeat.hears
 
     def highest_promise(self) -> int:
-        """The highest epoch that any was heard to have promised."""
+        """Return the highest epoch that any peer reported to have promised."""
         return max((peer.heartbeat.promise for peer in self._peers.values()), default=0)
 
 
@@ -132,7 +135,7 @@
 
 
 class Exclusions:
-    """Who is left out of the next views, and until when."""
+    """Replicas that are left out of the next views, and until when."""
 
     __slots__ = ("_until",)
 
@@ -140,21 +143,21 @@
         self._until: dict[str, int] = {}
 
     def exclude(self, name: str, until: int) -> None:
-        """Leave that one out until then."""
+        """Leave the replica out until the given time."""
         self._until[name] = until
 
     def readmit(self, name: str) -> None:
-        """That one is back: it may be in the next view."""
+        """Allow the replica in the next view again, because it is back."""
         self._until.pop(name, None)
 
-    def holds(self, name: str, now: int) -> bool:
-        """Whether that one is to be left out now."""
+    def is_excluded(self, name: str, now: int) -> bool:
+        """Whether the replica is to be left out now."""
         return self._until.get(name, 0) > now
 
     def expire(self, now: int) -> None:
-        """Forget those whose time is over."""
+        """Remove the exclusions whose time is over."""
         self._until = {name: until for name, until in self._until.items() if until > now}
 
     def names(self) -> frozenset[str]:
-        """All that were excluded and not yet expired or readmitted."""
+        """Return all excluded replicas that have neither expired nor been readmitted."""
         return frozenset(self._until)
--- a/umbermoor/gateway/replication/quorum_rounds.py
+++ b/umbermoor/gateway/replication/quorum_rounds.py
@@ -1,8 +1,8 @@
 """Rounds in which a majority is asked whether it has promised a later epoch.
 
-Source: Ongaro and Ousterhout's Raft, section 6.4 of Ongaro's thesis (2014), read index: whoever
-answered a round promised no later epoch after the calls had come that it is for, so no later view
-was in force when they came. Times are whole microseconds.
+Source: the read index of Raft (Ongaro's thesis, 2014, section 6.4). A member that answers a round
+had promised no later epoch when the calls arrived that the round is for, so no later view was in
+force at that time. Times are whole microseconds.
 """
 
 from collections.abc import Callable, Collection
@@ -11,17 +11,21 @@
 from umbermoor.gateway.replication.messages import CallId
 from umbermoor.gateway.replication.view import Version
 
-Question = Decision | Version  # a decision to tell; or a read, with the version that its caller has
+# The decision to report for a put; or, for a read, the version that its caller already has.
+Question = Decision | Version
 
 
 class QuorumRounds:
-    """Calls that wait for a majority, each for a round that began after it; one at a time."""
+    """Calls that wait for a majority to confirm.
+
+    Each call waits for a round that began after the call arrived. One round runs at a time.
+    """
 
     __slots__ = "_asked", "_confirmed", "_waiting", "asked_at", "nonce"
 
     def __init__(self, nonce: int = 0) -> None:
-        self._waiting: dict[CallId, tuple[int, Question]] = {}  # until when
-        self._asked: tuple[CallId, ...] | None = None  # those that the round under way is for
+        self._waiting: dict[CallId, tuple[int, Question]] = {}  # with deadlines
+        self._asked: tuple[CallId, ...] | None = None  # the calls of the round in progress
         self._confirmed: set[str] = set()
         self.nonce = nonce
         self.asked_at = 0
@@ -30,33 +34,33 @@
         return len(self._waiting)
 
     def add(self, call: CallId, until: int, question: Question) -> None:
-        """One more call; one that waits already stays as it is."""
+        """Add a call; a call that already waits is left unchanged."""
         self._waiting.setdefault(call, (until, question))
 
     def begin(self, nonce: int) -> bool:
-        """Whether a round begins now, under that number drawn at random."""
+        """Begin a round under the random `nonce` if possible, and return whether it began."""
         if self._asked is not None or not self._waiting:
             return False
         self._asked, self._confirmed, self.nonce = tuple(self._waiting), set(), nonce
         return True
 
     def note_asked(self, now: int) -> None:
-        """The others are being asked now."""
+        """Record that the other members are being asked now."""
         self.asked_at = now
 
     def is_due(self, before: int) -> bool:
-        """Whether the others are to be asked again, as they were last asked before then."""
+        """Whether the others must be asked again, because they were last asked by `before`."""
         return self._asked is not None and self.asked_at <= before
 
     def confirm(self, sender: str, nonce: int) -> bool:
-        """One of the others promised no later epoch; whether that counts for this round."""
+        """Record that a member promised no later epoch; return whether it counts for this round."""
         if self._asked is None or nonce != self.nonce:
             return False
         self._confirmed.add(sender)
         return True
 
     def complete(self, quorum: Callable[[Collection[str]], bool]) -> list[tuple[CallId, Question]]:
-        """What may be answered, as enough of the others confirmed; nothing if fewer did."""
+        """Return the calls to answer if enough other members confirmed the round, else nothing."""
         if self._asked is None or not quorum(self._confirmed):
             return []
         asked, self._asked = self._asked, None
@@ -65,11 +69,11 @@
         ]
 
     def expire(self, now: int) -> None:
-        """Give up the calls whose time is over."""
+        """Drop the calls whose time is over."""
         self._waiting = {
             call: waiting for call, waiting in self._waiting.items() if waiting[0] > now
         }
 
     def void(self) -> None:
-        """The round under way counts no more; another is to begin."""
+        """Discard the round in progress, so that another one begins."""
         self._asked = None
--- a/umbermoor/gateway/replication/reconfiguration.py
+++ b/umbermoor/gateway/replication/reconfiguration.py
@@ -1,7 +1,7 @@
 """Changes of the replica set, ordered by an operator or by the head itself for a departed member.
 
-Source: joint consensus, see `replica_set`; what may be refused and why: docs/replication.md. Times
-are microseconds.
+Source: joint consensus, see `replica_set`. The reasons for refusals are in docs/replication.md.
+Times are in microseconds.
 """
 
 from typing import NamedTuple
@@ -22,42 +22,42 @@
 
 
 class _Change(NamedTuple):
-    """A change under way."""
+    """A change in progress."""
 
-    request_id: int | None  # None: begun by the head itself
+    request_id: int | None  # None: begun by this replica itself
     until: int
     add: str
     remove: str
 
 
 class RefusedSuccession(NamedTuple):
-    """A succession that would leave too little."""
+    """A succession that was refused because it would leave too few members."""
 
     succession: Succession
     reason: str
 
 
 class Reconfiguration:
-    """One change of the replica set at a time."""
+    """Runs changes of the replica set, one at a time."""
 
     def __init__(self, context: Context, view_change: ViewChange, heartbeats: Heartbeats) -> None:
         self._context, self._view_change, self._heartbeats = context, view_change, heartbeats
         self._change: _Change | None = None
         self._due_succession: Succession | None = None
         self._due_since = 0
-        self.begun_succession: Succession | None = None  # the last one
-        self.refused_succession: RefusedSuccession | None = None  # one that would be due now
+        self.begun_succession: Succession | None = None  # the last succession that was begun here
+        self.refused_succession: RefusedSuccession | None = None  # a due succession that is refused
 
     def change(self, request_id: int, add: str, remove: str, dry_run: bool) -> None:
-        """Have the set become another: one more, one fewer, or one in the place of another."""
+        """Begin a change of the replica set: add, remove or replace a member."""
         context = self._context
         if not context.views.serving:
             reason = "this member is not in the chain"
             self._finish(request_id, Status.UNAVAILABLE, reason)
         elif self._is_done(add, remove):
-            self._finish(request_id, Status.OK, self._present())
+            self._finish(request_id, Status.OK, self._current_plan())
         elif (plan := self.plan(add, remove)).refusal or dry_run:
-            self._invite(add)
+            self._contact_newcomer(add)
             status = Status.CONFLICT if plan.refusal else Status.OK
             self._finish(request_id, status, plan)
         elif self._change:
@@ -67,14 +67,17 @@
             self.tick()
 
     def _finish(self, request_id: int | None, status: Status, answer: ChangePlan | str) -> None:
-        """Answer the call, if there is one, with the plan or the reason."""
+        """Answer the call, if the change has one, with the plan or the reason."""
         if request_id is None:
             return
         value = {"why": answer} if isinstance(answer, str) else answer.to_json()
         self._context.outbox.finish(CallResult(request_id, status, value))
 
-    def _invite(self, newcomer: str) -> None:
-        """Have one that is not heard learn of the system: its seeds may all be gone."""
+    def _contact_newcomer(self, newcomer: str) -> None:
+        """Send a heartbeat to a newcomer that is not heard, so that it learns about the system.
+
+        It may have no other way to learn about it, because all of its seeds may be gone.
+        """
         context = self._context
         if not newcomer or not is_name(newcomer):
             return
@@ -84,7 +87,7 @@
     # plans
 
     def plan(self, add: str, remove: str) -> ChangePlan:
-        """What a change would leave, and why it would be refused."""
+        """Return what a change would leave, and the reason if it would be refused."""
         context = self._context
         present = context.sets.current
         plan = plan_change(
@@ -97,8 +100,8 @@
         )
         if not plan.refusal:
             plan = plan._replace(refusal=self._refuse_zone(plan))
-        if not plan.refusal and (old := self._of_an_earlier_revision(remove)):
-            refusal = f"{old} runs a revision that knows no changes of the members"
+        if not plan.refusal and (incompatible := self._find_incompatible_member(remove)):
+            refusal = f"{incompatible} runs a revision that knows no changes of the members"
             plan = plan._replace(refusal=refusal)
         return plan
 
@@ -107,11 +110,12 @@
         zone = zone_with_new_majority(present, plan.members, known_zones(self._context))
         return f"would leave a majority in zone {zone}, where none is now" if zone else ""
 
-    def _of_an_earlier_revision(self, remove: str) -> str:
-        """A member that knows no changes, as last heard, also one that is away; "": none.
+    def _find_incompatible_member(self, remove: str) -> str:
+        """Return a member last heard to run a revision without membership changes; "": none.
 
-        Back, it would promise nothing to the majority that it does not know. One that is removed
-        knows too few who listen to it then.
+        This includes members that are away: once back, such a member would make no promises to a
+        majority that it does not know. A member that is away may itself be removed, because too few
+        of the members that it knows would still listen to it.
         """
         context = self._context
         for name in context.sets.names:
@@ -128,13 +132,13 @@
         is_removed = not remove or remove not in members
         return bool(add or remove) and is_added and is_removed
 
-    def _present(self) -> ChangePlan:
+    def _current_plan(self) -> ChangePlan:
         return self.plan("", "")._replace(refusal="")
 
-    # the change under way
+    # the change in progress
 
     def tick(self) -> None:
-        """Take the change as far as it goes now; begin one for a member that is succeeded."""
+        """Advance the change in progress, or begin the succession of a departed member."""
         if not self._change and not self._view_change.attempt:
             self._begin_succession()
         change = self._change
@@ -143,10 +147,10 @@
         context = self._context
         is_proven = context.sets.proven.epoch >= context.views.accepted.epoch
         if self._is_done(change.add, change.remove) and is_proven:
-            self._end(change, Status.OK, self._present())
+            self._end_change(change, Status.OK, self._current_plan())
         elif context.now >= change.until:
             reason = "not agreed in time; it may come to be"
-            self._end(change, Status.UNAVAILABLE, reason)
+            self._end_change(change, Status.UNAVAILABLE, reason)
         elif self._may_propose():
             self._propose(change)
 
@@ -158,21 +162,22 @@
     def _propose(self, change: _Change) -> None:
         plan = self.plan(change.add, change.remove)
         if plan.refusal:
-            self._end(change, Status.CONFLICT, plan)
+            self._end_change(change, Status.CONFLICT, plan)
             return
         joint = self._context.sets.current.changed(change.add, change.remove)
         self._view_change.propose(changed_set=joint, newcomer=change.add)
 
-    def _end(self, change: _Change, status: Status, answer: ChangePlan | str) -> None:
+    def _end_change(self, change: _Change, status: Status, answer: ChangePlan | str) -> None:
         self._finish(change.request_id, status, answer)
         self._change = None
 
     # succession
 
     def _begin_succession(self) -> None:
-        """Begin the first change that is due for a departed member, and would not be refused.
+        """Begin the first succession that is due and would not be refused.
 
-        The head does it at once. One behind it waits, and then knows more than those before it.
+        The head begins it at once. Each member further down the chain waits longer, so it begins
+        one only if those before it did not.
         """
         context = self._context
         due = self._find_due_succession()
@@ -180,8 +185,8 @@
             self._due_succession, self._due_since = due, context.now
         if due is None:
             return
-        patience = context.views.chain_index * SUCCESSION_STAGGER
-        if context.now - self._due_since >= patience:
+        delay = context.views.chain_index * SUCCESSION_STAGGER
+        if context.now - self._due_since >= delay:
             self.begun_succession = due
             until = context.now + CHANGE_TIMEOUT
             self._change = _Change(None, until, due.newcomer, due.member)
--- a/umbermoor/gateway/replication/replica.py
+++ b/umbermoor/gateway/replication/replica.py
@@ -1,9 +1,10 @@
-"""One replica: takes messages, time and what the disk tells, and returns effects.
+"""One replica: takes messages, the time and results of the disk, and returns effects.
 
-It joins the state machines of this package, and holds no logic of theirs; who owns which state is
-drawn in docs/ARCHITECTURE.md. Errors: a message of another shape or from outside is dropped; a call
-that cannot be answered in time is answered UNAVAILABLE, and may be done nevertheless. Times are
-whole microseconds of a clock that never goes back within an incarnation.
+It connects the state machines of this package and contains none of their logic. The diagram in
+docs/ARCHITECTURE.md shows which of them owns which state. Errors: a malformed message, or one from
+a replica outside of the set, is dropped. A call that cannot be answered in time is answered
+UNAVAILABLE, and may still take effect. Times are whole microseconds of a clock that never goes back
+within an incarnation.
 """
 
 import random
@@ -37,28 +38,28 @@
 from umbermoor.gateway.replication.view_change import ViewChange
 from umbermoor.gateway.replication.view_triggers import ViewTriggers
 
-# Before they know who the members are, replicas hear these from anybody,
+# Messages accepted from any sender, as a replica may not know the members yet.
 FROM_ANYBODY = (messages.Heartbeat, messages.Found, messages.Settled)
-# and members these from learners.
+# Messages that members also accept from learners.
 FROM_LEARNERS = (messages.PromiseQuery, messages.Fetch)
 
 
 class Replica:
-    """A state machine without I/O; every input returns the effects that it has, in order.
+    """A state machine without I/O; every input returns its effects, in order.
 
     Args:
-        name: its IP address.
-        seeds: IP addresses, the same in the same order everywhere; the first of them founds.
-        tolerated_losses: disks that may be lost at once.
-        cold_start: an empty disk is a new system's, not a lost one.
-        stored: what `Store.load` gave.
-        decide: decides at the head what a put comes to.
-        rng: for delays, nonces and the incarnation.
-        zone: where it runs.
-        quorum_member: it counts, by the platform's word: as a newcomer it may succeed a member.
+        name: the IP address of this replica.
+        seeds: IP addresses, in the same order on all replicas; the first one founds the system.
+        tolerated_losses: the number of disks that may be lost at once.
+        cold_start: whether an empty disk belongs to a new system rather than being a lost one.
+        stored: the result of `Store.load`.
+        decide: decides, at the head, the outcome of a put.
+        rng: the source of delays, nonces and the incarnation.
+        zone: the zone that this replica runs in.
+        quorum_member: set by the platform; this replica may replace a departed member.
 
     Raises:
-        InconsistentStateError: what is stored contradicts itself.
+        InconsistentStateError: the stored records contradict each other.
     """
 
     chain_class: type[Chain] = Chain
@@ -128,7 +129,7 @@
     # inputs
 
     def receive(self, now: int, sender: str, message: object) -> list[Effect]:
-        """Another replica sent this JSON value; `sender` is as its connection proves it."""
+        """Handle a JSON value from another replica; the connection has authenticated `sender`."""
         self._advance(now)
         decoded = codec.decode(message) if sender != self.name else None
         if decoded is not None:
@@ -136,7 +137,7 @@
         return self._effects()
 
     def tick(self, now: int) -> list[Effect]:
-        """Time passes; call it every 50 ms or so."""
+        """Handle the passing of time. The host calls this about every 50 ms."""
         self._advance(now)
         self.heartbeats.tick()
         if self.context.sets.names:
@@ -150,8 +151,8 @@
     def _tick_member(self) -> None:
         if self.context.lifecycle.disk_lost:
             self.transfer.ask_promises()
-        self.view_change.pursue()
-        self.view_change.consider()
+        self.view_change.advance_attempt()
+        self.view_change.propose_if_due()
         self.chain.retry()
         self.reads.retry()
         self.transfer.catch_up()
@@ -159,33 +160,34 @@
         self.reconfiguration.tick()
 
     def written(self, now: int, token: int) -> list[Effect]:
-        """The Write of that token is synced."""
+        """Handle the sync of the Write with that token."""
         self._advance(now)
         for callback in self.context.disk.written(self.context.now, token):
             callback()
         return self._effects()
 
     def write_failed(self, now: int, token: int) -> list[Effect]:
-        """The disk refused the Write of that token, as a whole."""
+        """Handle a failed Write; no part of it was written."""
         self._advance(now)
         self.context.disk.write_failed(self.context.now, token)
         return self._effects()
 
     def put(self, now: int, request_id: int, key: str, value: JsonValue) -> list[Effect]:
-        """Have the head decide what putting `value` under `key` comes to.
+        """Have the head decide on putting `value` under `key`.
 
-        Answered with a Decision once what that stands upon is committed, and proven to be in force:
-        OK where it was accepted, or changes nothing; CONFLICT, NOT_FOUND; UNAVAILABLE if it cannot
-        be told; INVALID if the key is too long, or the value is not JSON's.
+        The call is answered with a Decision once the state that the decision rests on is committed
+        and proven to be in force. The status is OK if the value was accepted or changes nothing,
+        CONFLICT or NOT_FOUND if the head decided so, UNAVAILABLE if the outcome cannot be
+        determined, and INVALID if the key is too long or the value is not a JSON value.
         """
         self._advance(now)
         self.requests.put(request_id, key, value)
         return self._effects()
 
     def read(self, now: int, request_id: int) -> list[Effect]:
-        """The whole map, no older than anything answered before this call.
+        """Read the whole map, in a state no older than any answer given before this call.
 
-        UNAVAILABLE if that cannot be told.
+        The call is answered UNAVAILABLE if that cannot be guaranteed.
         """
         self._advance(now)
         self.requests.read(request_id)
@@ -194,36 +196,36 @@
     def change(
         self, now: int, request_id: int, add: str = "", remove: str = "", dry_run: bool = False
     ) -> list[Effect]:
-        """Have the replica set become another: one more, one fewer, or one in another's place.
+        """Change the replica set: add a member, remove one, or replace one by another.
 
-        Answered OK with what it leaves once the new set is in force (`dry_run`: at once); CONFLICT
-        with `why` where it is refused; UNAVAILABLE where that cannot be told, and it may come to be
-        nevertheless.
+        The call is answered OK with the resulting plan once the new set is in force (with
+        `dry_run`, at once). It is answered CONFLICT with `why` if the change is refused, and
+        UNAVAILABLE if the outcome cannot be determined; the change may still take effect then.
         """
         self._advance(now)
         self.reconfiguration.change(request_id, add, remove, dry_run)
         return self._effects()
 
     def hand_over(self, now: int) -> list[Effect]:
-        """This process is about to end, in order: the chain is to go on without it.
+        """Begin a graceful end of this process, so that the chain continues without it.
 
-        The replica set stays as it is. `handed_over` tells when it may end.
+        The replica set stays as it is. `handed_over` is true once the process may end.
         """
         self._advance(now)
         self.heartbeats.leave()
         return self._effects()
 
     def repair(self, now: int, records: Sequence[str]) -> list[Effect] | None:
-        """Write these records again, as they are held here.
+        """Write the named records again, with the values held in memory.
 
-        None if one of them is no value of the map.
+        Returns None if one of them is not a value of the map.
         """
         self._advance(now)
         return self._effects() if repair_records(self.context, records) else None
 
     def _advance(self, now: int) -> None:
-        if self.context.advance(now) > CLOCK_GAP:  # frozen, or starved of its processor
-            self.context.contact.void()
+        if self.context.advance(now) > CLOCK_GAP:  # the process was frozen or got no CPU time
+            self.context.lease_proofs.void()
             self.reads.void()
 
     def _effects(self) -> list[Effect]:
@@ -244,11 +246,11 @@
         is_learner = self.context.learners.get(sender) is not None
         return isinstance(message, FROM_LEARNERS) and is_learner
 
-    # what is known
+    # state for the host
 
     @property
     def name(self) -> str:
-        """Its IP address."""
+        """The IP address of this replica."""
         return self.context.name
 
     @property
@@ -258,22 +260,22 @@
 
     @property
     def version(self) -> Version:
-        """Of `committed`."""
+        """The version of `committed`."""
         return self.context.map.version
 
     @property
     def replica_set(self) -> ReplicaSet:
-        """Who counts, as far as is known here."""
+        """The replica set in force, as far as is known here."""
         return self.context.sets.current
 
     @property
     def member_names(self) -> tuple[str, ...]:
-        """All of that set, or of both sets of a change, sorted."""
+        """The members of that set, or of both sets during a change, sorted."""
         return self.context.sets.names
 
     @property
     def is_member(self) -> bool:
-        """Whether it is a member: no learner, no stranger, nor one that was taken out."""
+        """Whether this replica is a member, and not a learner, a stranger or a removed member."""
         return self.context.is_member
 
     @property
@@ -287,15 +289,18 @@
         return health.is_connected(self.context)
 
     def connected_at(self, now: int) -> bool:
-        """The same as of now: what the clock shows may be the first sign of a freeze."""
+        """Return `connected` as of `now`.
+
+        The given time may be the first sign that the process was frozen.
+        """
         self._advance(now)
         return self.connected
 
     @property
     def handed_over(self) -> bool:
-        """Whether it was told to end, and may end without holding up anything.
+        """Whether this process was told to end, and may end without blocking anything.
 
-        A member whose successor stands ready waits to be succeeded.
+        A member whose successor is ready waits until it has been succeeded.
         """
         if not self.heartbeats.leaving or has_ready_successor(self.context):
             return False
@@ -303,31 +308,31 @@
 
     @property
     def head_decides(self) -> bool:
-        """Whether the head decides conditional writes; one of an earlier revision does not."""
+        """Whether the head decides conditional writes; a head of an earlier revision does not."""
         return health.head_decides(self.context)
 
     def accepts_from(self, sender: str) -> bool:
-        """Whether what that one says of the chain is taken at all."""
+        """Whether messages of the chain protocol are accepted from that replica."""
         context = self.context
         if sender in context.sets.names or sender in context.views.accepted.chain:
             return True
         attempt = self.view_change.attempt
-        is_asked = attempt is not None and sender in attempt.replica_set.names
-        return is_asked or sender == context.name
+        is_in_attempt = attempt is not None and sender in attempt.replica_set.names
+        return is_in_attempt or sender == context.name
 
     def learners(self) -> list[str]:
-        """Machines that could be made members now, sorted."""
+        """Return the machines that could become members now, sorted."""
         return ready_learners(self.context)
 
     def stored(self, key: str) -> JsonValue:
-        """What is written under that key here, committed or not; None if nothing is."""
+        """Return the value written here under that key, committed or not, or None."""
         return self.context.map.values.get(key)
 
     @property
     def head_name(self) -> str:
-        """The head of the newest view known to be active; "" if none is."""
+        """The head of the newest view known to be active; "" if there is none."""
         return next(iter(self.context.views.active.chain), "")
 
     def status(self) -> ReplicaStatus:
-        """Where this replica stands, for operators."""
+        """Return the state of this replica for operators."""
         return status_of(self.context, self.chain.uncommitted)
--- a/umbermoor/gateway/replication/set_state.py
+++ b/umbermoor/gateway/replication/set_state.py
@@ -1,4 +1,4 @@
-"""Which replica sets this replica knows: of the view accepted last, and of the newest one active.
+"""The replica sets that this replica knows: those of the last accepted and the newest active view.
 
 Source: joint consensus, see `replica_set`; docs/replication.md.
 """
@@ -19,7 +19,7 @@
 
 
 class SetState:
-    """The sets, and the zones of the other members; kept on disk."""
+    """The replica sets, and the zones of the other members, as stored on disk."""
 
     def __init__(self, disk: WriteQueue, lifecycle: Lifecycle, stored: StoredState) -> None:
         self._disk, self._lifecycle = disk, lifecycle
@@ -27,11 +27,11 @@
         self.accepted = stored.accepted_set
         self.proven = stored.proven_set  # of the newest view known to be active
         self.zones = stored.zones
-        self.current = self._find_current()  # who counts, as far as is known here
+        self.current = self._find_current()  # the set in force, as far as is known here
         self.names = self.current.names
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Have it called whenever `names` has changed."""
+        """Call the listener whenever `names` has changed."""
         self._listeners.append(listener)
 
     def _find_current(self) -> ReplicaSet:
@@ -47,56 +47,59 @@
         for listener in self._listeners:
             listener()
 
-    def found(self, members: tuple[str, ...], system: int, then: Callback) -> None:
-        """Write down the first set, and call `then` once it is synced."""
+    def store_initial_set(self, members: tuple[str, ...], system: int, then: Callback) -> None:
+        """Write the first set to disk, and call `then` once it is synced."""
         first = initial_replica_set(members, system)
         self.accepted = self.accepted._replace(replica_set=first)
         self.proven = EpochSet(0, first)
         self._refresh()
         self._disk.enqueue(founding_records(self.names, first.system), "members", then)
 
-    def meet(self, proven: EpochSet) -> None:
-        """Learn of the system, with nothing on disk."""
+    def adopt_without_disk(self, proven: EpochSet) -> None:
+        """Adopt a set reported by others, while nothing is stored on disk."""
         self.proven = proven
         self._refresh()
 
     def correct_system(self, system: int) -> None:
-        """The members belong to a system of that number: what was founded here came to nothing."""
+        """Replace the system number by the number of the members' system.
+
+        This replica's own founding had no effect.
+        """
         replica_set = self.proven.replica_set._replace(system=system)
         self.proven = self.proven._replace(replica_set=replica_set)
         self._refresh()
 
-    def prove(self, epoch: int, replica_set: ReplicaSet) -> None:
-        """The view of that epoch, newer than `proven`, is active and carries that set."""
-        is_other = replica_set.number != self.proven.replica_set.number
+    def record_proven(self, epoch: int, replica_set: ReplicaSet) -> None:
+        """Record that the view of that epoch, newer than `proven`, is active with that set."""
+        has_changed = replica_set.number != self.proven.replica_set.number
         self.proven = EpochSet(epoch, replica_set)
-        if is_other and self._has_disk():
+        if has_changed and self._may_write():
             self._disk.enqueue(self.records(), "sets", do_nothing)
         self._refresh()
 
     def accept(self, view: View, replica_set: ReplicaSet) -> None:
-        """A view was accepted that carries that set; `records` are to be written with it."""
+        """Record the set of an accepted view; the caller writes `records` along with the view."""
         self.accepted = EpochSet(view.epoch, replica_set)
         self._refresh()
 
     def records(self) -> Records:
-        """What is to be on disk of all this."""
+        """Return the records that store the present state on disk."""
         return replica_set_records(self.accepted.replica_set, self.proven, self.names, self.zones)
 
-    def remember_zones(self, zones: Mapping[str, str]) -> None:
-        """Keep where the other members run.
+    def store_zones(self, zones: Mapping[str, str]) -> None:
+        """Update the zones of the other members, and write them to disk if they changed.
 
-        One that is gone may then be succeeded in its zone, also after a restart of those who heard
-        it.
+        A departed member can then be succeeded by a learner in its zone, even after a restart of
+        the replicas that heard its zone.
         """
-        if self.note_zones(zones) and self._has_disk():
+        if self.update_zones(zones) and self._may_write():
             self._disk.enqueue(zones_record(self.zones), "zones", do_nothing)
 
-    def note_zones(self, zones: Mapping[str, str]) -> bool:
-        """The same, where `records` are to be written anyway; whether they differ from before."""
-        is_other = zones != self.zones
+    def update_zones(self, zones: Mapping[str, str]) -> bool:
+        """Update the zones without writing them; return whether they changed."""
+        has_changed = zones != self.zones
         self.zones = dict(zones)
-        return is_other
+        return has_changed
 
-    def _has_disk(self) -> bool:
+    def _may_write(self) -> bool:
         return not self._lifecycle.disk_lost and self._lifecycle.membership_synced
--- a/umbermoor/gateway/replication/succession.py
+++ b/umbermoor/gateway/replication/succession.py
@@ -1,8 +1,9 @@
-"""Succession: which learner is to take the place of which member that is gone.
+"""Succession: which learner takes the place of which departed member.
 
-Silence alone takes nobody out, as a partition would then become a loss: a learner that counts by
-the platform's word must stand ready in the member's zone. In which order the platform starts the
-one and ends the other does not matter: docs/replication.md. Times are microseconds.
+Silence alone removes no member, because a network partition would then turn into a loss of members.
+A learner that the platform has marked as a quorum member must also be ready in the departed
+member's zone. The order in which the platform starts the one machine and ends the other does not
+matter: docs/replication.md. Times are in microseconds.
 """
 
 from collections.abc import Callable, Iterator
@@ -10,7 +11,7 @@
 
 from umbermoor.gateway.replication.context import Context
 from umbermoor.gateway.replication.learners import known_zones, ready_learners
-from umbermoor.gateway.replication.timing import SUCCESSION
+from umbermoor.gateway.replication.timing import SUCCESSION_TIMEOUT
 
 
 class Succession(NamedTuple):
@@ -21,9 +22,10 @@
 
 
 def find_successions(context: Context) -> Iterator[Succession]:
-    """At a member of the chain: the successions that are due, as far as it knows the zones.
+    """Yield the successions that are due, at a member of the chain, as far as it knows the zones.
 
-    Not every member knows where one that is gone ran: not a newcomer, nor one that was filled anew.
+    Not every member knows the zone of a departed member: a newcomer does not, nor does a member
+    whose lost disk was filled again.
     """
     for member in _departed_members(context):
         for newcomer in _ready_successors(context, member):
@@ -31,12 +33,12 @@
 
 
 def has_ready_successor(context: Context) -> bool:
-    """Whether a learner stands ready to take this replica's own place."""
+    """Whether a learner is ready to take the place of this replica itself."""
     return context.is_member and any(_ready_successors(context, context.name))
 
 
 def _ready_successors(context: Context, member: str) -> Iterator[str]:
-    """The learners that may take the place of that member, as far as is known here."""
+    """Yield the learners that may take the member's place, as far as is known here."""
     zones = known_zones(context)
     zone = zones.get(member)
     for name in ready_learners(context):
@@ -46,9 +48,9 @@
 
 
 def _departed_members(context: Context) -> list[str]:
-    """The members outside of the chain that left, or that nobody of it has long heard.
+    """Return the members outside the chain that left, or that no chain member has heard for long.
 
-    Those that left come first, then those that have been unheard the longest.
+    Members that left come first, followed by the others, the longest unheard first.
     """
     views, members = context.views, context.sets.current.members
     chain = views.active.chain
@@ -61,7 +63,7 @@
 
 
 def _heard_at(context: Context) -> Callable[[str], int]:
-    """When a member was last heard here, in this incarnation."""
+    """Return a function that tells when a member was last heard here, in this incarnation."""
 
     def heard_at(name: str) -> int:
         peer = context.peers.get(name)
@@ -71,14 +73,14 @@
 
 
 def _has_left(context: Context, name: str) -> bool:
-    """Whether it told that it is about to end, and has not been heard to start again."""
+    """Whether the member announced its end, and has not been heard to start again."""
     peer = context.peers.get(name)
     return peer is not None and peer.heartbeat.leaving
 
 
 def _is_unheard(context: Context, name: str) -> bool:
-    """Whether nobody of the chain has heard it for so long that it may be succeeded."""
-    if context.now - _heard_at(context)(name) < SUCCESSION:
+    """Whether no chain member has heard it for so long that it may be succeeded."""
+    if context.now - _heard_at(context)(name) < SUCCESSION_TIMEOUT:
         return False
     for other in context.views.active.chain:
         peer = context.peers.get(other)
--- a/umbermoor/gateway/replication/view.py
+++ b/umbermoor/gateway/replication/view.py
@@ -1,7 +1,7 @@
-"""Views: who is in the chain, under which epoch.
+"""Views: the members and the order of the chain, under an epoch.
 
-Source: van Renesse and Schneider, Chain Replication (2004); views in place of its master, agreed
-on as in Lamport, Paxos Made Simple (2001).
+Source: van Renesse and Schneider, Chain Replication (2004). Its master is replaced by views that
+are agreed on as in Lamport, Paxos Made Simple (2001).
 """
 
 import random
@@ -10,13 +10,13 @@
 
 from umbermoor.gateway.replication.replica_set import MAX_MEMBERS
 
-EPOCHS_PER_ROUND = 256 * MAX_MEMBERS  # of them, each member may draw 256
+EPOCHS_PER_ROUND = 256 * MAX_MEMBERS  # 256 epochs for each rank
 
-Version = tuple[int, int]  # epoch, and sequence number of the last write within it
+Version = tuple[int, int]  # epoch, and sequence number of the last write in it
 
 
 class View(NamedTuple):
-    """A configuration of the chain; of two views the one of the higher epoch is in force."""
+    """A configuration of the chain; of two views, the one with the higher epoch is in force."""
 
     epoch: int
     chain: tuple[str, ...]  # from head to tail
@@ -26,10 +26,10 @@
 
 
 def epoch_after(epoch: int, rank: int, rng: random.Random) -> int:
-    """An epoch above `epoch` that no member of another rank proposes.
+    """Return an epoch above `epoch` that no member of another rank proposes.
 
-    A part drawn at random makes sure that this member does not propose it again if its disk is
-    lost meanwhile.
+    A random part makes it unlikely that this member proposes the same epoch again after its disk
+    was lost.
 
     >>> rng = random.Random(1)
     >>> epoch_after(0, 2, rng) // EPOCHS_PER_ROUND
@@ -47,9 +47,9 @@
     is_enough: Callable[[Collection[str]], bool],
     in_contact: Callable[[str, str], bool],
 ) -> tuple[str, ...]:
-    """Of the candidates, as many as all hear each other, the first ones preferred.
+    """Choose as many candidates as all hear each other, preferring the first ones.
 
-    All of them, if those are not enough.
+    If those are not enough, all candidates are chosen, including the excluded ones.
 
     >>> two = lambda chosen: len(chosen) >= 2
     >>> choose_chain("abc", "", two, lambda first, second: {first, second} != {"a", "b"})
--- a/umbermoor/gateway/replication/view_activation.py
+++ b/umbermoor/gateway/replication/view_activation.py
@@ -1,4 +1,4 @@
-"""A view is known to be active: all of its chain have accepted it."""
+"""The activation of views: a view is active once all members of its chain have accepted it."""
 
 from collections.abc import Callable
 
@@ -8,23 +8,23 @@
 
 
 class ViewActivation:
-    """Notes the newest active view, its replica set, and what is committed by it."""
+    """Records the newest active view, its replica set, and what it commits."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
         self._listeners: list[Callable[[], None]] = []
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Have it called whenever a newer view is known to be active."""
+        """Call the listener whenever a newer view is known to be active."""
         self._listeners.append(listener)
 
     def activate_accepted(self) -> None:
-        """The view that was accepted here last is active."""
+        """Record that the view accepted last by this replica is active."""
         sets = self._context.sets
         self.activate(self._context.views.accepted, sets.accepted.replica_set)
 
     def activate(self, view: View, replica_set: ReplicaSet) -> None:
-        """That view is active, and carries that set; nothing if a newer one is known."""
+        """Record that the view is active and carries that set, unless a newer one is known."""
         context = self._context
         views, sets = context.views, context.sets
         if view.epoch == views.accepted.epoch:
@@ -34,10 +34,10 @@
         if not set(view.chain) <= set(replica_set.names):
             return
         if view.epoch > sets.proven.epoch:
-            sets.prove(view.epoch, replica_set)
+            sets.record_proven(view.epoch, replica_set)
         views.activate(view)
         if views.joined == view.epoch and context.map.version < (view.epoch, 0):
             context.map.activate(view.epoch)
-            views.restart_silence(context.now)
+            views.restart_silence_timer(context.now)
         for listener in self._listeners:
             listener()
--- a/umbermoor/gateway/replication/view_change.py
+++ b/umbermoor/gateway/replication/view_change.py
@@ -1,10 +1,10 @@
-"""The proposer of views: collects promises, decides on the chain, has all of it accept the view.
+"""The proposer of views: collects promises, chooses the chain, and has the chain accept the view.
 
-A view is agreed on as one decree: a majority of the members that have their disks promise an epoch
-that nobody else proposes, the state of the highest version among them is taken over, and the view
-is active once every member of the new chain has accepted it. Source: Lamport, Paxos Made Simple
-(2001), with the whole chain in place of an accepting majority; van Renesse and Schneider, Chain
-Replication (2004). The argument: docs/replication.md. Times are microseconds.
+A view is agreed on as a single decree. A majority of the members that have their disks promise an
+epoch that no other member proposes, the state of the highest version among them is taken over, and
+the view is active once every member of the new chain has accepted it. Source: Lamport, Paxos Made
+Simple (2001), with the whole chain in place of an accepting majority; van Renesse and Schneider,
+Chain Replication (2004). The argument is in docs/replication.md. Times are in microseconds.
 """
 
 from umbermoor.gateway.replication.acceptor import Acceptor
@@ -16,10 +16,10 @@
 from umbermoor.gateway.replication.replica_set import ReplicaSet
 from umbermoor.gateway.replication.timing import (
     ACCEPT_TIMEOUT,
-    COLLECT_PROMISES,
-    EXCLUSION,
-    GATHER,
+    COLLECT_PROMISES_TIMEOUT,
+    EXCLUSION_TIME,
     NEW_VIEW_RETRY,
+    PROMISE_GATHER_TIME,
     RETRY_INTERVAL,
 )
 from umbermoor.gateway.replication.view import View, choose_chain, epoch_after
@@ -46,16 +46,16 @@
 
     @property
     def attempt(self) -> Attempt | None:
-        """The attempt under way."""
+        """The attempt in progress, if any."""
         return self._proposals.attempt
 
     @property
     def may_begin(self) -> bool:
-        """Whether no attempt is under way, and the pause after the last one is over."""
+        """Whether no attempt is in progress and the pause after the last one is over."""
         return not self.attempt and self._context.now >= self._proposals.not_before
 
-    def consider(self) -> None:
-        """Propose a view, if there is a cause that has held for long enough."""
+    def propose_if_due(self) -> None:
+        """Propose a view if a trigger has held for long enough."""
         context = self._context
         if (
             not context.is_usable
@@ -77,12 +77,12 @@
         changed_set: ReplicaSet | None = None,
         newcomer: str = "",
     ) -> None:
-        """Begin an attempt at a view.
+        """Begin an attempt to agree on a view.
 
         Args:
-            excluded: who is to be left out of the chain, if it can be without.
-            changed_set: the joint set that is to be agreed on with it; None: the set stays.
-            newcomer: who must be in the chain, as it is taken in.
+            excluded: members to leave out of the chain if it is large enough without them.
+            changed_set: the joint set to agree on with the view; None: the set stays as it is.
+            newcomer: a new member, which must be in the chain; "": none.
         """
         context, sets, views = self._context, self._context.sets, self._context.views
         self._triggers.reset()
@@ -111,8 +111,8 @@
         return epoch_after(highest, context.sets.current.rank(context.name), context.rng)
 
     def _exclude(self, excluded: frozenset[str]) -> None:
-        """Leave out those, and all that are about to end."""
-        context, until = self._context, self._context.now + EXCLUSION
+        """Exclude the given members, and all that are about to end."""
+        context, until = self._context, self._context.now + EXCLUSION_TIME
         self._exclusions.expire(context.now)
         for name in excluded:
             self._exclusions.exclude(name, until)
@@ -120,24 +120,24 @@
             if peer.heartbeat.leaving:
                 self._exclusions.exclude(name, until)
 
-    # pursuing it
+    # advancing the attempt
 
-    def pursue(self) -> None:
-        """Take the attempt as far as it goes now."""
+    def advance_attempt(self) -> None:
+        """Advance the attempt as far as possible now."""
         attempt, context = self.attempt, self._context
         if not attempt:
             return
         elapsed = context.now - attempt.began
         if context.name not in attempt.replica_set.names:
-            self._give_up()  # it learnt that it was taken out: what it holds may be old
-        elif context.name not in attempt.promises:  # its own promise is not synced
-            if elapsed >= COLLECT_PROMISES:
+            self._give_up()  # it was removed meanwhile, so its state may be old
+        elif context.name not in attempt.promises:  # its own promise is not synced yet
+            if elapsed >= COLLECT_PROMISES_TIMEOUT:
                 self._give_up()
         elif not attempt.chain:
             self._collect(attempt, elapsed)
         elif attempt.accepted.issuperset(attempt.chain):
             self._finish(attempt)
-        elif elapsed >= COLLECT_PROMISES + ACCEPT_TIMEOUT:
+        elif elapsed >= COLLECT_PROMISES_TIMEOUT + ACCEPT_TIMEOUT:
             self._exclude_silent(attempt)
             self._give_up()
         elif context.now - attempt.sent_at >= NEW_VIEW_RETRY:
@@ -148,9 +148,11 @@
 
     def _collect(self, attempt: Attempt, elapsed: int) -> None:
         context = self._context
-        if elapsed >= COLLECT_PROMISES:
+        if elapsed >= COLLECT_PROMISES_TIMEOUT:
             self._give_up()
-        elif attempt.replica_set.quorum(attempt.counting()) and self._all_in(attempt, elapsed):
+        elif attempt.replica_set.quorum(attempt.counting_members()) and self._has_expected_promises(
+            attempt, elapsed
+        ):
             self._decide(attempt)
         elif context.now - attempt.sent_at >= RETRY_INTERVAL:
             attempt.sent_at = context.now
@@ -159,9 +161,9 @@
                 if name != context.name and name not in attempt.promises:
                     context.outbox.send(name, prepare)
 
-    def _all_in(self, attempt: Attempt, elapsed: int) -> bool:
-        """Whether all have promised that may be expected to, or have been waited for."""
-        if elapsed >= GATHER:
+    def _has_expected_promises(self, attempt: Attempt, elapsed: int) -> bool:
+        """Whether all replicas that can promise have done so, or were waited for long enough."""
+        if elapsed >= PROMISE_GATHER_TIME:
             return True
         if attempt.newcomer and attempt.newcomer not in attempt.promises:
             return False
@@ -177,16 +179,16 @@
         self._heartbeats.send_all(attempt.replica_set.names)
 
     def _exclude_silent(self, attempt: Attempt) -> None:
-        """Those who have not accepted are left out of the next attempts."""
+        """Exclude the chain members that have not accepted from the next attempts."""
         context = self._context
         for name in attempt.chain:
             if name not in attempt.accepted and name != context.name:
-                self._exclusions.exclude(name, context.now + EXCLUSION)
+                self._exclusions.exclude(name, context.now + EXCLUSION_TIME)
 
     # deciding on the chain
 
     def _decide(self, attempt: Attempt) -> None:
-        """Enough have promised: decide on the chain and its state."""
+        """Decide on the chain and its state, after enough members have promised."""
         chosen = self._choose(attempt)
         is_enough = attempt.replica_set.quorum(chosen)
         if not is_enough or (attempt.newcomer and attempt.newcomer not in chosen):
@@ -201,7 +203,10 @@
         self._send_view(attempt, with_state=False)
 
     def _choose(self, attempt: Attempt) -> tuple[str, ...]:
-        """As many as hear each other, with healthy disks; those who stay members first."""
+        """Choose as many members as hear each other and have healthy disks.
+
+        Members that leave with the change are considered only if the others are too few.
+        """
         context, replica_set = self._context, attempt.replica_set
         preferred = (context.name, *context.views.active.chain, *replica_set.names)
         order = [name for name in dict.fromkeys(preferred) if name in attempt.promises]
@@ -223,10 +228,13 @@
         for name, peer in context.peers.heard(context.now).items():
             is_able = peer.heartbeat.disk_healthy and not peer.heartbeat.disk_lost
             if name not in attempt.promises and is_able:
-                self._exclusions.exclude(name, context.now + EXCLUSION)
+                self._exclusions.exclude(name, context.now + EXCLUSION_TIME)
 
     def _send_view(self, attempt: Attempt, with_state: bool) -> None:
-        """Ask those who have not accepted; `with_state`: also who should hold the state."""
+        """Send the view to the chain members that have not accepted it.
+
+        With `with_state`, the state is also sent to members that should hold it already.
+        """
         attempt.sent_at = self._context.now
         for name in attempt.chain:
             if name in attempt.accepted:
@@ -246,12 +254,12 @@
     # replies
 
     def on_refused(self, sender: str, message: Refused) -> None:
-        """Another has promised a higher epoch."""
+        """Handle a refusal by a replica that has promised a higher epoch."""
         if self.attempt and self.attempt.epoch == message.epoch < message.promise:
             self._give_up()
 
     def on_promised(self, sender: str, message: Promised) -> None:
-        """Another has promised the epoch."""
+        """Handle a promise of the attempt's epoch."""
         attempt = self.attempt
         if not attempt or attempt.epoch != message.epoch or attempt.chain:
             return
@@ -262,16 +270,16 @@
         needs_no_state = promise.version <= self._context.accepted_version
         if promise.disk_lost or promise.state is not None or needs_no_state:
             attempt.promises.setdefault(sender, promise)
-            self.pursue()
+            self.advance_attempt()
 
     def _follow_newest_set(self, attempt: Attempt, message: Promised) -> None:
-        """Whose majorities are needed: those of the set of the newest view that any tells of.
+        """Require majorities of the replica set of the newest view that any promise reports.
 
         Every view that may have become active was accepted by a majority of the sets that are
-        asked, so one of those who promise tells of it: docs/replication.md.
+        asked, so at least one of the replicas that promise reports it: docs/replication.md.
         """
         if not message.accepted_set or not message.proven_set:
-            return  # of an earlier revision, in which the set never changes
+            return  # from an earlier revision, in which the set never changes
         epoch, replica_set = message.proven_set.epoch, message.proven_set.replica_set.completed()
         accepted_epoch = message.version[0]
         if accepted_epoch > epoch and not message.disk_lost:
@@ -282,8 +290,8 @@
         attempt.follow_set(epoch, replica_set)
 
     def on_accepted(self, sender: str, message: Accepted) -> None:
-        """Another has the view on its disk."""
+        """Handle the report that another replica has synced the view."""
         attempt = self.attempt
         if attempt and attempt.chain and attempt.epoch == message.epoch:
             attempt.accepted.add(sender)
-            self.pursue()
+            self.advance_attempt()
--- a/umbermoor/gateway/replication/view_triggers.py
+++ b/umbermoor/gateway/replication/view_triggers.py
@@ -1,6 +1,7 @@
-"""Why a view is to be proposed, and how long that must hold before.
+"""The causes for which a view is proposed, and how long a cause must hold before that.
 
-The delays differ by rank and by chance, so that few propose at once. Times are microseconds.
+The delays depend on the rank and on chance, so that few replicas propose at the same time. Times
+are in microseconds.
 """
 
 from enum import Enum, auto
@@ -12,7 +13,7 @@
 from umbermoor.gateway.replication.peers import Exclusions, Peer
 from umbermoor.gateway.replication.timing import (
     CHAIN_MEMBER_TIMEOUT,
-    NO_CHAIN_HEARD,
+    NO_CHAIN_TIMEOUT,
     SERVING_CONTACT_TIMEOUT,
     STARTUP_GRACE,
     STEADY_TIME,
@@ -23,33 +24,33 @@
 
 
 class Cause(Enum):
-    """Why a view is to be proposed."""
+    """The cause for proposing a view."""
 
     NONE = auto()
-    RESTARTED = auto()  # this replica is in the active chain, and was started since
-    FENCED = auto()  # it has promised a later epoch of which nothing came
+    RESTARTED = auto()  # this replica is in the active chain, but restarted since
+    FENCED = auto()  # it promised a later epoch, for which no view arrived
     UNSERVED = auto()  # the view that it accepted has not become active
-    STARTED = auto()  # it was started, and no chain is heard to serve
-    REMOVED = auto()  # one is in the chain that is no member any more
-    LEAVING = auto()  # one of the chain is about to end, in order
-    SILENT = auto()  # one of the chain is not heard
-    STALLED = auto()  # the successor acknowledges nothing
-    ENTRY = auto()  # one outside may be taken into the chain
+    STARTED = auto()  # it was started, and hears no serving chain
+    REMOVED = auto()  # a replica in the chain is no longer a member
+    LEAVING = auto()  # a chain member is about to end gracefully
+    SILENT = auto()  # a chain member is not heard
+    STALLED = auto()  # the successor does not acknowledge writes
+    ENTRY = auto()  # a replica outside may enter the chain
 
 
 class Trigger(NamedTuple):
     """A cause, and what follows from it."""
 
     cause: Cause
-    delay: int = 0  # how long it must hold, in microseconds
-    excluded: frozenset[str] = frozenset()  # who is to be left out of the chain
+    delay: int = 0  # how long the cause must hold; us
+    excluded: frozenset[str] = frozenset()  # replicas to leave out of the chain
 
 
 NO_TRIGGER = Trigger(Cause.NONE)
 
 
 class ViewTriggers:
-    """Watches whether the chain is as it should be."""
+    """Watches whether the chain needs another view."""
 
     def __init__(self, context: Context, chain: Chain, exclusions: Exclusions) -> None:
         self._context, self._chain, self._exclusions = context, chain, exclusions
@@ -57,15 +58,15 @@
         self._due_at = 0
 
     def reset(self) -> None:
-        """A view is being proposed or was accepted: causes count from now on."""
+        """Restart the delay of any cause, as a view is being proposed or was accepted."""
         self._cause = Cause.NONE
 
     def check(self) -> Trigger | None:
-        """What a view is to be proposed for now; None: nothing."""
+        """Return the trigger for which to propose a view now, or None."""
         if not self._may_propose():
             return None
         now = self._context.now
-        trigger = self._find()
+        trigger = self._find_trigger()
         due_at = now + trigger.delay
         is_same = trigger.cause is self._cause
         self._due_at = min(self._due_at, due_at) if is_same else due_at
@@ -81,9 +82,10 @@
         )
 
     def _may_propose(self) -> bool:
-        """Whether its disk is healthy.
+        """Whether the disk of this replica allows it to propose.
 
-        Or it is slow only, and so are too many for the others to go on without it.
+        The disk must be healthy. A disk that works but is slow will do if so many disks are
+        unhealthy that the others have no quorum without this replica.
         """
         context = self._context
         if context.disk.healthy(context.now):
@@ -95,19 +97,21 @@
         ]
         return context.disk.works(context.now) and not context.sets.current.quorum(healthy)
 
-    def _find(self) -> Trigger:
+    def _find_trigger(self) -> Trigger:
         context = self._context
         rank = context.sets.names.index(context.name)
         stagger = rank * 50 * MILLISECOND + context.rng.randrange(50 * MILLISECOND)
         if not context.views.serving:
-            return self._find_outside(stagger)
-        return self._find_in_chain(rank)
+            return self._find_trigger_outside_chain(stagger)
+        return self._find_trigger_in_chain(rank)
 
-    def _find_outside(self, stagger: int) -> Trigger:
-        """This replica is not in a chain that serves."""
+    def _find_trigger_outside_chain(self, stagger: int) -> Trigger:
+        """Find a trigger at a replica that is not in a serving chain."""
         context, views = self._context, self._context.views
         is_in_active_chain = context.name in views.active.chain
-        if views.active.epoch > views.joined and context.hears_serving(SERVING_CONTACT_TIMEOUT):
+        if views.active.epoch > views.joined and context.hears_serving_chain(
+            SERVING_CONTACT_TIMEOUT
+        ):
             return Trigger(Cause.RESTARTED, stagger) if is_in_active_chain else NO_TRIGGER
         if views.joined and views.promise > max(views.joined, views.active.epoch):
             return Trigger(Cause.FENCED, stagger)
@@ -115,22 +119,22 @@
             return Trigger(Cause.UNSERVED, UNSERVED_DELAY + stagger)
         if is_in_active_chain or self._all_in_contact():
             return Trigger(Cause.STARTED, stagger)
-        patience = NO_CHAIN_HEARD if views.active.epoch else STARTUP_GRACE
-        return Trigger(Cause.STARTED, patience + stagger)
+        delay = NO_CHAIN_TIMEOUT if views.active.epoch else STARTUP_GRACE
+        return Trigger(Cause.STARTED, delay + stagger)
 
     def _all_in_contact(self) -> bool:
         context = self._context
         names = context.sets.names
         return all(context.in_contact(first, second) for first in names for second in names)
 
-    def _find_in_chain(self, rank: int) -> Trigger:
-        """This replica is in the chain that serves."""
+    def _find_trigger_in_chain(self, rank: int) -> Trigger:
+        """Find a trigger at a replica that is in the serving chain."""
         context, rng = self._context, self._context.rng
         members = context.sets.current.names
         for name in context.views.accepted.chain:
             if name not in members:
                 return Trigger(Cause.REMOVED, rank * 50 * MILLISECOND)
-            trigger = self._find_about(name, rank)
+            trigger = self._find_trigger_for_member(name, rank)
             if trigger is not NO_TRIGGER:
                 return trigger
         if self._chain.is_stalled and context.disk.healthy(context.now):
@@ -142,13 +146,13 @@
             return Trigger(Cause.ENTRY, delay)
         return NO_TRIGGER
 
-    def _find_about(self, name: str, rank: int) -> Trigger:
-        """Whether the chain is to go on without that member."""
+    def _find_trigger_for_member(self, name: str, rank: int) -> Trigger:
+        """Find a trigger for continuing the chain without that member."""
         context = self._context
         if name == context.name:
             return NO_TRIGGER
         peer = context.peers.get(name)
-        if peer and peer.heartbeat.leaving and self._can_do_without(name):
+        if peer and peer.heartbeat.leaving and self._can_serve_without(name):
             return Trigger(Cause.LEAVING, rank * 20 * MILLISECOND, frozenset((name,)))
         if self._is_silent(peer) and self._is_dispensable(name):
             delay = rank * 80 * MILLISECOND + context.rng.randrange(100 * MILLISECOND)
@@ -156,13 +160,13 @@
         return NO_TRIGGER
 
     def _is_silent(self, peer: Peer | None) -> bool:
-        """Whether it was not heard in the view, with a healthy disk, for too long."""
+        """Whether the peer was not heard in the joined view, with a healthy disk, for too long."""
         views = self._context.views
         heard_at = peer.joined_at if peer and peer.joined == views.joined else 0
         return self._context.now - max(views.serving_since, heard_at) > CHAIN_MEMBER_TIMEOUT
 
     def _is_dispensable(self, name: str) -> bool:
-        """Whether it is not heard, or enough others have healthy disks."""
+        """Whether the member is not heard, or enough others have healthy disks."""
         context = self._context
         heard = context.peers.heard(context.now)
         healthy = [
@@ -172,8 +176,8 @@
             healthy.append(context.name)
         return name not in heard or context.sets.current.quorum(healthy)
 
-    def _can_do_without(self, leaver: str) -> bool:
-        """Whether the rest of the chain, as far as it is heard, is a majority."""
+    def _can_serve_without(self, leaver: str) -> bool:
+        """Whether those of the remaining chain that are heard form a quorum."""
         context = self._context
         heard = context.peers.heard(context.now)
         return context.sets.current.quorum(
@@ -185,7 +189,7 @@
         )
 
     def _may_enter(self, name: str, peer: Peer) -> bool:
-        """Whether that one, outside, may be taken into the chain."""
+        """Whether that replica, which is outside the chain, may be taken into it."""
         context, heartbeat = self._context, peer.heartbeat
         chain = context.views.accepted.chain
         if name in chain or not heartbeat.disk_healthy or heartbeat.leaving or not peer.can_join:
@@ -193,6 +197,6 @@
         steady = STEADY_TIME_WHILE_DEGRADED if is_degraded(context) else STEADY_TIME
         if context.now - peer.steady_since < steady:
             return False
-        if self._exclusions.holds(name, context.now):
+        if self._exclusions.is_excluded(name, context.now):
             return False
         return all(context.in_contact(name, member) for member in chain)
