--- a/umbermoor/gateway/replication/reconfiguration.py
+++ b/umbermoor/gateway/replication/reconfiguration.py
@@ -176,8 +176,9 @@
     def _begin_succession(self) -> None:
         """Begin the first succession that is due and would not be refused.
 
-        The head begins it at once. Each member further down the chain waits longer, so it begins
-        one only if those before it did not.
+        The head begins it at once. Each member further down the chain waits longer. If a succession
+        is then still due there, that member knows more than those before it, such as the departed
+        member's zone.
         """
         context = self._context
         due = self._find_due_succession()
