--- a/umbermoor/gateway/replication/disk_care.py
+++ b/umbermoor/gateway/replication/disk_care.py
@@ -13,7 +13,7 @@
     Does so only while this replica serves no view, so that no caller waits for the write.
     """
     lifecycle = context.lifecycle
-    if context.views.serving or lifecycle.disk_lost or not lifecycle.settled:
+    if context.views.serving or lifecycle.disk_lost or not lifecycle.membership_synced:
         return
     if context.disk.begin_probe(context.now):
         context.disk.enqueue(_records(context, context.map.values), "probe", do_nothing)
--- a/umbermoor/gateway/replication/head.py
+++ b/umbermoor/gateway/replication/head.py
@@ -51,7 +51,7 @@
         again, while too many writes are under way or the view does not serve.
         """
         views = self._context.views
-        if not message.epoch or message.epoch != views.joined or views.place != 0:
+        if not message.epoch or message.epoch != views.joined or views.chain_index != 0:
             return
         call = CallId(sender, message.incarnation, message.number)
         earlier = self._decided.find(message.incarnation, message.number)
--- a/umbermoor/gateway/replication/reads.py
+++ b/umbermoor/gateway/replication/reads.py
@@ -16,7 +16,7 @@
 )
 from umbermoor.gateway.replication.put_replies import send_decision
 from umbermoor.gateway.replication.quorum_rounds import Question, QuorumRounds
-from umbermoor.gateway.replication.timing import READ_WAIT, RETRY_INTERVAL
+from umbermoor.gateway.replication.timing import READ_WAIT_TIMEOUT, RETRY_INTERVAL
 from umbermoor.gateway.replication.view import Version
 
 MAX_WAITING = 256  # calls that may wait for a quorum round
@@ -44,7 +44,7 @@
 
     def add(self, call: CallId, question: Question) -> None:
         """Answer the call once a quorum round that begins after this moment has ended."""
-        self._rounds.add(call, self._context.now + READ_WAIT, question)
+        self._rounds.add(call, self._context.now + READ_WAIT_TIMEOUT, question)
 
     def on_read(self, sender: str, message: ReadRequest) -> None:
         """Handle a read; ignored unless this replica is the serving tail."""
@@ -79,7 +79,7 @@
     def on_confirm(self, sender: str, message: Confirm) -> None:
         """Confirm to a head or tail that no later epoch was promised here, if that is so."""
         context = self._context
-        if context.counts and context.views.promise <= message.epoch:
+        if context.may_vote and context.views.promise <= message.epoch:
             context.outbox.send(sender, Confirmed(message.epoch, message.nonce))
 
     def on_confirmed(self, sender: str, message: Confirmed) -> None:
@@ -96,7 +96,7 @@
         """
         if not self._context.views.serving:
             return
-        for call, question in self._rounds.end(self._is_quorum):
+        for call, question in self._rounds.complete(self._is_quorum):
             if isinstance(question, Decision):
                 send_decision(self._context, call, question)
             else:
--- a/umbermoor/gateway/replication/state_transfer.py
+++ b/umbermoor/gateway/replication/state_transfer.py
@@ -57,7 +57,7 @@
         context = self._context
         if not context.lifecycle.disk_lost or not context.sets.names:
             return False
-        return context.sets.current.blocks(self._promises)
+        return context.sets.current.intersects_all_majorities(self._promises)
 
     @property
     def promise_floor(self) -> int:
@@ -89,7 +89,7 @@
 
     def on_promise_query(self, sender: str, message: PromiseQuery) -> None:
         """Answer a replica whose disk was lost, if this replica itself counts in a majority."""
-        if self._context.counts:
+        if self._context.may_vote:
             reply = PromiseQueryReply(message.nonce, self._context.views.promise)
             self._context.outbox.send(sender, reply)
 
