--- a/umbermoor/front/lifecycle/admin_calls.py
+++ b/umbermoor/front/lifecycle/admin_calls.py
@@ -17,14 +17,14 @@
 
 from umbermoor.http1.reader import Request
 
-TOKEN_LEAST = 16  # characters
+MIN_TOKEN_LENGTH = 16  # characters
 DEADLINE_MOST = 3600.0
 
 
-class Said(NamedTuple):
+class AdminResponse(NamedTuple):
     status: int
     body: bytes
-    kind: str = "application/json"
+    content_type: str = "application/json"
 
 
 class AdminCalls:
@@ -33,7 +33,7 @@
     def __init__(self, front: Mapping[str, Callable[..., Any]], token: str = "") -> None:
         self._front, self._token = front, token
 
-    def answer(self, request: Request) -> Said:
+    def answer(self, request: Request) -> AdminResponse:
         if self._token and not self._allowed(request.headers.get("authorization", "")):
             return _said(401, {"error": "a token is needed: Authorization: Bearer TOKEN"})
         path = request.target.partition("?")[0]
@@ -51,10 +51,10 @@
         if request.method != known[path]:
             return _said(405, {"error": f"{path} is asked with {known[path]}"})
         if path == "/metrics":
-            return Said(200, self._front["metrics"](), "text/plain; version=0.0.4")
+            return AdminResponse(200, self._front["metrics"](), "text/plain; version=0.0.4")
         if path == "/drain":
             within = self._deadline(request.body)
-            if isinstance(within, Said):
+            if isinstance(within, AdminResponse):
                 return within
             return _said(200, {"answer": self._front["drain"](within)})
         if path == "/resume":
@@ -67,7 +67,7 @@
             given.encode("utf-8", "replace"), f"Bearer {self._token}".encode()
         )
 
-    def _deadline(self, body: bytes) -> int | None | Said:
+    def _deadline(self, body: bytes) -> int | None | AdminResponse:
         if not body:
             return None
         try:
@@ -88,8 +88,8 @@
         return round(within * 1e6)
 
 
-def _said(status: int, given: Any) -> Said:
-    return Said(status, orjson.dumps(given) + b"\n")
+def _said(status: int, given: Any) -> AdminResponse:
+    return AdminResponse(status, orjson.dumps(given) + b"\n")
 
 
 def metrics_text(rows: list[tuple[str, str, str, dict[str, str], float]]) -> bytes:
--- a/umbermoor/front/server/admin_endpoint.py
+++ b/umbermoor/front/server/admin_endpoint.py
@@ -7,7 +7,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from umbermoor.front.lifecycle.admin_calls import TOKEN_LEAST, AdminCalls, Said
+from umbermoor.front.lifecycle.admin_calls import MIN_TOKEN_LENGTH, AdminCalls, AdminResponse
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import write_response
@@ -47,7 +47,9 @@
                 return
             said = self._door.answer(read)
             self.transport.write(
-                write_response(said.status, said.body, read.keep_alive, {"Content-Type": said.kind})
+                write_response(
+                    said.status, said.body, read.keep_alive, {"Content-Type": said.content_type}
+                )
             )
             if not read.keep_alive:
                 self.transport.loseConnection()
@@ -77,7 +79,7 @@
             return self._ways.answer(request)
         except Exception:  # it stops here: the front goes on
             log.exception("fault at the door")
-            return Said(500, b"{}\n")
+            return AdminResponse(500, b"{}\n")
 
     def listen(self, where: str) -> str:
         """Where it listens. Raises Closed."""
@@ -111,6 +113,6 @@
         raise Closed(f"token {path}: {error.strerror}") from None
     if mode & 0o077:
         raise Closed(f"token {path}: others may read it; expected mode 600")
-    if len(token) < TOKEN_LEAST:
-        raise Closed(f"token {path}: expected at least {TOKEN_LEAST} characters")
+    if len(token) < MIN_TOKEN_LENGTH:
+        raise Closed(f"token {path}: expected at least {MIN_TOKEN_LENGTH} characters")
     return token
