--- a/umbermoor/front/lifecycle/drain_keeper.py
+++ b/umbermoor/front/lifecycle/drain_keeper.py
@@ -22,7 +22,7 @@
 )  # so long with nothing in hand, and it is drained: a query that crosses is still read
 
 
-class Due(Enum):
+class DrainAction(Enum):
     CLOSE_IDLE = "tell idle clients to go"
     GIVE_UP = "answer at once all that is in hand"
     FORGET = "evidence is too old to vote on"
@@ -43,7 +43,7 @@
         self.deadline: int | None = None
         self._back_at = 0  # when it came back
         self._empty_since: int | None = None
-        self._dues: list[Due] = []
+        self._dues: list[DrainAction] = []
         self.history: list[Entry] = [Entry(now, self.state, "start")]
 
     # Commands.
@@ -63,7 +63,7 @@
         self._move(now, Event.DRAIN, "asked to drain")
         if not again:
             self._empty_since = None
-            self._dues.append(Due.CLOSE_IDLE)
+            self._dues.append(DrainAction.CLOSE_IDLE)
         return "the deadline is moved" if again else "draining"
 
     def resume(self, now: int) -> str:
@@ -73,10 +73,10 @@
             )
         drained = self.state is State.DRAINED
         self._back_at, self.deadline = now, None
-        self._dues = [one for one in self._dues if one is not Due.CLOSE_IDLE]
+        self._dues = [one for one in self._dues if one is not DrainAction.CLOSE_IDLE]
         self._move(now, Event.RESUME, "asked to resume")
         if drained:
-            self._dues.append(Due.FORGET)
+            self._dues.append(DrainAction.FORGET)
         return "resuming"
 
     def leave(self, now: int) -> None:
@@ -90,9 +90,9 @@
         was done for it."""
         if self.state is State.DRAINED:
             return False
-        return self.state is not State.RESUMING or in_hand < self.most(now)
+        return self.state is not State.RESUMING or in_hand < self.max_in_hand(now)
 
-    def most(self, now: int) -> int:
+    def max_in_hand(self, now: int) -> int:
         """Queries at once that it takes: few at first, and then more in step with the time since
         its return."""
         if self.state is not State.RESUMING:
@@ -124,7 +124,7 @@
             times.append(self._back_at + RAMP)
         return min((one for one in times if one is not None), default=None)
 
-    def tick(self, now: int, in_hand: int) -> list[Due]:
+    def tick(self, now: int, in_hand: int) -> list[DrainAction]:
         """What is to be done now. At the deadline it is drained only once all has been answered:
         the host does so at once, and the next tick finds nothing in hand."""
         if self.state is State.DRAINING:
@@ -134,7 +134,7 @@
                 self._empty_since = now
             if self.deadline is not None and now >= self.deadline:
                 if in_hand:
-                    self._dues.append(Due.GIVE_UP)
+                    self._dues.append(DrainAction.GIVE_UP)
                 else:
                     self._move(now, Event.DEADLINE, "the deadline has come")
             elif self._empty_since is not None and now >= self._empty_since + EMPTY_FOR:
--- a/umbermoor/front/server/operations.py
+++ b/umbermoor/front/server/operations.py
@@ -11,7 +11,7 @@
 from umbermoor.front.facade import Asked
 from umbermoor.front.interface import Ending, Entry
 from umbermoor.front.lifecycle.admin_calls import AdminCalls, metrics_text
-from umbermoor.front.lifecycle.drain_keeper import SECOND, DrainKeeper, Due
+from umbermoor.front.lifecycle.drain_keeper import SECOND, DrainAction, DrainKeeper
 from umbermoor.front.lifecycle.scheduler import Scheduler, Task
 from umbermoor.front.lifecycle.snapshot import (
     MachineMemory,
@@ -150,7 +150,7 @@
             "clients": len(self._clients.open),
             "machines": len(self._listed),
             "stage": str(self._exchange.stage),
-            "takes_at_once": keeper.most(now),
+            "takes_at_once": keeper.max_in_hand(now),
             "profiles": {
                 name: {
                     "in_hand": len(ages.get(at, ())),
@@ -256,12 +256,12 @@
         """What the keeper wants done; again when it says."""
         now = self._clock()
         for due in self.keeper.tick(now, len(self._exchange.held)):
-            if due is Due.CLOSE_IDLE:
+            if due is DrainAction.CLOSE_IDLE:
                 self._clients.close_idle()
-            elif due is Due.GIVE_UP:
+            elif due is DrainAction.GIVE_UP:
                 note(log, "deadline", given_up=len(self._exchange.held))
                 self._exchange.give_up_all()
-            elif due is Due.FORGET:
+            elif due is DrainAction.FORGET:
                 self._exchange.forget()
         at = self.keeper.next_at(now)
         if self._timer is not None and self._timer.active():
