--- a/umbermoor/front/lifecycle/snapshot.py
+++ b/umbermoor/front/lifecycle/snapshot.py
@@ -17,7 +17,7 @@
 SPEEDS_FOR = 120_000_000  # and after which machines may have become others
 
 
-class MachineMemory(NamedTuple):
+class MachineSnapshot(NamedTuple):
     """Of one machine: answer times, work ahead of them, usual silence, failures."""
 
     machine: str
@@ -29,7 +29,7 @@
     fails: float
 
 
-class Memory(NamedTuple):
+class Snapshot(NamedTuple):
     at: int  # microseconds since 1970
     name: str  # of the front
     fleet: str  # what the settings say, as a sum: of another fleet nothing is taken
@@ -37,10 +37,10 @@
     work: float
     carried: float
     usual: tuple[float, ...]
-    machines: tuple[MachineMemory, ...]
+    machines: tuple[MachineSnapshot, ...]
 
 
-def pack(memory: Memory) -> bytes:
+def pack(memory: Snapshot) -> bytes:
     return sealed(
         MAGIC,
         VERSION,
@@ -48,15 +48,15 @@
     )
 
 
-def unpack(data: bytes) -> Memory | UnusableFile:
+def unpack(data: bytes) -> Snapshot | UnusableFile:
     opened = unsealed(MAGIC, (VERSION,), data)
     if isinstance(opened, UnusableFile):
         return opened
     body = opened[1]
     try:
         given: dict[str, Any] = orjson.loads(body)
-        machines = tuple(MachineMemory(*one) for one in given.pop("machines"))
-        memory = Memory(**given, machines=machines)
+        machines = tuple(MachineSnapshot(*one) for one in given.pop("machines"))
+        memory = Snapshot(**given, machines=machines)
         return memory._replace(
             usual=tuple(map(float, memory.usual)), at=int(memory.at), name=str(memory.name)
         )
@@ -64,7 +64,7 @@
         return UnusableFile(f"cannot be read: {type(error).__name__}")
 
 
-def fit(memory: Memory, now: int, name: str, fleet: str) -> UnusableFile | None:
+def find_mismatch(memory: Snapshot, now: int, name: str, fleet: str) -> UnusableFile | None:
     """Whether it may be used; what is wrong with it."""
     if memory.name != name:
         return UnusableFile(f"is of front {memory.name!r}")
@@ -77,7 +77,9 @@
     return None
 
 
-def usable(memory: Memory, now: int, listed: dict[str, tuple[int, int]]) -> list[MachineMemory]:
+def usable_machines(
+    memory: Snapshot, now: int, listed: dict[str, tuple[int, int]]
+) -> list[MachineSnapshot]:
     """Of the machines, those that are listed now with the same build and start, if it is not too
     old for that."""
     if now - memory.at > SPEEDS_FOR:
@@ -85,12 +87,12 @@
     return [one for one in memory.machines if listed.get(one.machine) == (one.build, one.born)]
 
 
-def write(path: str, memory: Memory) -> int:
+def write(path: str, memory: Snapshot) -> int:
     """Replaces the file whole. Raises OSError."""
     return replace_file(path, pack(memory))
 
 
-def load(path: str) -> Memory | UnusableFile | None:
+def load(path: str) -> Snapshot | UnusableFile | None:
     """None where there is none."""
     data = read_file(path, MOST)
     return unpack(data) if isinstance(data, bytes) else data
--- a/umbermoor/front/server/operations.py
+++ b/umbermoor/front/server/operations.py
@@ -14,12 +14,12 @@
 from umbermoor.front.lifecycle.drain_keeper import SECOND, DrainAction, DrainKeeper
 from umbermoor.front.lifecycle.scheduler import Scheduler, Task
 from umbermoor.front.lifecycle.snapshot import (
-    MachineMemory,
-    Memory,
+    MachineSnapshot,
+    Snapshot,
     UnusableFile,
-    fit,
+    find_mismatch,
     load,
-    usable,
+    usable_machines,
     write,
 )
 from umbermoor.front.own_settings import OwnSettings
@@ -290,10 +290,10 @@
         took, work, carried, usual, rows = self._exchange.remember()
         machines = []
         for at, row in enumerate(rows):
-            machines.append(MachineMemory(*row))
+            machines.append(MachineSnapshot(*row))
             if at % 200 == 199:
                 yield 0
-        memory = Memory(
+        memory = Snapshot(
             time.time_ns() // 1000,
             self._station.name,
             self._fleet(),
@@ -316,11 +316,11 @@
         wrong = (
             memory
             if isinstance(memory, UnusableFile)
-            else fit(memory, now, self._station.name, self._fleet())
+            else find_mismatch(memory, now, self._station.name, self._fleet())
         )
         if wrong is not None:
             note(log, "snapshot not used", logging.WARNING, path=path, why=wrong.why)
             return
-        machines = usable(memory, now, self._listed)
+        machines = usable_machines(memory, now, self._listed)
         self._exchange.recall(memory, machines)
         note(log, "snapshot used", age_s=round((now - memory.at) / 1e6, 1), machines=len(machines))
