--- a/umbermoor/front/capture/command.py
+++ b/umbermoor/front/capture/command.py
@@ -18,7 +18,7 @@
 import orjson
 from docopt import docopt
 
-from umbermoor.front.capture.files import Capture, Unreadable, read_capture, told
+from umbermoor.front.capture.files import Capture, Unreadable, describe_damage, read_capture
 
 
 def main(words: list[str]) -> int:
@@ -40,7 +40,7 @@
                 + f"; p50 {row['p50_ms']} ms, p99 {row['p99_ms']} ms"
             )
     for damage in capture.damage:
-        print(f"umbermoor: {told(damage, len(capture.rows))}", file=sys.stderr)
+        print(f"umbermoor: {describe_damage(damage, len(capture.rows))}", file=sys.stderr)
     return 1 if capture.damage else 0
 
 
--- a/umbermoor/front/capture/files.py
+++ b/umbermoor/front/capture/files.py
@@ -115,6 +115,6 @@
     return Capture(header, rows, damage)
 
 
-def told(damage: tuple[str, Damage], rows: int) -> str:
+def describe_damage(damage: tuple[str, Damage], rows: int) -> str:
     path, what = damage
     return f"{path}: byte {what.at}: {what.what}; what stands before it was read, {rows} queries in all"
--- a/umbermoor/planner/command.py
+++ b/umbermoor/planner/command.py
@@ -36,7 +36,7 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from umbermoor.front.capture.files import Unreadable, read_capture, told
+from umbermoor.front.capture.files import Unreadable, describe_damage, read_capture
 from umbermoor.lab.day import micros
 from umbermoor.planner.fit import Demand, fit
 from umbermoor.planner.plan import Planner, situations
@@ -105,7 +105,7 @@
 def _demand(given: dict[str, Any], fleet: Fleet) -> tuple[Demand, list[tuple[int, int]]]:
     capture = read_capture(given["CAPTURE"])
     for damage in capture.damage:
-        print(f"umbermoor: {told(damage, len(capture.rows))}", file=sys.stderr)
+        print(f"umbermoor: {describe_damage(damage, len(capture.rows))}", file=sys.stderr)
     names = [one["name"] for one in capture.header.profiles]
     if strange := next((one.name for one in fleet.profile if one.name not in names), None):
         raise Refused(
