--- a/umbermoor/front/capture/frames.py
+++ b/umbermoor/front/capture/frames.py
@@ -35,7 +35,7 @@
 ENDINGS = ("open", "done", "denied", "abandoned", "left", "failed")
 
 
-class Seen(NamedTuple):
+class SeenMachine(NamedTuple):
     """A machine as a frame names it."""
 
     name: str
@@ -54,7 +54,7 @@
     hand_offs: int
     took: int  # until its final answer
     patience: int  # what its client had left when it came
-    machine: Seen | None  # of the last hand-off
+    machine: SeenMachine | None  # of the last hand-off
     ahead: int  # other hand-offs of this front that were out at that machine then
     sent: int  # when the last hand-off was decided
     served: int  # what that hand-off took; 0: it was not done
@@ -97,7 +97,7 @@
     """Rows of less than an hour, of at most 65,535 machines."""
     rows = list(rows)
     base = min(row.came for row in rows)
-    places: dict[Seen, int] = {}
+    places: dict[SeenMachine, int] = {}
     packed = []
     for row in rows:
         place = NO_MACHINE if row.machine is None else places.setdefault(row.machine, len(places))
@@ -181,7 +181,7 @@
     for _ in range(machines):
         size = body[at]
         name = body[at + 1 : at + 1 + size].decode()
-        seen.append(Seen(name, *_MACHINE.unpack_from(body, at + 1 + size)))
+        seen.append(SeenMachine(name, *_MACHINE.unpack_from(body, at + 1 + size)))
         at += 1 + size + _MACHINE.size
     if len(body) - at != count * _ROW.size:
         raise ValueError(f"{len(body) - at} bytes for {count} rows")
--- a/umbermoor/front/capture/recorder.py
+++ b/umbermoor/front/capture/recorder.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from umbermoor.front.capture.frames import Header, Row, Seen, header_frame, rows_frame
+from umbermoor.front.capture.frames import Header, Row, SeenMachine, header_frame, rows_frame
 from umbermoor.front.interface import Ending, Entry
 
 ROWS_MOST = 512  # of a frame
@@ -25,7 +25,7 @@
     hint: int | None
     due: int
     hand_offs: int = 0
-    machine: Seen | None = None
+    machine: SeenMachine | None = None
     ahead: int = 0
     sent: int = 0
     served: int = 0
@@ -39,7 +39,7 @@
         self._held: dict[str, _Held] = {}
         self._rows: list[Row] = []
         self._since = 0  # of the rows that wait
-        self._machines: dict[str, Seen] = {}
+        self._machines: dict[str, SeenMachine] = {}
         self._open: Counter[str] = Counter()  # hand-offs that are out, by machine
         self.left_out = 0
 
@@ -52,7 +52,7 @@
             self._machines.clear()
         for entry in entries:
             if entry.readiness:
-                self._machines[entry.machine] = Seen(entry.machine, entry.build, entry.born)
+                self._machines[entry.machine] = SeenMachine(entry.machine, entry.build, entry.born)
             else:
                 self._machines.pop(entry.machine, None)
 
