--- a/umbermoor/front/membership/conclusion.py
+++ b/umbermoor/front/membership/conclusion.py
@@ -14,7 +14,7 @@
 from typing import Literal, NamedTuple
 
 from umbermoor.front.interface import Entry, Listing, Readiness
-from umbermoor.front.membership.sources import Book, Seen
+from umbermoor.front.membership.sources import Book, SeenMachine
 
 Rule = Literal["first", "any", "all", "quorum", "split"]
 
@@ -22,7 +22,7 @@
 class Member(NamedTuple):
     """A machine as it was concluded."""
 
-    seen: Seen
+    seen: SeenMachine
     by: tuple[str, ...]  # the sources that name it
     why: str
 
@@ -55,10 +55,10 @@
         self.last = Conclusion(dict(sorted(members.items())), False)
         return self.last
 
-    def _by_address(self, present: dict[str, Seen]) -> dict[tuple[str, int], Seen]:
+    def _by_address(self, present: dict[str, SeenMachine]) -> dict[tuple[str, int], SeenMachine]:
         """One address is one machine, whatever names a source gives it: the first by name
         stands."""
-        found: dict[tuple[str, int], Seen] = {}
+        found: dict[tuple[str, int], SeenMachine] = {}
         for name in sorted(present):
             found.setdefault(present[name].address, present[name])
         return found
@@ -98,7 +98,9 @@
                 )
         return found
 
-    def _facts(self, address: tuple[str, int], by: tuple[str, ...], said: dict[str, dict]) -> Seen:
+    def _facts(
+        self, address: tuple[str, int], by: tuple[str, ...], said: dict[str, dict]
+    ) -> SeenMachine:
         """Each fact from the first source that knows it; the name from the first that is not just
         an address."""
         order = [name for name in (self.facts, *by) if name and address in said.get(name, {})]
--- a/umbermoor/front/membership/saved_list.py
+++ b/umbermoor/front/membership/saved_list.py
@@ -5,7 +5,7 @@
 import orjson
 
 from umbermoor.front.interface import Readiness
-from umbermoor.front.membership.sources import Seen
+from umbermoor.front.membership.sources import SeenMachine
 from umbermoor.front.sealed_files import UnusableFile, read_file, replace_file, sealed, unsealed
 
 MAGIC, VERSION = b"UMLIST", 1
@@ -13,7 +13,7 @@
 
 class Lasting(NamedTuple):
     at: int  # microseconds since 1970
-    seen: tuple[Seen, ...]
+    seen: tuple[SeenMachine, ...]
 
 
 def pack(lasting: Lasting) -> bytes:
@@ -40,7 +40,7 @@
     try:
         given = orjson.loads(opened[1])
         seen = tuple(
-            Seen(str(name), (str(host), int(port)), Readiness(ready), *facts)
+            SeenMachine(str(name), (str(host), int(port)), Readiness(ready), *facts)
             for name, host, port, ready, *facts in given["rows"]
         )
         return Lasting(int(given["at"]), seen)
--- a/umbermoor/front/membership/sources.py
+++ b/umbermoor/front/membership/sources.py
@@ -27,7 +27,7 @@
 EVENTS_MOST = 512  # kept for who asks why
 
 
-class Seen(NamedTuple):
+class SeenMachine(NamedTuple):
     """A machine as a source names it. What it does not know is None."""
 
     name: str
@@ -61,7 +61,7 @@
     name: str
     authoritative: bool
     keep: int  # how old its last good set may be; 0: for ever
-    known: dict[str, Seen] = field(default_factory=dict)
+    known: dict[str, SeenMachine] = field(default_factory=dict)
     good_at: int = 0  # 0: it never spoke
     failing_since: int = 0
     why: str = ""
@@ -88,7 +88,7 @@
 
     # What sources say.
 
-    def whole(self, now: int, name: str, entries: Iterable[Seen], version: int = 0) -> bool:
+    def whole(self, now: int, name: str, entries: Iterable[SeenMachine], version: int = 0) -> bool:
         """All that a source knows. False: it was not believed, as its version goes back."""
         source = self.sources[name]
         if version and source.version and version < source.version:
@@ -122,7 +122,9 @@
         self._good(now, source, version)
         return True
 
-    def changes(self, now: int, name: str, entries: Iterable[Seen], version: int = 0) -> None:
+    def changes(
+        self, now: int, name: str, entries: Iterable[SeenMachine], version: int = 0
+    ) -> None:
         """Single machines; GONE is a goodbye, which is obeyed at once whoever says it."""
         source = self.sources[name]
         for one in entries:
@@ -161,7 +163,7 @@
 
     # What is believed.
 
-    def present(self, now: int, name: str) -> dict[str, Seen]:
+    def present(self, now: int, name: str) -> dict[str, SeenMachine]:
         """A source's machines, without those that flap and have not been steady for long enough."""
         source = self.sources[name]
         if not source.speaks(now):
@@ -191,8 +193,10 @@
 
     # Within.
 
-    def _bounded(self, now: int, source: Source, entries: Iterable[Seen]) -> dict[str, Seen]:
-        told: dict[str, Seen] = {}
+    def _bounded(
+        self, now: int, source: Source, entries: Iterable[SeenMachine]
+    ) -> dict[str, SeenMachine]:
+        told: dict[str, SeenMachine] = {}
         for one in entries:
             if len(told) >= ENTRIES_MOST and one.name not in told:
                 self._tell(
--- a/umbermoor/front/server/members.py
+++ b/umbermoor/front/server/members.py
@@ -18,7 +18,7 @@
 from umbermoor.front.membership.dns_messages import Failed, NotThere, There
 from umbermoor.front.membership.dns_queries import Ask, Asker, Server, places
 from umbermoor.front.membership.saved_list import Lasting, load, save
-from umbermoor.front.membership.sources import SECOND, Book, Seen
+from umbermoor.front.membership.sources import SECOND, Book, SeenMachine
 from umbermoor.front.own_settings import MembersFrom, SrvFrom
 from umbermoor.front.sealed_files import UnusableFile
 from umbermoor.front.server.discovery import News
@@ -172,10 +172,10 @@
     machine: tuple[Machine, ...] = ()
 
 
-def read_members(path: str) -> list[Seen]:
+def read_members(path: str) -> list[SeenMachine]:
     """Raises SheetError."""
     return [
-        Seen(
+        SeenMachine(
             one.name,
             read_address(one.at),
             Readiness.DRAINING if one.draining else Readiness.READY,
@@ -269,7 +269,7 @@
 
     def list_told(self, kind: Listing, news: News) -> None:
         seen = [
-            Seen(
+            SeenMachine(
                 one.machine,
                 news.addresses.get(one.machine, ("", 0)),
                 one.readiness,
@@ -295,7 +295,9 @@
             book.failed(now, name, found.why)
         else:
             rows = places(found) if isinstance(found, There) else []
-            book.whole(now, name, [Seen(label, address, weight=None) for label, address, _ in rows])
+            book.whole(
+                now, name, [SeenMachine(label, address, weight=None) for label, address, _ in rows]
+            )
         self._conclude()
 
     def _look_at(self, name: str, path: str, marks: dict) -> None:
