--- a/umbermoor/front/membership/conclusion.py
+++ b/umbermoor/front/membership/conclusion.py
@@ -14,7 +14,7 @@
 from typing import Literal, NamedTuple
 
 from umbermoor.front.interface import Entry, Listing, Readiness
-from umbermoor.front.membership.sources import Book, SeenMachine
+from umbermoor.front.membership.sources import SeenMachine, SourceTracker
 
 Rule = Literal["first", "any", "all", "quorum", "split"]
 
@@ -34,20 +34,27 @@
 
 class Concluder:
     def __init__(
-        self, book: Book, rule: Rule, quorum: int = 2, existence: str = "", facts: str = ""
+        self,
+        tracker: SourceTracker,
+        rule: Rule,
+        quorum: int = 2,
+        existence: str = "",
+        facts: str = "",
     ) -> None:
-        self.book, self.rule, self.quorum = book, rule, quorum
+        self.tracker, self.rule, self.quorum = tracker, rule, quorum
         self.existence, self.facts = existence, facts
         self.last = Conclusion({}, True)
 
     def conclude(self, now: int) -> Conclusion:
-        self.book.tick(now)
-        speaking = [name for name, source in self.book.sources.items() if source.speaks(now)]
-        needed = [self.existence] if self.rule == "split" else list(self.book.sources)
+        self.tracker.tick(now)
+        speaking = [name for name, source in self.tracker.sources.items() if source.speaks(now)]
+        needed = [self.existence] if self.rule == "split" else list(self.tracker.sources)
         if not any(name in speaking for name in needed):
             self.last = self.last._replace(stands=True)
             return self.last
-        said = {name: self._by_address(self.book.present(now, name)) for name in speaking}
+        said = {
+            name: self._by_address(self.tracker.present_machines(now, name)) for name in speaking
+        }
         members = {}
         for name, (by, why) in self._there(said, speaking).items():
             seen = self._facts(name, by, said)
@@ -149,7 +156,7 @@
 def explained(now: int, concluder: Concluder, machine: str | None = None) -> list[str]:
     """Who said what when, what was concluded, and why; a line each."""
     lines = []
-    for source in concluder.book.sources.values():
+    for source in concluder.tracker.sources.values():
         age = f"{(now - source.good_at) / 1e6:.1f} s ago" if source.good_at else "never"
         state = f"fails ({source.why})" if source.failing_since else "speaks"
         lines.append(
@@ -165,7 +172,7 @@
             )
     if machine is not None and machine not in concluder.last.members:
         lines.append(f"{machine}: not in the list")
-    for event in concluder.book.events[-20:]:
+    for event in concluder.tracker.events[-20:]:
         if machine in (None, event.machine) or not event.machine:
             lines.append(
                 f"{(now - event.at) / 1e6:.1f} s ago, {event.source}: {event.machine} "
--- a/umbermoor/front/membership/sources.py
+++ b/umbermoor/front/membership/sources.py
@@ -79,7 +79,7 @@
         )
 
 
-class Book:
+class SourceTracker:
     def __init__(self, sources: Iterable[tuple[str, bool, int]]) -> None:
         self.sources = {
             name: Source(name, authoritative, keep) for name, authoritative, keep in sources
@@ -88,7 +88,9 @@
 
     # What sources say.
 
-    def whole(self, now: int, name: str, entries: Iterable[SeenMachine], version: int = 0) -> bool:
+    def report_all(
+        self, now: int, name: str, entries: Iterable[SeenMachine], version: int = 0
+    ) -> bool:
         """All that a source knows. False: it was not believed, as its version goes back."""
         source = self.sources[name]
         if version and source.version and version < source.version:
@@ -122,7 +124,7 @@
         self._good(now, source, version)
         return True
 
-    def changes(
+    def report_changes(
         self, now: int, name: str, entries: Iterable[SeenMachine], version: int = 0
     ) -> None:
         """Single machines; GONE is a goodbye, which is obeyed at once whoever says it."""
@@ -138,7 +140,7 @@
             source.held.pop(one.name, None)
         self._good(now, source, version)
 
-    def failed(self, now: int, name: str, why: str) -> None:
+    def report_failure(self, now: int, name: str, why: str) -> None:
         source = self.sources[name]
         if not source.failing_since:
             source.failing_since = now
@@ -163,7 +165,7 @@
 
     # What is believed.
 
-    def present(self, now: int, name: str) -> dict[str, SeenMachine]:
+    def present_machines(self, now: int, name: str) -> dict[str, SeenMachine]:
         """A source's machines, without those that flap and have not been steady for long enough."""
         source = self.sources[name]
         if not source.speaks(now):
--- a/umbermoor/front/server/members.py
+++ b/umbermoor/front/server/members.py
@@ -18,7 +18,7 @@
 from umbermoor.front.membership.dns_messages import Failed, NotThere, There
 from umbermoor.front.membership.dns_queries import Ask, Asker, Server, places
 from umbermoor.front.membership.saved_list import Lasting, load, save
-from umbermoor.front.membership.sources import SECOND, Book, SeenMachine
+from umbermoor.front.membership.sources import SECOND, SeenMachine, SourceTracker
 from umbermoor.front.own_settings import MembersFrom, SrvFrom
 from umbermoor.front.sealed_files import UnusableFile
 from umbermoor.front.server.discovery import News
@@ -200,7 +200,7 @@
         ]
         sure = {one.called: one.authoritative for one in (*given.srv, *given.file)} | {LIST: True}
         self.concluder = Concluder(
-            Book([(name, sure[name], keep) for name in order]),
+            SourceTracker([(name, sure[name], keep) for name in order]),
             given.rule,
             given.quorum,
             given.existence,
@@ -284,32 +284,32 @@
         ]
         self._speaks = {**(self._speaks if kind is Listing.CHANGES else {}), **news.speaks}
         if kind is Listing.CHANGES:
-            self.concluder.book.changes(self._clock(), LIST, seen)
+            self.concluder.tracker.report_changes(self._clock(), LIST, seen)
         elif kind is not Listing.FAILED:
-            self.concluder.book.whole(self._clock(), LIST, seen)
+            self.concluder.tracker.report_all(self._clock(), LIST, seen)
         self._conclude()
 
     def _srv_told(self, name: str, found: There | NotThere | Failed) -> None:
-        book, now = self.concluder.book, self._clock()
+        tracker, now = self.concluder.tracker, self._clock()
         if isinstance(found, Failed):
-            book.failed(now, name, found.why)
+            tracker.report_failure(now, name, found.why)
         else:
             rows = places(found) if isinstance(found, There) else []
-            book.whole(
+            tracker.report_all(
                 now, name, [SeenMachine(label, address, weight=None) for label, address, _ in rows]
             )
         self._conclude()
 
     def _look_at(self, name: str, path: str, marks: dict) -> None:
-        book, now = self.concluder.book, self._clock()
+        tracker, now = self.concluder.tracker, self._clock()
         try:
             mark = os.stat(path).st_mtime_ns, os.stat(path).st_size
             if marks.get(path) == mark:
                 return
-            book.whole(now, name, read_members(path))
+            tracker.report_all(now, name, read_members(path))
             marks[path] = mark
         except (OSError, SheetError) as error:
-            book.failed(now, name, str(error))
+            tracker.report_failure(now, name, str(error))
         self._conclude()
 
     # What comes of them.
