--- a/umbermoor/front/membership/dns_messages.py
+++ b/umbermoor/front/membership/dns_messages.py
@@ -32,7 +32,7 @@
     addresses: tuple[str, ...]
 
 
-class There(NamedTuple):
+class ServiceFound(NamedTuple):
     """The service's targets. ``unknown`` are hosts whose addresses the answer does not hold."""
 
     targets: tuple[Target, ...]
@@ -40,7 +40,7 @@
     unknown: tuple[str, ...]
 
 
-class NotThere(NamedTuple):
+class ServiceAbsent(NamedTuple):
     """Said with authority: there is no such name, no such record, or the service is decidedly not
     there."""
 
@@ -48,7 +48,7 @@
     ttl: int
 
 
-class Cut(NamedTuple):
+class Truncated(NamedTuple):
     """Truncated: to be asked over TCP."""
 
 
@@ -58,13 +58,13 @@
     why: str
 
 
-class NotOurs(NamedTuple):
+class Unrelated(NamedTuple):
     """No answer to this question: passed over, as if it had not come."""
 
     why: str
 
 
-Read = There | NotThere | Cut | Failed | NotOurs
+Read = ServiceFound | ServiceAbsent | Truncated | Failed | Unrelated
 
 
 def question(name: str, id: int, kind: str = "SRV") -> bytes:
@@ -75,22 +75,22 @@
 def read(data: bytes, name: str, id: int, kind: str = "SRV") -> Read:
     """What came in answer to that question. Threat: answers of others, loops in names, rubbish."""
     if len(data) < 12 or int.from_bytes(data[:2]) != id:
-        return NotOurs("another id")
+        return Unrelated("another id")
     try:
         message = dns.message.from_wire(data, ignore_trailing=False, raise_on_truncation=False)
     except (dns.exception.DNSException, ValueError, IndexError) as error:
         return Failed(f"cannot be read: {type(error).__name__}")
     asked, wanted = dns.name.from_text(name), dns.rdatatype.from_text(kind)
     if not message.flags & dns.flags.QR or len(message.question) != 1:
-        return NotOurs("no answer")
+        return Unrelated("no answer")
     first = message.question[0]
     if first.name != asked or first.rdtype != wanted or first.rdclass != dns.rdataclass.IN:
-        return NotOurs("an answer to another question")
+        return Unrelated("an answer to another question")
     if message.flags & dns.flags.TC:
-        return Cut()
+        return Truncated()
     code = message.rcode()
     if code == dns.rcode.NXDOMAIN:
-        return NotThere("no such name", _negative(message))
+        return ServiceAbsent("no such name", _negative(message))
     if code != dns.rcode.NOERROR:
         return Failed(dns.rcode.to_text(code))
     if any(one.rdtype == dns.rdatatype.CNAME and one.name == asked for one in message.answer):
@@ -104,14 +104,16 @@
         None,
     )
     if found is None:
-        return NotThere("no such record", _negative(message))
+        return ServiceAbsent("no such record", _negative(message))
     ttl = max(TTL_LEAST, min(TTL_MOST, found.ttl))
     if kind != "SRV":
-        return There((Target(name, 0, 0, 0, tuple(sorted(str(one) for one in found))),), ttl, ())
+        return ServiceFound(
+            (Target(name, 0, 0, 0, tuple(sorted(str(one) for one in found))),), ttl, ()
+        )
     if len(found) > RECORDS_MOST:
         return Failed(f"{len(found)} records, over {RECORDS_MOST}")
     if len(found) == 1 and found[0].target == dns.name.root:
-        return NotThere("decidedly not there", ttl)
+        return ServiceAbsent("decidedly not there", ttl)
     return _targets(message, found, ttl)
 
 
@@ -135,7 +137,7 @@
         if not addresses:
             unknown.append(host)
         targets.append(Target(host, record.port, record.priority, record.weight, addresses))
-    return There(tuple(sorted(targets)), ttl, tuple(sorted(set(unknown))))
+    return ServiceFound(tuple(sorted(targets)), ttl, tuple(sorted(set(unknown))))
 
 
 def _negative(message: dns.message.Message) -> int:
--- a/umbermoor/front/membership/dns_queries.py
+++ b/umbermoor/front/membership/dns_queries.py
@@ -13,7 +13,14 @@
 
 from umbermoor.backoff import Backoff
 from umbermoor.front.membership import dns_messages
-from umbermoor.front.membership.dns_messages import Cut, Failed, NotOurs, NotThere, Target, There
+from umbermoor.front.membership.dns_messages import (
+    Failed,
+    ServiceAbsent,
+    ServiceFound,
+    Target,
+    Truncated,
+    Unrelated,
+)
 
 SECOND = 1_000_000
 WAIT_LEAST, WAIT_MOST = SECOND // 5, 2 * SECOND  # for one answer
@@ -70,7 +77,7 @@
     next_round: int = 0
     out: _Out | None = None
     addresses: dict[str, tuple[str, ...]] = field(default_factory=dict)
-    _found: There | None = None  # whose hosts' addresses are still asked for
+    _found: ServiceFound | None = None  # whose hosts' addresses are still asked for
     _hosts: list[str] = field(default_factory=list)
     _tried: list[Server] = field(default_factory=list)
     _backoff: Backoff = field(init=False)
@@ -92,17 +99,19 @@
     def next_at(self) -> int:
         return self.next_round if self.out is None else self.out.sent + self.out.server.wait()
 
-    def heard(self, now: int, ask: Ask, data: bytes) -> There | NotThere | Failed | Ask | None:
+    def heard(
+        self, now: int, ask: Ask, data: bytes
+    ) -> ServiceFound | ServiceAbsent | Failed | Ask | None:
         """An answer: what it proves, or what to ask at once; None: nothing yet."""
         out = self.out
         if out is None or out.ask is not ask:
             return None
         read = dns_messages.read(data, out.name, ask.id, out.kind)
-        if isinstance(read, NotOurs):
+        if isinstance(read, Unrelated):
             return None
         took = now - out.sent
         out.server.usual += (took - out.server.usual) * (LEARN if out.server.usual else 1.0)
-        if isinstance(read, Cut):
+        if isinstance(read, Truncated):
             return (
                 self._failed(now, out.server, "truncated over TCP")
                 if ask.tcp
@@ -159,18 +168,24 @@
         self._hosts, self._found = [], None
         self.next_round = now + round(self._backoff.next_delay())
 
-    def _service(self, now: int, read: There | NotThere) -> There | NotThere | Ask:
+    def _service(
+        self, now: int, read: ServiceFound | ServiceAbsent
+    ) -> ServiceFound | ServiceAbsent | Ask:
         self._tried.clear()
-        if isinstance(read, There) and read.unknown:
+        if isinstance(read, ServiceFound) and read.unknown:
             self._found, self._hosts = read, list(read.unknown[:HOSTS_MOST])
             self.addresses = {}
             return self._ask(now, False)
         return self._settled(now, read)
 
-    def _address(self, now: int, out: _Out, read: There | NotThere) -> There | Ask | NotThere:
+    def _address(
+        self, now: int, out: _Out, read: ServiceFound | ServiceAbsent
+    ) -> ServiceFound | Ask | ServiceAbsent:
         self._tried.clear()
         self._hosts.pop(0)
-        self.addresses[out.name] = read.targets[0].addresses if isinstance(read, There) else ()
+        self.addresses[out.name] = (
+            read.targets[0].addresses if isinstance(read, ServiceFound) else ()
+        )
         found = self._found
         self._found = found._replace(ttl=max(dns_messages.TTL_LEAST, min(found.ttl, read.ttl)))
         if self._hosts:
@@ -179,20 +194,22 @@
             one._replace(addresses=one.addresses or self.addresses.get(one.host, ()))
             for one in self._found.targets
         )
-        done = There(
+        done = ServiceFound(
             targets, self._found.ttl, tuple(one.host for one in targets if not one.addresses)
         )
         self._found = None
         return self._settled(now, done)
 
-    def _settled(self, now: int, read: There | NotThere) -> There | NotThere:
+    def _settled(
+        self, now: int, read: ServiceFound | ServiceAbsent
+    ) -> ServiceFound | ServiceAbsent:
         self._backoff.reset()
         part = REFRESH_PART + REFRESH_SPREAD * self.chance()
         self.next_round = now + max(SECOND // 10, round(read.ttl * SECOND * part))
         return read
 
 
-def places(found: There) -> list[tuple[str, tuple[str, int], int]]:
+def places(found: ServiceFound) -> list[tuple[str, tuple[str, int], int]]:
     """Name, address and weight of each place that the records name; of priorities only the first
     counts, as in RFC 2782 a
     client asks the others when none of these can be reached, which the list is there to say."""
--- a/umbermoor/front/server/members.py
+++ b/umbermoor/front/server/members.py
@@ -15,7 +15,7 @@
 from umbermoor.front.interface import Entry, Listing, Readiness
 from umbermoor.front.kdl_sheet import Record, SheetError, read_sheet
 from umbermoor.front.membership.conclusion import Concluder, difference, entry_of, explained
-from umbermoor.front.membership.dns_messages import Failed, NotThere, There
+from umbermoor.front.membership.dns_messages import Failed, ServiceAbsent, ServiceFound
 from umbermoor.front.membership.dns_queries import Ask, Asker, Server, places
 from umbermoor.front.membership.saved_list import Lasting, load, save
 from umbermoor.front.membership.sources import SECOND, SeenMachine, SourceTracker
@@ -90,7 +90,7 @@
         clock,
         given: SrvFrom,
         chance,
-        told: Callable[[str, There | NotThere | Failed], None],
+        told: Callable[[str, ServiceFound | ServiceAbsent | Failed], None],
     ) -> None:
         self._reactor, self._clock, self._name, self._told = reactor, clock, given.called, told
         self._asker = Asker(given.name, [Server(one) for one in given.servers], chance)
@@ -289,12 +289,12 @@
             self.concluder.tracker.report_all(self._clock(), LIST, seen)
         self._conclude()
 
-    def _srv_told(self, name: str, found: There | NotThere | Failed) -> None:
+    def _srv_told(self, name: str, found: ServiceFound | ServiceAbsent | Failed) -> None:
         tracker, now = self.concluder.tracker, self._clock()
         if isinstance(found, Failed):
             tracker.report_failure(now, name, found.why)
         else:
-            rows = places(found) if isinstance(found, There) else []
+            rows = places(found) if isinstance(found, ServiceFound) else []
             tracker.report_all(
                 now, name, [SeenMachine(label, address, weight=None) for label, address, _ in rows]
             )
