--- a/umbermoor/front/membership/dns_queries.py
+++ b/umbermoor/front/membership/dns_queries.py
@@ -37,7 +37,7 @@
 HOSTS_MOST = 64  # whose addresses are asked for by themselves
 
 
-class Ask(NamedTuple):
+class DnsQuery(NamedTuple):
     server: str
     id: int
     data: bytes
@@ -61,8 +61,8 @@
 
 
 @dataclass(slots=True)
-class _Out:
-    ask: Ask
+class _Outstanding:
+    ask: DnsQuery
     server: Server
     sent: int
     name: str
@@ -70,12 +70,12 @@
 
 
 @dataclass(slots=True)
-class Asker:
+class SrvResolver:
     name: str
     servers: list[Server]
     chance: Callable[[], float]
     next_round: int = 0
-    out: _Out | None = None
+    outstanding: _Outstanding | None = None
     addresses: dict[str, tuple[str, ...]] = field(default_factory=dict)
     _found: ServiceFound | None = None  # whose hosts' addresses are still asked for
     _hosts: list[str] = field(default_factory=list)
@@ -86,24 +86,28 @@
     def __post_init__(self) -> None:
         self._backoff = Backoff(AGAIN_FIRST, AGAIN_MOST, self.chance)
 
-    def due(self, now: int) -> Ask | None:
+    def next_query(self, now: int) -> DnsQuery | None:
         """What is to be sent now."""
-        if self.out is not None:
-            if now < self.out.sent + self.out.server.wait():
+        if self.outstanding is not None:
+            if now < self.outstanding.sent + self.outstanding.server.wait():
                 return None
-            self._missed(self.out.server, "no answer")
+            self._missed(self.outstanding.server, "no answer")
         if now < self.next_round:
             return None
         return self._ask(now, False)
 
     def next_at(self) -> int:
-        return self.next_round if self.out is None else self.out.sent + self.out.server.wait()
+        return (
+            self.next_round
+            if self.outstanding is None
+            else self.outstanding.sent + self.outstanding.server.wait()
+        )
 
-    def heard(
-        self, now: int, ask: Ask, data: bytes
-    ) -> ServiceFound | ServiceAbsent | Failed | Ask | None:
+    def handle_answer(
+        self, now: int, ask: DnsQuery, data: bytes
+    ) -> ServiceFound | ServiceAbsent | Failed | DnsQuery | None:
         """An answer: what it proves, or what to ask at once; None: nothing yet."""
-        out = self.out
+        out = self.outstanding
         if out is None or out.ask is not ask:
             return None
         read = dns_messages.read(data, out.name, ask.id, out.kind)
@@ -120,18 +124,18 @@
         if isinstance(read, Failed):
             return self._failed(now, out.server, read.why)
         out.server.failures = 0
-        self.out = None
+        self.outstanding = None
         return self._address(now, out, read) if out.kind == "A" else self._service(now, read)
 
-    def broke(self, now: int, ask: Ask, why: str) -> Failed | Ask | None:
+    def handle_failure(self, now: int, ask: DnsQuery, why: str) -> Failed | DnsQuery | None:
         """It could not be sent, or its connection ended without an answer."""
-        if self.out is None or self.out.ask is not ask:
+        if self.outstanding is None or self.outstanding.ask is not ask:
             return None
-        return self._failed(now, self.out.server, why)
+        return self._failed(now, self.outstanding.server, why)
 
     # Within.
 
-    def _ask(self, now: int, tcp: bool) -> Ask | None:
+    def _ask(self, now: int, tcp: bool) -> DnsQuery | None:
         server = min(
             (one for one in self.servers if one not in self._tried),
             default=None,
@@ -143,21 +147,21 @@
         name, kind = (self._hosts[0], "A") if self._hosts else (self.name, "SRV")
         return self._send(now, server, name, kind, tcp)
 
-    def _send(self, now: int, server: Server, name: str, kind: str, tcp: bool) -> Ask:
+    def _send(self, now: int, server: Server, name: str, kind: str, tcp: bool) -> DnsQuery:
         id = int(self.chance() * 65536)
-        ask = Ask(server.address, id, dns_messages.question(name, id, kind), tcp)
-        self.out = _Out(ask, server, now, name, kind)
+        ask = DnsQuery(server.address, id, dns_messages.question(name, id, kind), tcp)
+        self.outstanding = _Outstanding(ask, server, now, name, kind)
         return ask
 
-    def _again_over_tcp(self, now: int, out: _Out) -> Ask:
+    def _again_over_tcp(self, now: int, out: _Outstanding) -> DnsQuery:
         return self._send(now, out.server, out.name, out.kind, True)
 
     def _missed(self, server: Server, why: str) -> None:
         server.failures += 1
         self._tried.append(server)
-        self.out, self.why = None, f"{server.address}: {why}"
+        self.outstanding, self.why = None, f"{server.address}: {why}"
 
-    def _failed(self, now: int, server: Server, why: str) -> Failed | Ask | None:
+    def _failed(self, now: int, server: Server, why: str) -> Failed | DnsQuery | None:
         self._missed(server, why)
         ask = self._ask(now, False)
         return ask if ask is not None else Failed(self.why)
@@ -170,7 +174,7 @@
 
     def _service(
         self, now: int, read: ServiceFound | ServiceAbsent
-    ) -> ServiceFound | ServiceAbsent | Ask:
+    ) -> ServiceFound | ServiceAbsent | DnsQuery:
         self._tried.clear()
         if isinstance(read, ServiceFound) and read.unknown:
             self._found, self._hosts = read, list(read.unknown[:HOSTS_MOST])
@@ -179,8 +183,8 @@
         return self._settled(now, read)
 
     def _address(
-        self, now: int, out: _Out, read: ServiceFound | ServiceAbsent
-    ) -> ServiceFound | Ask | ServiceAbsent:
+        self, now: int, out: _Outstanding, read: ServiceFound | ServiceAbsent
+    ) -> ServiceFound | DnsQuery | ServiceAbsent:
         self._tried.clear()
         self._hosts.pop(0)
         self.addresses[out.name] = (
@@ -224,4 +228,4 @@
     ]
 
 
-__all__ = ["Ask", "Asker", "Server", "Target", "places"]
+__all__ = ["DnsQuery", "SrvResolver", "Server", "Target", "places"]
--- a/umbermoor/front/server/members.py
+++ b/umbermoor/front/server/members.py
@@ -16,7 +16,7 @@
 from umbermoor.front.kdl_sheet import Record, SheetError, read_sheet
 from umbermoor.front.membership.conclusion import Concluder, difference, entry_of, explained
 from umbermoor.front.membership.dns_messages import Failed, ServiceAbsent, ServiceFound
-from umbermoor.front.membership.dns_queries import Ask, Asker, Server, places
+from umbermoor.front.membership.dns_queries import DnsQuery, Server, SrvResolver, places
 from umbermoor.front.membership.saved_list import Lasting, load, save
 from umbermoor.front.membership.sources import SECOND, SeenMachine, SourceTracker
 from umbermoor.front.own_settings import MembersFrom, SrvFrom
@@ -37,7 +37,10 @@
     elsewhere is passed over."""
 
     def __init__(
-        self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
+        self,
+        ask: DnsQuery,
+        told: Callable[[DnsQuery, bytes], None],
+        broke: Callable[[DnsQuery, str], None],
     ) -> None:
         self._ask, self._told, self._broke = ask, told, broke
 
@@ -57,7 +60,10 @@
     """The same over TCP: two bytes of length, then the message (RFC 7766)."""
 
     def __init__(
-        self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
+        self,
+        ask: DnsQuery,
+        told: Callable[[DnsQuery, bytes], None],
+        broke: Callable[[DnsQuery, str], None],
     ) -> None:
         self._ask, self._told, self._broke, self._data, self._done = ask, told, broke, b"", False
 
@@ -93,7 +99,7 @@
         told: Callable[[str, ServiceFound | ServiceAbsent | Failed], None],
     ) -> None:
         self._reactor, self._clock, self._name, self._told = reactor, clock, given.called, told
-        self._asker = Asker(given.name, [Server(one) for one in given.servers], chance)
+        self._resolver = SrvResolver(given.name, [Server(one) for one in given.servers], chance)
         self._port = self._timer = None
 
     def start(self) -> None:
@@ -110,12 +116,12 @@
             port.stopListening()
 
     def _look(self) -> None:
-        was = self._asker.out
-        ask = self._asker.due(self._clock())
-        if was is not None and self._asker.out is not was:
+        was = self._resolver.outstanding
+        ask = self._resolver.next_query(self._clock())
+        if was is not None and self._resolver.outstanding is not was:
             self._close()
-            if self._asker.out is None:
-                self._told(self._name, Failed(self._asker.why))
+            if self._resolver.outstanding is None:
+                self._told(self._name, Failed(self._resolver.why))
         if ask is not None:
             self._send(ask)
         self._arm()
@@ -123,10 +129,10 @@
     def _arm(self) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        wait = max(0.01, (self._asker.next_at() - self._clock()) / SECOND)
+        wait = max(0.01, (self._resolver.next_at() - self._clock()) / SECOND)
         self._timer = self._reactor.callLater(wait, self._look)
 
-    def _send(self, ask: Ask) -> None:
+    def _send(self, ask: DnsQuery) -> None:
         self._close()
         if ask.tcp:
             factory = Factory()
@@ -142,14 +148,14 @@
                 0, _Datagram(ask, self._heard, self._broke), "127.0.0.1", ANSWER_MOST
             )
 
-    def _heard(self, ask: Ask, data: bytes) -> None:
-        self._take(self._asker.heard(self._clock(), ask, data))
+    def _heard(self, ask: DnsQuery, data: bytes) -> None:
+        self._take(self._resolver.handle_answer(self._clock(), ask, data))
 
-    def _broke(self, ask: Ask, why: str) -> None:
-        self._take(self._asker.broke(self._clock(), ask, why))
+    def _broke(self, ask: DnsQuery, why: str) -> None:
+        self._take(self._resolver.handle_failure(self._clock(), ask, why))
 
     def _take(self, found) -> None:
-        if isinstance(found, Ask):
+        if isinstance(found, DnsQuery):
             self._send(found)
         elif found is not None:
             self._close()
