--- a/umbermoor/front/membership/conclusion.py
+++ b/umbermoor/front/membership/conclusion.py
@@ -29,7 +29,7 @@
 
 class Conclusion(NamedTuple):
     members: dict[str, Member]
-    stands: bool  # of an earlier time: no source speaks
+    is_stale: bool  # of an earlier time: no source speaks
 
 
 class Concluder:
@@ -50,7 +50,7 @@
         speaking = [name for name, source in self.tracker.sources.items() if source.speaks(now)]
         needed = [self.existence] if self.rule == "split" else list(self.tracker.sources)
         if not any(name in speaking for name in needed):
-            self.last = self.last._replace(stands=True)
+            self.last = self.last._replace(is_stale=True)
             return self.last
         said = {
             name: self._by_address(self.tracker.present_machines(now, name)) for name in speaking
@@ -153,7 +153,7 @@
     return Listing.CHANGES, entries
 
 
-def explained(now: int, concluder: Concluder, machine: str | None = None) -> list[str]:
+def describe_membership(now: int, concluder: Concluder, machine: str | None = None) -> list[str]:
     """Who said what when, what was concluded, and why; a line each."""
     lines = []
     for source in concluder.tracker.sources.values():
--- a/umbermoor/front/membership/dns_queries.py
+++ b/umbermoor/front/membership/dns_queries.py
@@ -213,7 +213,7 @@
         return read
 
 
-def places(found: ServiceFound) -> list[tuple[str, tuple[str, int], int]]:
+def srv_endpoints(found: ServiceFound) -> list[tuple[str, tuple[str, int], int]]:
     """Name, address and weight of each place that the records name; of priorities only the first
     counts, as in RFC 2782 a
     client asks the others when none of these can be reached, which the list is there to say."""
@@ -228,4 +228,4 @@
     ]
 
 
-__all__ = ["DnsQuery", "SrvResolver", "Server", "Target", "places"]
+__all__ = ["DnsQuery", "SrvResolver", "Server", "Target", "srv_endpoints"]
--- a/umbermoor/front/membership/saved_list.py
+++ b/umbermoor/front/membership/saved_list.py
@@ -11,12 +11,12 @@
 MAGIC, VERSION = b"UMLIST", 1
 
 
-class Lasting(NamedTuple):
+class SavedList(NamedTuple):
     at: int  # microseconds since 1970
     seen: tuple[SeenMachine, ...]
 
 
-def pack(lasting: Lasting) -> bytes:
+def pack(lasting: SavedList) -> bytes:
     rows = [
         [
             one.name,
@@ -33,7 +33,7 @@
     return sealed(MAGIC, VERSION, orjson.dumps({"at": lasting.at, "rows": rows}))
 
 
-def unpack(data: bytes) -> Lasting | UnusableFile:
+def unpack(data: bytes) -> SavedList | UnusableFile:
     opened = unsealed(MAGIC, (VERSION,), data)
     if isinstance(opened, UnusableFile):
         return opened
@@ -43,23 +43,23 @@
             SeenMachine(str(name), (str(host), int(port)), Readiness(ready), *facts)
             for name, host, port, ready, *facts in given["rows"]
         )
-        return Lasting(int(given["at"]), seen)
+        return SavedList(int(given["at"]), seen)
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
         return UnusableFile(f"cannot be read: {type(error).__name__}")
 
 
-def save(path: str, lasting: Lasting) -> int:
+def save(path: str, lasting: SavedList) -> int:
     """Raises OSError."""
     return replace_file(path, pack(lasting))
 
 
-def load(path: str, now: int, keep: int) -> Lasting | UnusableFile | None:
+def load(path: str, now: int, keep: int) -> SavedList | UnusableFile | None:
     """None where there is none. ``keep``: microseconds after which it is too old."""
     data = read_file(path)
     if not isinstance(data, bytes):
         return data
     lasting = unpack(data)
-    if isinstance(lasting, Lasting) and not 0 <= now - lasting.at <= keep:
+    if isinstance(lasting, SavedList) and not 0 <= now - lasting.at <= keep:
         return UnusableFile(
             f"is {(now - lasting.at) / 1e6:.0f} s old, over {keep / 1e6:.0f}"
             if now > lasting.at
--- a/umbermoor/front/server/members.py
+++ b/umbermoor/front/server/members.py
@@ -14,10 +14,15 @@
 from umbermoor.front.configuration import read_address
 from umbermoor.front.interface import Entry, Listing, Readiness
 from umbermoor.front.kdl_sheet import Record, SheetError, read_sheet
-from umbermoor.front.membership.conclusion import Concluder, difference, entry_of, explained
+from umbermoor.front.membership.conclusion import (
+    Concluder,
+    describe_membership,
+    difference,
+    entry_of,
+)
 from umbermoor.front.membership.dns_messages import Failed, ServiceAbsent, ServiceFound
-from umbermoor.front.membership.dns_queries import DnsQuery, Server, SrvResolver, places
-from umbermoor.front.membership.saved_list import Lasting, load, save
+from umbermoor.front.membership.dns_queries import DnsQuery, Server, SrvResolver, srv_endpoints
+from umbermoor.front.membership.saved_list import SavedList, load, save
 from umbermoor.front.membership.sources import SECOND, SeenMachine, SourceTracker
 from umbermoor.front.own_settings import MembersFrom, SrvFrom
 from umbermoor.front.sealed_files import UnusableFile
@@ -300,7 +305,7 @@
         if isinstance(found, Failed):
             tracker.report_failure(now, name, found.why)
         else:
-            rows = places(found) if isinstance(found, ServiceFound) else []
+            rows = srv_endpoints(found) if isinstance(found, ServiceFound) else []
             tracker.report_all(
                 now, name, [SeenMachine(label, address, weight=None) for label, address, _ in rows]
             )
@@ -322,7 +327,7 @@
 
     def _conclude(self) -> None:
         found = self.concluder.conclude(self._clock())
-        if found.stands or (found.members == self._members and not self._first):
+        if found.is_stale or (found.members == self._members and not self._first):
             return
         kind, entries = difference(self._members, found.members)
         if self._first:  # what the front was started with is replaced whole
@@ -352,15 +357,15 @@
 
     def _save(self) -> None:
         members = self.concluder.last.members
-        if members and members is not self._saved and not self.concluder.last.stands:
+        if members and members is not self._saved and not self.concluder.last.is_stale:
             self._saved = members
             try:
                 save(
                     self._given.state,
-                    Lasting(time.time_ns() // 1000, tuple(one.seen for one in members.values())),
+                    SavedList(time.time_ns() // 1000, tuple(one.seen for one in members.values())),
                 )
             except OSError as error:
                 note(log, "list not kept", logging.WARNING, why=error.strerror)
 
     def explain(self, machine: str | None = None) -> list[str]:
-        return explained(self._clock(), self.concluder, machine)
+        return describe_membership(self._clock(), self.concluder, machine)
