--- a/umbermoor/front/http2/stream_outcomes.py
+++ b/umbermoor/front/http2/stream_outcomes.py
@@ -9,14 +9,14 @@
 from enum import Enum, IntEnum, auto
 
 
-class Stand(IntEnum):
+class StreamProgress(IntEnum):
     UNSENT = 0  # waits for a connection, or for a stream on one: nothing of it was written
     PART = 1  # HEADERS written, or handed to the kernel; END_STREAM not fully accepted by it
     WHOLE = 2
     ANSWERING = 3  # a part of its answer came
 
 
-class End(Enum):
+class StreamEnd(Enum):
     REFUSED = auto()  # RST_STREAM with REFUSED_STREAM
     RESET = auto()  # RST_STREAM with any other code
     ABOVE = auto()  # GOAWAY that names a lower stream as its last
@@ -35,52 +35,57 @@
 
     NEVER_RAN = "never ran"  # and the machine is none the worse for it
     TURNED_AWAY = "turned away"  # never ran, as the machine would not
-    NO_WAY = "no way"  # never ran, as it could not be brought there
+    UNDELIVERED = "no way"  # never ran, as it could not be brought there
     MAY_HAVE = "may have run"
 
 
 # Threat: calling what may have run 'never ran': a booking would run twice.
-_WHOLE = dict.fromkeys(End, Proof.MAY_HAVE) | {
-    End.REFUSED: Proof.TURNED_AWAY,
-    End.ABOVE: Proof.NEVER_RAN,
+_WHOLE = dict.fromkeys(StreamEnd, Proof.MAY_HAVE) | {
+    StreamEnd.REFUSED: Proof.TURNED_AWAY,
+    StreamEnd.ABOVE: Proof.NEVER_RAN,
 }
-_PART = dict.fromkeys(End, Proof.NO_WAY) | {
-    End.REFUSED: Proof.TURNED_AWAY,
-    End.ABOVE: Proof.NEVER_RAN,
-    End.WITHDRAWN: Proof.NEVER_RAN,
-    End.GARBLED: Proof.MAY_HAVE,
+_PART = dict.fromkeys(StreamEnd, Proof.UNDELIVERED) | {
+    StreamEnd.REFUSED: Proof.TURNED_AWAY,
+    StreamEnd.ABOVE: Proof.NEVER_RAN,
+    StreamEnd.WITHDRAWN: Proof.NEVER_RAN,
+    StreamEnd.GARBLED: Proof.MAY_HAVE,
 }  # an answer before the query's end: the machine did something with it
-_ANSWERING = dict.fromkeys(End, Proof.MAY_HAVE)  # whatever it says now, it had begun to answer
-
-PROOFS: dict[tuple[Stand, End], Proof] = {
-    (stand, end): {
-        Stand.UNSENT: _PART | {End.GARBLED: Proof.NO_WAY},
-        Stand.PART: _PART,
-        Stand.WHOLE: _WHOLE,
-        Stand.ANSWERING: _ANSWERING,
-    }[stand][end]
-    for stand in Stand
-    for end in End
+_ANSWERING = dict.fromkeys(
+    StreamEnd, Proof.MAY_HAVE
+)  # whatever it says now, it had begun to answer
+
+PROOFS: dict[tuple[StreamProgress, StreamEnd], Proof] = {
+    (progress, end): {
+        StreamProgress.UNSENT: _PART | {StreamEnd.GARBLED: Proof.UNDELIVERED},
+        StreamProgress.PART: _PART,
+        StreamProgress.WHOLE: _WHOLE,
+        StreamProgress.ANSWERING: _ANSWERING,
+    }[progress][end]
+    for progress in StreamProgress
+    for end in StreamEnd
 }
 
 
 class Failed:
     """A query that got no answer: how far it had come, and what ended it."""
 
-    __slots__ = ("end", "stand")
+    __slots__ = ("end", "progress")
 
-    def __init__(self, stand: Stand, end: End) -> None:
-        self.stand, self.end = stand, end
+    def __init__(self, progress: StreamProgress, end: StreamEnd) -> None:
+        self.progress, self.end = progress, end
 
     @property
     def proof(self) -> Proof:
-        return PROOFS[self.stand, self.end]
+        return PROOFS[self.progress, self.end]
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, Failed) and (self.stand, self.end) == (other.stand, other.end)
+        return isinstance(other, Failed) and (self.progress, self.end) == (
+            other.progress,
+            other.end,
+        )
 
     def __hash__(self) -> int:
-        return hash((self.stand, self.end))
+        return hash((self.progress, self.end))
 
     def __repr__(self) -> str:
-        return f"{self.stand.name.lower()}/{self.end.name.lower()}"
+        return f"{self.progress.name.lower()}/{self.end.name.lower()}"
