--- a/umbermoor/front/http2/pool.py
+++ b/umbermoor/front/http2/pool.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Lot:
+class LinkPool:
     """The connections to one machine."""
 
     links: list[Link] = field(default_factory=list)
@@ -66,10 +66,10 @@
     def speaks(self, now: int) -> bool:
         return now >= self.plain_until
 
-    def spoke_other(self, now: int) -> None:
+    def use_http1(self, now: int) -> None:
         self.plain_until = now + FALLBACK
 
-    def place(self) -> Link | None:
+    def pick_link(self) -> Link | None:
         """The link for the next query: the one that has the largest part free. Those that have not
         said their SETTINGS come last, as nothing is sent there yet. None: a connection has to be
         opened first, or all are full."""
@@ -80,7 +80,7 @@
             default=None,
         )
 
-    def wants_another(self) -> bool:
+    def needs_another_link(self) -> bool:
         """Before the limit binds. One that drains does not count: its successor is opened while it
         goes on."""
         usable = [one for one in self.links if one.usable]
@@ -89,7 +89,7 @@
         used, room = sum(one.streams for one in usable), sum(one.limit for one in usable)
         return used >= AHEAD * room
 
-    def crowded(self) -> Link | None:
+    def least_loaded_link(self) -> Link | None:
         """Where a query waits if nothing has room and nothing more may be opened: with the
         fewest."""
         return min(
@@ -99,17 +99,17 @@
         )
 
 
-def ping_wait(link: Link) -> int:
+def ping_timeout(link: Link) -> int:
     return round(min(PING_WAIT, max(PING_LEAST, PING_TIMES * link.gap)))
 
 
-def judged(now: int, links: Iterable[Link]) -> tuple[list[Link], list[Link], list[Link]]:
+def classify_links(now: int, links: Iterable[Link]) -> tuple[list[Link], list[Link], list[Link]]:
     """Which links to ping, which to give up as dead, and which to close as idle."""
     ping, dead, idle = [], [], []
     for one in links:
         since = max(one.heard, one.busy_since)
         if one.pinged:
-            if now - one.pinged >= ping_wait(one):
+            if now - one.pinged >= ping_timeout(one):
                 dead.append(one)
         elif not one.settled:
             if now - one.made >= PROVEN_WAIT:
