--- a/umbermoor/front/http2/session.py
+++ b/umbermoor/front/http2/session.py
@@ -99,13 +99,13 @@
             None  # its END_STREAM is the last thing that was handed to the kernel
         )
         self._last = NO_LAST  # of the peer's GOAWAY
-        self.going = False  # a GOAWAY came: no new stream
+        self.draining = False  # a GOAWAY came: no new stream
         self.ended = False
         self.speaks = True  # HTTP/2, as far as is known
         self.answered = 0  # streams that were answered
         self.heard = now  # when anything last came
         self.pinged = 0  # when a PING went out that is not answered yet
-        self.wrong = ""  # what was wrong with it
+        self.fault = ""  # what was wrong with it
 
     # What stands.
 
@@ -115,7 +115,7 @@
         return self._splitter.settled
 
     @property
-    def open(self) -> int:
+    def open_streams(self) -> int:
         return len(self._streams)
 
     @property
@@ -135,24 +135,24 @@
         """Whether new calls may be put on it."""
         return (
             not self.ended
-            and not self.going
+            and not self.draining
             and self._codec.highest_outbound_stream_id < LAST_STREAM - 2
         )
 
     # What is asked.
 
-    def ask(self, call: Call) -> None:
+    def submit(self, call: Call) -> None:
         if self.usable:
             self._waiting.append(call)
         else:
             call.fail(StreamEnd.UNCONNECTED)
 
-    def take_back(self) -> list[Call]:
+    def take_unsent(self) -> list[Call]:
         """The calls that wait, for another connection: nothing of them was sent."""
         calls, self._waiting = [one for one in self._waiting if not one.over], deque()
         return calls
 
-    def stop(self, call: Call, end: StreamEnd) -> None:
+    def cancel(self, call: Call, end: StreamEnd) -> None:
         """Given up on; its neighbours go on. Call ``next_bytes`` after."""
         if call.over:
             return
@@ -361,7 +361,7 @@
         if found.last > self._last:
             self.give_up(StreamEnd.FAULT, f"a GOAWAY that rises from {self._last} to {found.last}")
             return
-        self._last, self.going = found.last, True
+        self._last, self.draining = found.last, True
         for number in [one for one in self._streams if one > found.last]:
             call = self._streams[number].call
             self._forget(number)
@@ -371,7 +371,7 @@
 
     def give_up(self, end: StreamEnd, what: str) -> None:
         """Ends the connection from our side; the host closes it."""
-        self.wrong = self.wrong or what
+        self.fault = self.fault or what
         self._end(end)
 
     def lost(self) -> None:
--- a/umbermoor/front/server/streams.py
+++ b/umbermoor/front/server/streams.py
@@ -111,11 +111,11 @@
         session, link = self.session, self.link
         link.settled, link.usable = session.settled, session.usable
         link.streams, link.limit, link.pinged = (
-            session.open + session.waiting,
+            session.open_streams + session.waiting,
             session.limit,
             session.pinged,
         )
-        if not session.open:
+        if not session.open_streams:
             link.busy_since = 0
         elif not link.busy_since:
             link.busy_since = now
@@ -150,7 +150,7 @@
         if self.other is not None:
             self.other.cancel()
         elif self.line is not None:
-            self.line.session.stop(self.call, end)
+            self.line.session.cancel(self.call, end)
             self.line.pump()
         else:
             self.call.fail(end)
@@ -224,7 +224,7 @@
     def _retire(self, machine: str) -> None:
         for link in (self._pools.pop(machine, None) or LinkPool()).links:
             if line := self._lines.get(link):
-                line.session.going = True
+                line.session.draining = True
                 self.told(line)
 
     def speaks(self, machine: str) -> bool:
@@ -289,7 +289,7 @@
 
     def _put(self, attempt: _Attempt, line: StreamLine) -> None:
         attempt.line = line
-        line.session.ask(attempt.call)
+        line.session.submit(attempt.call)
         line.refresh(self.clock())
         line.pump()
 
@@ -313,7 +313,7 @@
         self._lines[line.link] = line
         pool.links.append(line.link)
         if self._pools.get(machine) is not pool:  # it was listed as leaving meanwhile
-            line.session.going = True
+            line.session.draining = True
         line.refresh(self.clock())
         if line.session.ended:
             return
@@ -355,22 +355,22 @@
                         "machine does not speak HTTP/2",
                         logging.WARNING,
                         machine=line.machine,
-                        why=session.wrong,
+                        why=session.fault,
                     )
                 pool.use_http1(now)
-            elif session.wrong and session.ended:
+            elif session.fault and session.ended:
                 note(
                     log,
                     "HTTP/2 connection given up",
                     logging.WARNING,
                     machine=line.machine,
-                    why=session.wrong,
+                    why=session.fault,
                 )
-                session.wrong = ""
-            for call in session.take_back():
+                session.fault = ""
+            for call in session.take_unsent():
                 if attempt := self._attempts.get(call):
                     self._again(attempt)
-            if not session.ended and not session.open:
+            if not session.ended and not session.open_streams:
                 line.close()
 
     def lost(self, line: StreamLine) -> None:
@@ -385,12 +385,12 @@
         idle = [
             line
             for line in self._lines.values()
-            if not line.session.open and not line.session.waiting
+            if not line.session.open_streams and not line.session.waiting
         ]
         line = min(idle, key=lambda one: one.link.heard, default=None)
         if line is None:
             return False
-        line.session.going = True
+        line.session.draining = True
         line.close()
         return True
 
@@ -409,14 +409,14 @@
                     "HTTP/2 connection silent",
                     logging.WARNING,
                     machine=line.machine,
-                    streams=line.session.open,
+                    streams=line.session.open_streams,
                 )
                 line.session.give_up(StreamEnd.SILENT, "")
                 line.close()
                 self.told(line)
         for link in idle:
             if line := self._lines.get(link):
-                line.session.going = True
+                line.session.draining = True
                 line.close()
         self._timer = self.reactor.callLater(LOOK_EVERY, self._look)
 
