--- a/benchmarks/http2_fuzz.py
+++ b/benchmarks/http2_fuzz.py
@@ -9,7 +9,7 @@
 import sys
 import time
 
-from umbermoor.front.http2.frames import FRAME_MOST, HEAD
+from umbermoor.front.http2.frames import HEAD, MAX_FRAME_BYTES
 from umbermoor.front.http2.session import Call, Session
 from umbermoor.http1.buffers import Buffers
 
@@ -40,7 +40,7 @@
             bytes(4),
             chance.randbytes(chance.randrange(60)),
             (2**31 - 1).to_bytes(4),
-            b"x" * chance.randrange(FRAME_MOST),
+            b"x" * chance.randrange(MAX_FRAME_BYTES),
         )
     )
     length = len(payload) if chance.random() < 0.95 else chance.randrange(1 << 24)
--- a/umbermoor/front/http2/frames.py
+++ b/umbermoor/front/http2/frames.py
@@ -10,12 +10,14 @@
 from typing import NamedTuple
 
 HEAD = 9
-FRAME_MOST = 16_384  # SETTINGS_MAX_FRAME_SIZE, which we leave as it is
-BLOCK_MOST = 32 * 1024  # bytes of one header block, with its continuations
-CONTINUATIONS_MOST = 8
-IDLE_MOST = 200  # frames that bring nothing (SETTINGS, PING, RST, empty DATA, unknown ...) at once,
+MAX_FRAME_BYTES = 16_384  # SETTINGS_MAX_FRAME_SIZE, which we leave as it is
+MAX_HEADER_BLOCK_BYTES = 32 * 1024  # bytes of one header block, with its continuations
+MAX_CONTINUATIONS = 8
+MAX_EMPTY_FRAMES = (
+    200  # frames that bring nothing (SETTINGS, PING, RST, empty DATA, unknown ...) at once,
+)
 IDLE_A_SECOND = 50  # and in a second from then on
-GOAWAYS_MOST = 8
+MAX_GOAWAYS = 8
 FIRST = b"\x00\x00"  # a first frame is SETTINGS: short, so that its length opens with these
 
 
@@ -40,17 +42,17 @@
     code: int
 
 
-class Wrong(NamedTuple):
+class ConnectionFault(NamedTuple):
     """The connection cannot be used further."""
 
     what: str
     speaks: bool = True  # whether it is HTTP/2 at all
 
 
-Found = bytes | Goaway | Wrong
+Found = bytes | Goaway | ConnectionFault
 
 
-class Splitter:
+class FrameSplitter:
     """Holds at most one frame that is partly there."""
 
     def __init__(self, now: int) -> None:
@@ -74,10 +76,10 @@
             length, kind, flags = int.from_bytes(run[at : at + 3]), run[at + 3], run[at + 4]
             stream = int.from_bytes(run[at + 5 : at + 9]) & 0x7FFFFFFF
             if self._first and (kind != Kind.SETTINGS or stream or length > 1024 or flags & ACK):
-                found.append(Wrong("does not open with SETTINGS", False))
+                found.append(ConnectionFault("does not open with SETTINGS", False))
                 return found
-            if length > FRAME_MOST:
-                found.append(Wrong(f"a frame of {length} bytes"))
+            if length > MAX_FRAME_BYTES:
+                found.append(ConnectionFault(f"a frame of {length} bytes"))
                 return found
             if len(run) - at < HEAD + length:
                 break
@@ -90,7 +92,7 @@
                 return found
             if kind == Kind.GOAWAY:
                 if length < 8 or stream:
-                    found.append(Wrong("a GOAWAY that is none"))
+                    found.append(ConnectionFault("a GOAWAY that is none"))
                     return found
                 found.append(
                     Goaway(int.from_bytes(frame[9:13]) & 0x7FFFFFFF, int.from_bytes(frame[13:17]))
@@ -99,24 +101,28 @@
                 found.append(frame)
         self._rest = run[at:]
         if self._first and self._rest and not b"\x00\x00".startswith(self._rest[:2]):
-            found.append(Wrong("does not speak HTTP/2", False))
+            found.append(ConnectionFault("does not speak HTTP/2", False))
         return found
 
-    def _bounds(self, now: int, kind: int, flags: int, length: int, frame: bytes) -> Wrong | None:
+    def _bounds(
+        self, now: int, kind: int, flags: int, length: int, frame: bytes
+    ) -> ConnectionFault | None:
         if kind in (Kind.HEADERS, Kind.PUSH_PROMISE):
             self._block, self._continuations = length, 0
         elif kind == Kind.CONTINUATION:
             self._block += length
             self._continuations += 1
-            if self._continuations > CONTINUATIONS_MOST:
-                return Wrong("a header block in too many frames")
-        if kind in (Kind.HEADERS, Kind.CONTINUATION) and self._block > BLOCK_MOST:
-            return Wrong("a header block that is too large")
+            if self._continuations > MAX_CONTINUATIONS:
+                return ConnectionFault("a header block in too many frames")
+        if kind in (Kind.HEADERS, Kind.CONTINUATION) and self._block > MAX_HEADER_BLOCK_BYTES:
+            return ConnectionFault("a header block that is too large")
         if kind == Kind.PUSH_PROMISE:
-            return Wrong("a push, which was not allowed")
+            return ConnectionFault("a push, which was not allowed")
         if kind == Kind.GOAWAY:
             self._goaways += 1
-            return Wrong("GOAWAY again and again") if self._goaways > GOAWAYS_MOST else None
+            return (
+                ConnectionFault("GOAWAY again and again") if self._goaways > MAX_GOAWAYS else None
+            )
         brings = kind in (Kind.HEADERS, Kind.CONTINUATION) or (
             kind == Kind.DATA
             and (
@@ -128,5 +134,7 @@
         self._idle = max(0.0, self._idle - (now - self._idle_at) * IDLE_A_SECOND / 1e6) + 1
         self._idle_at = now
         return (
-            Wrong("frames that bring nothing, too many at once") if self._idle > IDLE_MOST else None
+            ConnectionFault("frames that bring nothing, too many at once")
+            if self._idle > MAX_EMPTY_FRAMES
+            else None
         )
--- a/umbermoor/front/http2/session.py
+++ b/umbermoor/front/http2/session.py
@@ -18,7 +18,7 @@
 import h2.exceptions
 import h2.settings
 
-from umbermoor.front.http2.frames import END_HEADERS, Goaway, Kind, Splitter, Wrong
+from umbermoor.front.http2.frames import END_HEADERS, ConnectionFault, FrameSplitter, Goaway, Kind
 from umbermoor.front.http2.stream_outcomes import Failed, StreamEnd, StreamProgress
 from umbermoor.http1.buffers import MAX_BODY_BYTES, Buffers, ByteQueue
 from umbermoor.http1.reader import Response
@@ -75,7 +75,7 @@
 class Session:
     def __init__(self, buffers: Buffers, now: int) -> None:
         self._buffers = buffers
-        self._splitter = Splitter(now)
+        self._splitter = FrameSplitter(now)
         self._codec = h2.connection.H2Connection(
             h2.config.H2Configuration(
                 client_side=True, header_encoding="latin-1", validate_inbound_headers=True
@@ -224,7 +224,7 @@
         for found in self._splitter.feed(now, data):
             if self.ended:
                 return
-            if isinstance(found, Wrong):
+            if isinstance(found, ConnectionFault):
                 self.speaks = self.speaks and found.speaks
                 self.give_up(StreamEnd.FAULT, found.what)
             elif isinstance(found, Goaway):
