--- a/umbermoor/front/lifecycle/scheduler.py
+++ b/umbermoor/front/lifecycle/scheduler.py
@@ -58,7 +58,7 @@
     cpu: Budget = field(default_factory=lambda: Budget(CPU_A_SECOND))
     moved: Budget = field(default_factory=lambda: Budget(BYTES_A_SECOND))
     tasks: list[Task] = field(default_factory=list)
-    told: Callable[[Task, str], None] = lambda task, what: None
+    report: Callable[[Task, str], None] = lambda task, what: None
     _wheel: Wheel | None = None
     _ready: list[Task] = field(default_factory=list)
 
@@ -130,14 +130,14 @@
         except Exception as error:  # it stops here: other work goes on
             task.faults += 1
             over = True
-            self.told(task, f"fault: {type(error).__name__}: {error}")
+            self.report(task, f"fault: {type(error).__name__}: {error}")
         took = max(1, self.clock() - now)
         self.cpu.left -= took
         task.slices += 1
         task.longest = max(task.longest, took)
         task.waits_since = now + took
         if took > SLICE_MOST:
-            self.told(task, f"a slice of {took} us")
+            self.report(task, f"a slice of {took} us")
         if over and not task.dropped:
             self._ready.remove(task)
             task.work = None
--- a/umbermoor/front/server/operations.py
+++ b/umbermoor/front/server/operations.py
@@ -63,7 +63,7 @@
         self._timer = self._work_timer = None
         self._scheduler = Scheduler(
             clock,
-            told=note_background_work,
+            report=note_background_work,
         )
         self._door = self._where = None
         if house.door is not None:
