--- a/umbermoor/front/capture/files.py
+++ b/umbermoor/front/capture/files.py
@@ -11,26 +11,26 @@
 
 log = logging.getLogger(__name__)
 
-EARLIER = ".1"  # the segment before the present one
+PREVIOUS_SUFFIX = ".1"  # the segment before the present one
 
 
 class Segments:
     """Two files at most, each up to half the bound: the present one, and the one before it. A fault
     ends the capture and leaves the front as it is."""
 
-    def __init__(self, path: str, most: int, begin: Callable[[], bytes]) -> None:
-        self._path, self._half, self._begin = path, most // 2, begin
+    def __init__(self, path: str, limit: int, begin: Callable[[], bytes]) -> None:
+        self._path, self._half, self._begin = path, limit // 2, begin
         self._file = None
         self._size = 0
-        self.over = False
+        self.ended = False
 
     def write(self, data: bytes) -> None:
-        if self.over:
+        if self.ended:
             return
         try:
             if self._file is not None and self._size + len(data) > self._half:
                 self._file.close()
-                os.replace(self._path, self._path + EARLIER)
+                os.replace(self._path, self._path + PREVIOUS_SUFFIX)
                 self._file = None
             if self._file is None:
                 self._open()
@@ -41,14 +41,14 @@
 
     def _open(self) -> None:
         if os.path.exists(self._path):  # of an earlier start: kept as the segment before
-            os.replace(self._path, self._path + EARLIER)
+            os.replace(self._path, self._path + PREVIOUS_SUFFIX)
         self._file = open(self._path, "xb", buffering=0)
         head = file_head() + self._begin()
         self._file.write(head)
         self._size = len(head)
 
     def _end(self, error: OSError) -> None:
-        self.over = True
+        self.ended = True
         note(
             log, "capture ended", logging.WARNING, path=self._path, why=error.strerror or str(error)
         )
@@ -82,7 +82,7 @@
     """The segment before, if there is one, and the present one; rows in order of their coming.
     Raises Unreadable where there is nothing to read at all."""
     header, rows, damage = None, [], []
-    paths = [one for one in (path + EARLIER, path) if Path(one).exists()]
+    paths = [one for one in (path + PREVIOUS_SUFFIX, path) if Path(one).exists()]
     if not paths:
         raise Unreadable(f"{path}: no such file")
     for one in paths:
--- a/umbermoor/front/capture/frames.py
+++ b/umbermoor/front/capture/frames.py
@@ -25,10 +25,10 @@
 _ROWS = Struct("<QHI")
 _MACHINE = Struct("<HQ")
 _ROW = Struct("<IBBBBIIHHIII")
-MARK = b"Fr"
+FRAME_MARK = b"Fr"
 HEAD, ROWS = ord("H"), ord("R")
-MOST = 4 << 20  # bytes of a payload; a length beyond that is damage
-UNPACKED_MOST = 32 << 20
+MAX_PAYLOAD = 4 << 20  # bytes of a payload; a length beyond that is damage
+MAX_UNPACKED = 32 << 20
 NO_MACHINE = 0xFFFF
 REPEATED, HINTED = 1, 2
 
@@ -81,7 +81,7 @@
 
 
 def frame(kind: int, payload: bytes) -> bytes:
-    return _FRAME.pack(MARK, kind, 0, len(payload), zlib.crc32(payload, kind)) + payload
+    return _FRAME.pack(FRAME_MARK, kind, 0, len(payload), zlib.crc32(payload, kind)) + payload
 
 
 def header_frame(header: Header) -> bytes:
@@ -146,7 +146,7 @@
             yield Damage(at, "ends within a frame's head")
             return
         mark, kind, _, length, checksum = _FRAME.unpack_from(data, at)
-        if mark != MARK or length > MOST:
+        if mark != FRAME_MARK or length > MAX_PAYLOAD:
             yield Damage(at, "no frame begins here")
             return
         payload = data[at + _FRAME.size : at + _FRAME.size + length]
@@ -173,7 +173,7 @@
 
 def _read_rows(payload: bytes) -> list[Row]:
     unpacker = zlib.decompressobj()
-    body = unpacker.decompress(payload, UNPACKED_MOST)
+    body = unpacker.decompress(payload, MAX_UNPACKED)
     if unpacker.unconsumed_tail:
         raise ValueError("more than a frame may hold")
     base, machines, count = _ROWS.unpack_from(body)
--- a/umbermoor/front/capture/recorder.py
+++ b/umbermoor/front/capture/recorder.py
@@ -12,13 +12,13 @@
 from umbermoor.front.capture.frames import Header, Row, SeenMachine, header_frame, rows_frame
 from umbermoor.front.interface import Ending, Entry
 
-ROWS_MOST = 512  # of a frame
+MAX_ROWS = 512  # of a frame
 FRAME_EVERY = 2_000_000  # microseconds; a front that is killed loses no more than that
-HELD_MOST = 20_000  # queries noted at once; those beyond are counted, not noted
+MAX_TRACKED = 20_000  # queries noted at once; those beyond are counted, not noted
 
 
 @dataclass(slots=True)
-class _Held:
+class _TrackedQuery:
     came: int
     profile: int
     repeated: bool
@@ -36,9 +36,9 @@
         self, clock: Callable[[], int], header: Header, write: Callable[[bytes], None]
     ) -> None:
         self._clock, self._write, self.header = clock, write, header
-        self._held: dict[str, _Held] = {}
+        self._tracked: dict[str, _TrackedQuery] = {}
         self._rows: list[Row] = []
-        self._since = 0  # of the rows that wait
+        self._oldest_row_at = 0  # of the rows that wait
         self._machines: dict[str, SeenMachine] = {}
         self._open: Counter[str] = Counter()  # hand-offs that are out, by machine
         self.left_out = 0
@@ -57,17 +57,21 @@
                 self._machines.pop(entry.machine, None)
 
     def asked(self, query: str, profile: int, due: int, hint: int | None, repeated: bool) -> None:
-        if len(self._held) >= HELD_MOST:
+        if len(self._tracked) >= MAX_TRACKED:
             self.left_out += 1
         else:
-            self._held[query] = _Held(self._clock(), profile, repeated, hint, due)
+            self._tracked[query] = _TrackedQuery(self._clock(), profile, repeated, hint, due)
 
     def handed(self, query: str, machine: str) -> None:
-        held = self._held.get(query)
-        if held is not None:
-            held.hand_offs += 1
-            held.machine = self._machines.get(machine)
-            held.ahead, held.sent, held.served = self._open[machine], self._clock() - held.came, 0
+        tracked = self._tracked.get(query)
+        if tracked is not None:
+            tracked.hand_offs += 1
+            tracked.machine = self._machines.get(machine)
+            tracked.ahead, tracked.sent, tracked.served = (
+                self._open[machine],
+                self._clock() - tracked.came,
+                0,
+            )
         self._open[machine] += 1
 
     def ended(self, query: str, machine: str, ending: Ending, took: int) -> None:
@@ -75,40 +79,40 @@
         self._open[machine] -= 1
         if self._open[machine] <= 0:
             del self._open[machine]
-        held = self._held.get(query)
+        tracked = self._tracked.get(query)
         if (
-            held is not None
+            tracked is not None
             and ending is Ending.OK
-            and held.machine is not None
-            and held.machine.name == machine
+            and tracked.machine is not None
+            and tracked.machine.name == machine
         ):
-            held.served = took
+            tracked.served = took
 
     def closed(self, query: str, ending: str) -> None:
         """The final answer, or the client has left."""
-        held = self._held.pop(query, None)
-        if held is None:
+        tracked = self._tracked.pop(query, None)
+        if tracked is None:
             return
         now = self._clock()
         if not self._rows:
-            self._since = now
+            self._oldest_row_at = now
         self._rows.append(
             Row(
-                held.came,
-                held.profile,
-                held.repeated,
-                held.hint,
+                tracked.came,
+                tracked.profile,
+                tracked.repeated,
+                tracked.hint,
                 ending,
-                held.hand_offs,
-                now - held.came,
-                max(0, held.due - held.came),
-                held.machine,
-                held.ahead,
-                held.sent,
-                held.served,
+                tracked.hand_offs,
+                now - tracked.came,
+                max(0, tracked.due - tracked.came),
+                tracked.machine,
+                tracked.ahead,
+                tracked.sent,
+                tracked.served,
             )
         )
-        if len(self._rows) >= ROWS_MOST or now - self._since >= FRAME_EVERY:
+        if len(self._rows) >= MAX_ROWS or now - self._oldest_row_at >= FRAME_EVERY:
             self.flush()
 
     def flush(self) -> None:
--- a/umbermoor/front/http2/frames.py
+++ b/umbermoor/front/http2/frames.py
@@ -16,7 +16,7 @@
 MAX_EMPTY_FRAMES = (
     200  # frames that bring nothing (SETTINGS, PING, RST, empty DATA, unknown ...) at once,
 )
-IDLE_A_SECOND = 50  # and in a second from then on
+EMPTY_FRAMES_PER_SECOND = 50  # and in a second from then on
 MAX_GOAWAYS = 8
 FIRST = b"\x00\x00"  # a first frame is SETTINGS: short, so that its length opens with these
 
@@ -49,7 +49,7 @@
     speaks: bool = True  # whether it is HTTP/2 at all
 
 
-Found = bytes | Goaway | ConnectionFault
+FrameResult = bytes | Goaway | ConnectionFault
 
 
 class FrameSplitter:
@@ -59,7 +59,7 @@
         self._rest = b""
         self._first = True
         self._block = self._continuations = 0  # of the header block that is open
-        self._idle, self._idle_at = 0.0, now
+        self._empty, self._empty_at = 0.0, now
         self._goaways = 0
 
     @property
@@ -67,26 +67,30 @@
         """Whether the peer's first SETTINGS are here."""
         return not self._first
 
-    def feed(self, now: int, data: bytes) -> list[Found]:
+    def feed(self, now: int, data: bytes) -> list[FrameResult]:
         """Frames to pass on, in turn; a fault is the last thing found."""
-        found: list[Found] = []
-        run = self._rest + data
+        found: list[FrameResult] = []
+        buffered = self._rest + data
         at = 0
-        while len(run) - at >= HEAD:
-            length, kind, flags = int.from_bytes(run[at : at + 3]), run[at + 3], run[at + 4]
-            stream = int.from_bytes(run[at + 5 : at + 9]) & 0x7FFFFFFF
+        while len(buffered) - at >= HEAD:
+            length, kind, flags = (
+                int.from_bytes(buffered[at : at + 3]),
+                buffered[at + 3],
+                buffered[at + 4],
+            )
+            stream = int.from_bytes(buffered[at + 5 : at + 9]) & 0x7FFFFFFF
             if self._first and (kind != Kind.SETTINGS or stream or length > 1024 or flags & ACK):
                 found.append(ConnectionFault("does not open with SETTINGS", False))
                 return found
             if length > MAX_FRAME_BYTES:
                 found.append(ConnectionFault(f"a frame of {length} bytes"))
                 return found
-            if len(run) - at < HEAD + length:
+            if len(buffered) - at < HEAD + length:
                 break
-            frame = run[at : at + HEAD + length]
+            frame = buffered[at : at + HEAD + length]
             at += HEAD + length
             self._first = False
-            wrong = self._bounds(now, kind, flags, length, frame)
+            wrong = self._check_limits(now, kind, flags, length, frame)
             if wrong is not None:
                 found.append(wrong)
                 return found
@@ -99,12 +103,12 @@
                 )
             else:
                 found.append(frame)
-        self._rest = run[at:]
+        self._rest = buffered[at:]
         if self._first and self._rest and not b"\x00\x00".startswith(self._rest[:2]):
             found.append(ConnectionFault("does not speak HTTP/2", False))
         return found
 
-    def _bounds(
+    def _check_limits(
         self, now: int, kind: int, flags: int, length: int, frame: bytes
     ) -> ConnectionFault | None:
         if kind in (Kind.HEADERS, Kind.PUSH_PROMISE):
@@ -123,18 +127,20 @@
             return (
                 ConnectionFault("GOAWAY again and again") if self._goaways > MAX_GOAWAYS else None
             )
-        brings = kind in (Kind.HEADERS, Kind.CONTINUATION) or (
+        has_content = kind in (Kind.HEADERS, Kind.CONTINUATION) or (
             kind == Kind.DATA
             and (
                 flags & END_STREAM or length > (1 + frame[HEAD] if flags & PADDED and length else 0)
             )
         )
-        if brings:
+        if has_content:
             return None
-        self._idle = max(0.0, self._idle - (now - self._idle_at) * IDLE_A_SECOND / 1e6) + 1
-        self._idle_at = now
+        self._empty = (
+            max(0.0, self._empty - (now - self._empty_at) * EMPTY_FRAMES_PER_SECOND / 1e6) + 1
+        )
+        self._empty_at = now
         return (
             ConnectionFault("frames that bring nothing, too many at once")
-            if self._idle > MAX_EMPTY_FRAMES
+            if self._empty > MAX_EMPTY_FRAMES
             else None
         )
--- a/umbermoor/front/http2/pool.py
+++ b/umbermoor/front/http2/pool.py
@@ -9,21 +9,21 @@
 from dataclasses import dataclass, field
 from math import log
 
-LINKS_MOST = 4  # connections to one machine
-AHEAD = (
+MAX_LINKS = 4  # connections to one machine
+OPEN_AHEAD_SHARE = (
     0.75  # another is opened once the streams in use reach this part of what the usable ones take
 )
-IDLE_MOST = 30_000_000  # a connection without streams is closed after this
+MAX_IDLE = 30_000_000  # a connection without streams is closed after this
 # phi from which a silent connection is pinged: a silence as long has a probability of 10^-phi
-DOUBT = 3.0
-PING_LEAST = 250_000  # and the silence that is pinged at the least
+PING_PHI = 3.0
+MIN_PING_WAIT = 250_000  # and the silence that is pinged at the least
 # an unanswered PING after which it is given up, at the most; sooner where answers are quick
-PING_WAIT = 1_000_000
-PING_TIMES = 20.0  # so many usual gaps
-LEARN = 0.2  # weight of the newest gap
-FALLBACK = 60_000_000  # how long a machine that does not speak HTTP/2 is asked in HTTP/1.1
+MAX_PING_WAIT = 1_000_000
+PING_WAIT_GAPS = 20.0  # so many usual gaps
+GAP_WEIGHT = 0.2  # weight of the newest gap
+HTTP1_FALLBACK = 60_000_000  # how long a machine that does not speak HTTP/2 is asked in HTTP/1.1
 # after this time without one, a connection that has not said its SETTINGS is given up
-PROVEN_WAIT = 5_000_000
+SETTINGS_TIMEOUT = 5_000_000
 
 
 @dataclass(slots=True, eq=False)
@@ -44,7 +44,7 @@
         """Something came."""
         if self.busy_since:
             since = max(self.heard, self.busy_since)
-            self.gap += (now - since - self.gap) * (LEARN if self.gap else 1.0)
+            self.gap += (now - since - self.gap) * (GAP_WEIGHT if self.gap else 1.0)
         self.heard = now
 
     def phi(self, now: int) -> float:
@@ -67,15 +67,15 @@
         return now >= self.plain_until
 
     def use_http1(self, now: int) -> None:
-        self.plain_until = now + FALLBACK
+        self.plain_until = now + HTTP1_FALLBACK
 
     def pick_link(self) -> Link | None:
         """The link for the next query: the one that has the largest part free. Those that have not
         said their SETTINGS come last, as nothing is sent there yet. None: a connection has to be
         opened first, or all are full."""
-        fit = [one for one in self.links if one.usable and one.streams < max(1, one.limit)]
+        candidates = [one for one in self.links if one.usable and one.streams < max(1, one.limit)]
         return min(
-            fit,
+            candidates,
             key=lambda one: (not one.settled, one.streams / max(1, one.limit), one.made),
             default=None,
         )
@@ -84,10 +84,10 @@
         """Before the limit binds. One that drains does not count: its successor is opened while it
         goes on."""
         usable = [one for one in self.links if one.usable]
-        if self.opening or len(usable) + self.opening >= LINKS_MOST:
+        if self.opening or len(usable) + self.opening >= MAX_LINKS:
             return False
         used, room = sum(one.streams for one in usable), sum(one.limit for one in usable)
-        return used >= AHEAD * room
+        return used >= OPEN_AHEAD_SHARE * room
 
     def least_loaded_link(self) -> Link | None:
         """Where a query waits if nothing has room and nothing more may be opened: with the
@@ -100,7 +100,7 @@
 
 
 def ping_timeout(link: Link) -> int:
-    return round(min(PING_WAIT, max(PING_LEAST, PING_TIMES * link.gap)))
+    return round(min(MAX_PING_WAIT, max(MIN_PING_WAIT, PING_WAIT_GAPS * link.gap)))
 
 
 def classify_links(now: int, links: Iterable[Link]) -> tuple[list[Link], list[Link], list[Link]]:
@@ -112,12 +112,14 @@
             if now - one.pinged >= ping_timeout(one):
                 dead.append(one)
         elif not one.settled:
-            if now - one.made >= PROVEN_WAIT:
+            if now - one.made >= SETTINGS_TIMEOUT:
                 dead.append(one)
         elif (
-            one.busy_since and now - since >= PING_LEAST and (one.phi(now) >= DOUBT or not one.gap)
+            one.busy_since
+            and now - since >= MIN_PING_WAIT
+            and (one.phi(now) >= PING_PHI or not one.gap)
         ):
             ping.append(one)
-        elif not one.busy_since and now - max(one.heard, one.made) >= IDLE_MOST:
+        elif not one.busy_since and now - max(one.heard, one.made) >= MAX_IDLE:
             idle.append(one)
     return ping, dead, idle
--- a/umbermoor/front/http2/session.py
+++ b/umbermoor/front/http2/session.py
@@ -23,13 +23,13 @@
 from umbermoor.http1.buffers import MAX_BODY_BYTES, Buffers, ByteQueue
 from umbermoor.http1.reader import Response
 
-NO_LAST = 0x7FFFFFFF  # a GOAWAY with this only says that the end is near
+GOAWAY_ANNOUNCED = 0x7FFFFFFF  # a GOAWAY with this only says that the end is near
 STREAM_WINDOW = MAX_BODY_BYTES  # an answer fits: no stream waits for us
 CONNECTION_WINDOW = 1 << 20  # so that one slow body does not stall the others
 ASSUMED_STREAMS = 100  # until the peer says how many; RFC 9113 asks for no less
-LAST_STREAM = (1 << 31) - 1
-INTERIM_MOST = 16  # 1xx answers before one answer
-HEADERS_MOST = 64  # names in an answer's head
+MAX_STREAM_ID = (1 << 31) - 1
+MAX_INTERIM = 16  # 1xx answers before one answer
+MAX_HEADERS = 64  # names in an answer's head
 
 Outcome = Response | Failed
 
@@ -62,12 +62,12 @@
 class _Stream:
     """A call on a stream, and its answer as far as it is here."""
 
-    __slots__ = ("call", "closed", "headers", "interim", "rest", "run", "status")
+    __slots__ = ("call", "closed", "headers", "interim", "unsent", "received", "status")
 
     def __init__(self, call: Call, buffers: Buffers) -> None:
-        self.call, self.rest = call, call.body
+        self.call, self.unsent = call, call.body
         self.status, self.headers = 0, {}
-        self.run = ByteQueue(buffers)
+        self.received = ByteQueue(buffers)
         self.interim = 0
         self.closed = False  # on our side: END_STREAM was handed on
 
@@ -98,7 +98,7 @@
         self._written: _Stream | None = (
             None  # its END_STREAM is the last thing that was handed to the kernel
         )
-        self._last = NO_LAST  # of the peer's GOAWAY
+        self._last = GOAWAY_ANNOUNCED  # of the peer's GOAWAY
         self.draining = False  # a GOAWAY came: no new stream
         self.ended = False
         self.speaks = True  # HTTP/2, as far as is known
@@ -136,7 +136,7 @@
         return (
             not self.ended
             and not self.draining
-            and self._codec.highest_outbound_stream_id < LAST_STREAM - 2
+            and self._codec.highest_outbound_stream_id < MAX_STREAM_ID - 2
         )
 
     # What is asked.
@@ -178,41 +178,41 @@
         if data := self._codec.data_to_send():
             return data
         for number, stream in self._streams.items():
-            if not stream.closed and (data := self._send_rest(number, stream)):
+            if not stream.closed and (data := self._send_body(number, stream)):
                 return data
-        while self._waiting and self._room():
+        while self._waiting and self._may_open_stream():
             call = self._waiting.popleft()
             if call.over:
                 continue
             if not call.may_go():
                 call.fail(StreamEnd.WITHDRAWN)
                 continue
-            return self._begin(call)
+            return self._start_stream(call)
         return b""
 
-    def _room(self) -> bool:
+    def _may_open_stream(self) -> bool:
         return self.settled and self.usable and len(self._streams) < self.limit
 
-    def _begin(self, call: Call) -> bytes:
+    def _start_stream(self, call: Call) -> bytes:
         number = self._codec.get_next_available_stream_id()
         stream = _Stream(call, self._buffers)
         call.stream, call.progress = number, StreamProgress.PART
         self._streams[number] = stream
         self._codec.send_headers(number, call.headers, end_stream=not call.body)
         if call.body:
-            return self._codec.data_to_send() + self._send_rest(number, stream)
+            return self._codec.data_to_send() + self._send_body(number, stream)
         stream.closed, self._written = True, stream
         return self._codec.data_to_send()
 
-    def _send_rest(self, number: int, stream: _Stream) -> bytes:
+    def _send_body(self, number: int, stream: _Stream) -> bytes:
         room = min(
             self._codec.local_flow_control_window(number), self._codec.max_outbound_frame_size
         )
         if room <= 0:
             return b""
-        part, stream.rest = stream.rest[:room], stream.rest[room:]
-        self._codec.send_data(number, part, end_stream=not stream.rest)
-        if not stream.rest:
+        part, stream.unsent = stream.unsent[:room], stream.unsent[room:]
+        self._codec.send_data(number, part, end_stream=not stream.unsent)
+        if not stream.unsent:
             stream.closed, self._written = True, stream
         return self._codec.data_to_send()
 
@@ -228,11 +228,11 @@
                 self.speaks = self.speaks and found.speaks
                 self.give_up(StreamEnd.FAULT, found.what)
             elif isinstance(found, Goaway):
-                self._goaway(found)
-            elif not self._passed_over(found):
+                self._handle_goaway(found)
+            elif not self._is_abandoned_head(found):
                 self._decode(found)
 
-    def _passed_over(self, frame: bytes) -> bool:
+    def _is_abandoned_head(self, frame: bytes) -> bool:
         """Heads for streams that we have given up on. Threat: the codec takes some of them for a
         fault of the connection,
         and one query's time-out ends its neighbours."""
@@ -265,10 +265,10 @@
             elif isinstance(event, h2.events.ConnectionTerminated):
                 self.give_up(StreamEnd.FAULT, "the codec ended it")
             elif (number := getattr(event, "stream_id", None)) and number in self._streams:
-                self._tell(number, self._streams[number], event)
-        self._let_flow(events)
+                self._dispatch(number, self._streams[number], event)
+        self._acknowledge_data(events)
 
-    def _let_flow(self, events: list) -> None:
+    def _acknowledge_data(self, events: list) -> None:
         """All that came is ours already: the windows open again at once. What we hold of it is
         bounded by the buffers."""
         for event in events:
@@ -284,33 +284,33 @@
                 except h2.exceptions.ProtocolError:  # the stream is over
                     continue
 
-    def _tell(self, number: int, stream: _Stream, event: h2.events.Event) -> None:
+    def _dispatch(self, number: int, stream: _Stream, event: h2.events.Event) -> None:
         call = stream.call
         match event:
             case h2.events.InformationalResponseReceived():
                 stream.interim += 1
-                if stream.interim > INTERIM_MOST:
-                    self._spoilt(number)
+                if stream.interim > MAX_INTERIM:
+                    self._reject_answer(number)
             case h2.events.ResponseReceived():
-                self._head(number, stream, event)
+                self._read_head(number, stream, event)
             case h2.events.DataReceived():
                 call.progress = (
                     max(call.progress, StreamProgress.ANSWERING)
                     if call.progress >= StreamProgress.WHOLE
                     else call.progress
                 )
-                if stream.run.size + len(event.data) > MAX_BODY_BYTES or not stream.run.append(
-                    memoryview(event.data)
-                ):
-                    self._spoilt(number)
+                if stream.received.size + len(
+                    event.data
+                ) > MAX_BODY_BYTES or not stream.received.append(memoryview(event.data)):
+                    self._reject_answer(number)
             case h2.events.StreamEnded():
-                self._answered(number, stream)
+                self._finish_answer(number, stream)
             case h2.events.StreamReset():
                 self._forget(number)
                 refused = event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM
                 call.fail(StreamEnd.REFUSED if refused else StreamEnd.RESET)
 
-    def _head(self, number: int, stream: _Stream, event: h2.events.ResponseReceived) -> None:
+    def _read_head(self, number: int, stream: _Stream, event: h2.events.ResponseReceived) -> None:
         call = stream.call
         if call.progress >= StreamProgress.WHOLE:
             call.progress = StreamProgress.ANSWERING
@@ -318,25 +318,25 @@
         for name, value in event.headers or ():
             headers[name] = f"{headers[name]}, {value}" if name in headers else value
         status = headers.pop(":status", "")
-        if len(headers) > HEADERS_MOST or not (
+        if len(headers) > MAX_HEADERS or not (
             status.isascii() and status.isdigit() and len(status) == 3
         ):
-            self._spoilt(number)
+            self._reject_answer(number)
             return
         stream.status, stream.headers = int(status), headers
 
-    def _answered(self, number: int, stream: _Stream) -> None:
-        call, body = stream.call, stream.run.copy(0, stream.run.size)
+    def _finish_answer(self, number: int, stream: _Stream) -> None:
+        call, body = stream.call, stream.received.copy(0, stream.received.size)
         whole = stream.closed and call.progress >= StreamProgress.WHOLE
         length = stream.headers.get("content-length")
         if not whole or not stream.status or (length is not None and length != str(len(body))):
-            self._spoilt(number)  # before the query's end, or not what it says
+            self._reject_answer(number)  # before the query's end, or not what it says
             return
         self.answered += 1
         self._forget(number)
         call.settle(Response(stream.status, stream.headers, body, True))
 
-    def _spoilt(self, number: int) -> None:
+    def _reject_answer(self, number: int) -> None:
         call = self._streams[number].call
         self._reset(number, h2.errors.ErrorCodes.CANCEL)
         call.fail(StreamEnd.GARBLED)
@@ -351,11 +351,11 @@
 
     def _forget(self, number: int) -> None:
         stream = self._streams.pop(number)
-        stream.run.discard(stream.run.size)
+        stream.received.discard(stream.received.size)
         if self._written is stream:
             self._written = None
 
-    def _goaway(self, found: Goaway) -> None:
+    def _handle_goaway(self, found: Goaway) -> None:
         """Streams above the last never ran; those at or below it are still out, and may be
         answered."""
         if found.last > self._last:
--- a/umbermoor/front/lifecycle/admin_calls.py
+++ b/umbermoor/front/lifecycle/admin_calls.py
@@ -18,7 +18,7 @@
 from umbermoor.http1.reader import Request
 
 MIN_TOKEN_LENGTH = 16  # characters
-DEADLINE_MOST = 3600.0
+MAX_DEADLINE_S = 3600.0
 
 
 class AdminResponse(NamedTuple):
@@ -35,9 +35,9 @@
 
     def answer(self, request: Request) -> AdminResponse:
         if self._token and not self._allowed(request.headers.get("authorization", "")):
-            return _said(401, {"error": "a token is needed: Authorization: Bearer TOKEN"})
+            return _json_response(401, {"error": "a token is needed: Authorization: Bearer TOKEN"})
         path = request.target.partition("?")[0]
-        known = {
+        methods = {
             "/status": "GET",
             "/members": "GET",
             "/hands": "GET",
@@ -46,20 +46,22 @@
             "/drain": "POST",
             "/resume": "POST",
         }
-        if path not in known:
-            return _said(404, {"error": f"no such way; there are {', '.join(sorted(known))}"})
-        if request.method != known[path]:
-            return _said(405, {"error": f"{path} is asked with {known[path]}"})
+        if path not in methods:
+            return _json_response(
+                404, {"error": f"no such way; there are {', '.join(sorted(methods))}"}
+            )
+        if request.method != methods[path]:
+            return _json_response(405, {"error": f"{path} is asked with {methods[path]}"})
         if path == "/metrics":
             return AdminResponse(200, self._front["metrics"](), "text/plain; version=0.0.4")
         if path == "/drain":
-            within = self._deadline(request.body)
-            if isinstance(within, AdminResponse):
-                return within
-            return _said(200, {"answer": self._front["drain"](within)})
+            deadline = self._deadline(request.body)
+            if isinstance(deadline, AdminResponse):
+                return deadline
+            return _json_response(200, {"answer": self._front["drain"](deadline)})
         if path == "/resume":
-            return _said(200, {"answer": self._front["resume"]()})
-        return _said(200, self._front[path[1:]]())
+            return _json_response(200, {"answer": self._front["resume"]()})
+        return _json_response(200, self._front[path[1:]]())
 
     def _allowed(self, given: str) -> bool:
         """In constant time, whatever was given."""
@@ -72,23 +74,23 @@
             return None
         try:
             given = orjson.loads(body)
-            within = given.get("deadline_s") if isinstance(given, dict) else given
+            deadline = given.get("deadline_s") if isinstance(given, dict) else given
         except orjson.JSONDecodeError as error:
-            return _said(400, {"error": f"no JSON: {error}"})
-        if within is None and isinstance(given, dict):
+            return _json_response(400, {"error": f"no JSON: {error}"})
+        if deadline is None and isinstance(given, dict):
             return None
         if (
-            isinstance(within, bool)
-            or not isinstance(within, int | float)
-            or not 0 <= within <= DEADLINE_MOST
+            isinstance(deadline, bool)
+            or not isinstance(deadline, int | float)
+            or not 0 <= deadline <= MAX_DEADLINE_S
         ):
-            return _said(
-                400, {"error": f"deadline_s: expected seconds from 0 to {DEADLINE_MOST:g}"}
+            return _json_response(
+                400, {"error": f"deadline_s: expected seconds from 0 to {MAX_DEADLINE_S:g}"}
             )
-        return round(within * 1e6)
+        return round(deadline * 1e6)
 
 
-def _said(status: int, given: Any) -> AdminResponse:
+def _json_response(status: int, given: Any) -> AdminResponse:
     return AdminResponse(status, orjson.dumps(given) + b"\n")
 
 
--- a/umbermoor/front/lifecycle/command.py
+++ b/umbermoor/front/lifecycle/command.py
@@ -38,21 +38,21 @@
 import orjson
 from docopt import docopt
 
-WITHIN = 5.0  # seconds
+TIMEOUT = 5.0  # seconds
 
 
 class Unanswered(Exception):
     pass
 
 
-class _Unix(http.client.HTTPConnection):
+class _UnixConnection(http.client.HTTPConnection):
     def __init__(self, path: str) -> None:
-        super().__init__("localhost", timeout=WITHIN)
+        super().__init__("localhost", timeout=TIMEOUT)
         self._path = path
 
     def connect(self) -> None:
         self.sock = socket.socket(socket.AF_UNIX)
-        self.sock.settimeout(WITHIN)
+        self.sock.settimeout(TIMEOUT)
         self.sock.connect(self._path)
 
 
@@ -62,12 +62,12 @@
     """One question to the door. Raises Unanswered."""
     try:
         if where.startswith("unix:"):
-            line: http.client.HTTPConnection = _Unix(where.removeprefix("unix:"))
+            connection: http.client.HTTPConnection = _UnixConnection(where.removeprefix("unix:"))
         else:
-            line = http.client.HTTPConnection(where, timeout=WITHIN)
+            connection = http.client.HTTPConnection(where, timeout=TIMEOUT)
         headers = {"Authorization": f"Bearer {Path(token).read_text().strip()}"} if token else {}
-        line.request(method, path, orjson.dumps(body) if body else None, headers)
-        answer = line.getresponse()
+        connection.request(method, path, orjson.dumps(body) if body else None, headers)
+        answer = connection.getresponse()
         return answer.status, answer.read()
     except (OSError, http.client.HTTPException) as error:
         raise Unanswered(f"{where}: {error}") from None
@@ -97,23 +97,23 @@
                 file=sys.stderr,
             )
             return 2
-        status, said = ask(where, "POST", "/drain", body, token)
+        status, answer = ask(where, "POST", "/drain", body, token)
     elif given["resume"]:
-        status, said = ask(where, "POST", "/resume", None, token)
+        status, answer = ask(where, "POST", "/resume", None, token)
     else:
         name = next(
             one for one in ("status", "hands", "config", "metrics", "members") if given[one]
         )
-        status, said = ask(where, "GET", f"/{name}", None, token)
+        status, answer = ask(where, "GET", f"/{name}", None, token)
     if status != 200:
-        print(f"umbermoor: {status}: {said.decode(errors='replace').strip()}", file=sys.stderr)
+        print(f"umbermoor: {status}: {answer.decode(errors='replace').strip()}", file=sys.stderr)
         return 1
     if given["status"] and not given["--json"]:
-        print(told(orjson.loads(said)))
+        print(status_line(orjson.loads(answer)))
     elif given["members"]:
-        print("\n".join(orjson.loads(said)))
+        print("\n".join(orjson.loads(answer)))
     else:
-        print(said.decode().strip())
+        print(answer.decode().strip())
     return _until_drained(where, token) if given["--wait"] else 0
 
 
@@ -128,7 +128,7 @@
         time.sleep(0.1)
 
 
-def told(status: dict[str, Any]) -> str:
+def status_line(status: dict[str, Any]) -> str:
     left = "" if status["deadline_s"] is None else f", {status['deadline_s']:.1f} s to its deadline"
     return (
         f"{status['name']}: {status['state']}{left}; {status['in_hand']} in hand, {status['clients']} clients, "
@@ -139,7 +139,7 @@
 def _view(status: dict[str, Any]):
     from rich.table import Table
 
-    table = Table(title=told(status))
+    table = Table(title=status_line(status))
     for name in ("profile", "in hand", "oldest ms"):
         table.add_column(name)
     for name, row in status["profiles"].items():
@@ -155,11 +155,11 @@
     until = time.monotonic() + seconds
     with Live(refresh_per_second=4) as live:
         while time.monotonic() < until:
-            said = ask(where, "GET", "/status", None, token)[1]
+            answer = ask(where, "GET", "/status", None, token)[1]
             if record:
                 with open(record, "ab") as file:
-                    file.write(said.strip() + b"\n")
-            live.update(_view(orjson.loads(said)))
+                    file.write(answer.strip() + b"\n")
+            live.update(_view(orjson.loads(answer)))
             time.sleep(0.25)
     return 0
 
@@ -169,8 +169,8 @@
 
     console = Console()
     try:
-        for line in Path(path).read_bytes().splitlines():
-            console.print(_view(orjson.loads(line)))
+        for connection in Path(path).read_bytes().splitlines():
+            console.print(_view(orjson.loads(connection)))
     except (OSError, orjson.JSONDecodeError, KeyError) as error:
         print(f"umbermoor: {path}: {error!r}", file=sys.stderr)
         return 2
--- a/umbermoor/front/lifecycle/drain_keeper.py
+++ b/umbermoor/front/lifecycle/drain_keeper.py
@@ -12,12 +12,12 @@
 from umbermoor.front.lifecycle.states import CLOSES, TABLE, UP, VOTES, Event, State
 
 SECOND = 1_000_000
-DEADLINE = 30 * SECOND  # of a drain that names none
-LONGEST = 3600 * SECOND
-RAMP = 5 * SECOND  # from a return until all is taken again
-RAMP_LEAST = 4  # queries at once that a front which is back takes at first
+DEFAULT_DEADLINE = 30 * SECOND  # of a drain that names none
+MAX_DEADLINE = 3600 * SECOND
+RAMP_TIME = 5 * SECOND  # from a return until all is taken again
+RAMP_START = 4  # queries at once that a front which is back takes at first
 BACK_IN = SECOND  # when to come back, for who is turned away
-EMPTY_FOR = (
+DRAINED_AFTER = (
     SECOND // 10
 )  # so long with nothing in hand, and it is drained: a query that crosses is still read
 
@@ -28,7 +28,7 @@
     FORGET = "evidence is too old to vote on"
 
 
-class Entry(NamedTuple):
+class StateChange(NamedTuple):
     """One change, for the operators."""
 
     at: int
@@ -37,14 +37,14 @@
 
 
 class DrainKeeper:
-    def __init__(self, now: int, room: int) -> None:
+    def __init__(self, now: int, capacity: int) -> None:
         """``room``: queries at once that the front can hold at the most."""
-        self.state, self._room = State.STARTING, max(RAMP_LEAST, room)
+        self.state, self._capacity = State.STARTING, max(RAMP_START, capacity)
         self.deadline: int | None = None
-        self._back_at = 0  # when it came back
+        self._resumed_at = 0  # when it came back
         self._empty_since: int | None = None
-        self._dues: list[DrainAction] = []
-        self.history: list[Entry] = [Entry(now, self.state, "start")]
+        self._actions: list[DrainAction] = []
+        self.history: list[StateChange] = [StateChange(now, self.state, "start")]
 
     # Commands.
 
@@ -59,11 +59,13 @@
         if self.state is State.DRAINED:
             return "drained already"
         again = self.state is State.DRAINING
-        self.deadline = now + min(LONGEST, max(0, DEADLINE if within is None else within))
+        self.deadline = now + min(
+            MAX_DEADLINE, max(0, DEFAULT_DEADLINE if within is None else within)
+        )
         self._move(now, Event.DRAIN, "asked to drain")
         if not again:
             self._empty_since = None
-            self._dues.append(DrainAction.CLOSE_IDLE)
+            self._actions.append(DrainAction.CLOSE_IDLE)
         return "the deadline is moved" if again else "draining"
 
     def resume(self, now: int) -> str:
@@ -72,11 +74,11 @@
                 self.state, "in service already"
             )
         drained = self.state is State.DRAINED
-        self._back_at, self.deadline = now, None
-        self._dues = [one for one in self._dues if one is not DrainAction.CLOSE_IDLE]
+        self._resumed_at, self.deadline = now, None
+        self._actions = [one for one in self._actions if one is not DrainAction.CLOSE_IDLE]
         self._move(now, Event.RESUME, "asked to resume")
         if drained:
-            self._dues.append(DrainAction.FORGET)
+            self._actions.append(DrainAction.FORGET)
         return "resuming"
 
     def leave(self, now: int) -> None:
@@ -96,9 +98,12 @@
         """Queries at once that it takes: few at first, and then more in step with the time since
         its return."""
         if self.state is not State.RESUMING:
-            return self._room
+            return self._capacity
         return (
-            RAMP_LEAST + (self._room - RAMP_LEAST) * max(0, min(RAMP, now - self._back_at)) // RAMP
+            RAMP_START
+            + (self._capacity - RAMP_START)
+            * max(0, min(RAMP_TIME, now - self._resumed_at))
+            // RAMP_TIME
         )
 
     @property
@@ -119,9 +124,11 @@
         times = []
         if self.state is State.DRAINING:
             times.append(self.deadline)
-            times.append((self._empty_since if self._empty_since is not None else now) + EMPTY_FOR)
+            times.append(
+                (self._empty_since if self._empty_since is not None else now) + DRAINED_AFTER
+            )
         if self.state is State.RESUMING:
-            times.append(self._back_at + RAMP)
+            times.append(self._resumed_at + RAMP_TIME)
         return min((one for one in times if one is not None), default=None)
 
     def tick(self, now: int, in_hand: int) -> list[DrainAction]:
@@ -134,20 +141,20 @@
                 self._empty_since = now
             if self.deadline is not None and now >= self.deadline:
                 if in_hand:
-                    self._dues.append(DrainAction.GIVE_UP)
+                    self._actions.append(DrainAction.GIVE_UP)
                 else:
                     self._move(now, Event.DEADLINE, "the deadline has come")
-            elif self._empty_since is not None and now >= self._empty_since + EMPTY_FOR:
+            elif self._empty_since is not None and now >= self._empty_since + DRAINED_AFTER:
                 self._move(now, Event.EMPTY, "nothing is in hand")
-        elif self.state is State.RESUMING and now >= self._back_at + RAMP:
+        elif self.state is State.RESUMING and now >= self._resumed_at + RAMP_TIME:
             self._move(now, Event.RAMPED, "all is taken again")
-        dues, self._dues = self._dues, []
-        return dues
+        actions, self._actions = self._actions, []
+        return actions
 
     def _move(self, now: int, event: Event, why: str) -> None:
         state = TABLE[self.state, event]
         if state is not self.state:
             self.state = state
-            self.history = [*self.history[-63:], Entry(now, state, why)]
+            self.history = [*self.history[-63:], StateChange(now, state, why)]
             if state is State.DRAINED:
                 self.deadline = None
--- a/umbermoor/front/lifecycle/scheduler.py
+++ b/umbermoor/front/lifecycle/scheduler.py
@@ -13,12 +13,12 @@
 from umbermoor.front.lifecycle.timing_wheel import Timer, Wheel
 
 SECOND = 1_000_000
-SLICE_MOST = 5_000  # microseconds that a slice should hold the core at the most
-CPU_A_SECOND = 50_000  # microseconds of the core in a second, for all background work
-BYTES_A_SECOND = 4 << 20
+MAX_SLICE = 5_000  # microseconds that a slice should hold the core at the most
+CPU_PER_SECOND = 50_000  # microseconds of the core in a second, for all background work
+BYTES_PER_SECOND = 4 << 20
 BURST = 0.2  # seconds' worth of budget that may be spent at once
 AGEING = SECOND // 2  # waiting so long is worth one step of priority
-PRESSED_WAIT = 5 * SECOND  # what has waited so long runs though the host is pressed
+MAX_PRESSED_WAIT = 5 * SECOND  # what has waited so long runs though the host is pressed
 GRAIN = 10_000
 
 Work = Generator[int, None, None]
@@ -43,20 +43,20 @@
 @dataclass(slots=True)
 class Budget:
     rate: float  # a second
-    left: float = 0.0
+    remaining: float = 0.0
     at: int = 0
 
     def fill(self, now: int) -> None:
-        most = self.rate * BURST
-        self.left = min(most, self.left + self.rate * max(0, now - self.at) / SECOND)
+        limit = self.rate * BURST
+        self.remaining = min(limit, self.remaining + self.rate * max(0, now - self.at) / SECOND)
         self.at = now
 
 
 @dataclass(slots=True)
 class Scheduler:
     clock: Callable[[], int]
-    cpu: Budget = field(default_factory=lambda: Budget(CPU_A_SECOND))
-    moved: Budget = field(default_factory=lambda: Budget(BYTES_A_SECOND))
+    cpu: Budget = field(default_factory=lambda: Budget(CPU_PER_SECOND))
+    moved: Budget = field(default_factory=lambda: Budget(BYTES_PER_SECOND))
     tasks: list[Task] = field(default_factory=list)
     report: Callable[[Task, str], None] = lambda task, what: None
     _wheel: Wheel | None = None
@@ -66,7 +66,7 @@
         now = self.clock()
         self._wheel = Wheel(now, GRAIN)
         for one in (self.cpu, self.moved):
-            one.at, one.left = now, one.rate * BURST
+            one.at, one.remaining = now, one.rate * BURST
 
     def add(
         self, name: str, priority: int, make: Callable[[], Work], every: int = 0, after: int = 0
@@ -94,7 +94,9 @@
         now = self.clock()
         if self._ready:
             short = [
-                -one.left / one.rate * SECOND for one in (self.cpu, self.moved) if one.left <= 0
+                -one.remaining / one.rate * SECOND
+                for one in (self.cpu, self.moved)
+                if one.remaining <= 0
             ]
             return now + round(max(short, default=0)) + (GRAIN if short else 0)
         return self._wheel.next_at()
@@ -108,13 +110,13 @@
             self._ready.append(task)
         self.cpu.fill(now)
         self.moved.fill(now)
-        if not self._ready or self.cpu.left <= 0 or self.moved.left <= 0:
+        if not self._ready or self.cpu.remaining <= 0 or self.moved.remaining <= 0:
             return 0
         task = min(
             self._ready,
             key=lambda one: (one.priority - (now - one.waits_since) // AGEING, one.waits_since),
         )
-        if pressed and now - task.waits_since < PRESSED_WAIT:
+        if pressed and now - task.waits_since < MAX_PRESSED_WAIT:
             return 0
         return self._slice(task, now)
 
@@ -122,23 +124,23 @@
         if task.work is None:
             task.work = task.make()
             task.runs += 1
-        over = False
+        finished = False
         try:
-            self.moved.left -= next(task.work)
+            self.moved.remaining -= next(task.work)
         except StopIteration:
-            over = True
+            finished = True
         except Exception as error:  # it stops here: other work goes on
             task.faults += 1
-            over = True
+            finished = True
             self.report(task, f"fault: {type(error).__name__}: {error}")
         took = max(1, self.clock() - now)
-        self.cpu.left -= took
+        self.cpu.remaining -= took
         task.slices += 1
         task.longest = max(task.longest, took)
         task.waits_since = now + took
-        if took > SLICE_MOST:
+        if took > MAX_SLICE:
             self.report(task, f"a slice of {took} us")
-        if over and not task.dropped:
+        if finished and not task.dropped:
             self._ready.remove(task)
             task.work = None
             if task.every:
--- a/umbermoor/front/lifecycle/snapshot.py
+++ b/umbermoor/front/lifecycle/snapshot.py
@@ -12,9 +12,9 @@
 from umbermoor.front.sealed_files import UnusableFile, read_file, replace_file, sealed, unsealed
 
 MAGIC, VERSION = b"UMSNAP", 1
-MOST = 4 << 20
-OLD = 600_000_000  # microseconds after which nothing of it is of use
-SPEEDS_FOR = 120_000_000  # and after which machines may have become others
+MAX_BYTES = 4 << 20
+MAX_AGE = 600_000_000  # microseconds after which nothing of it is of use
+MAX_SPEEDS_AGE = 120_000_000  # and after which machines may have become others
 
 
 class MachineSnapshot(NamedTuple):
@@ -70,7 +70,7 @@
         return UnusableFile(f"is of front {memory.name!r}")
     if memory.fleet != fleet:
         return UnusableFile("is of a fleet with other settings")
-    if not 0 <= now - memory.at <= OLD:
+    if not 0 <= now - memory.at <= MAX_AGE:
         return UnusableFile(
             f"is {(now - memory.at) / 1e6:.0f} s old" if now > memory.at else "is of the future"
         )
@@ -82,7 +82,7 @@
 ) -> list[MachineSnapshot]:
     """Of the machines, those that are listed now with the same build and start, if it is not too
     old for that."""
-    if now - memory.at > SPEEDS_FOR:
+    if now - memory.at > MAX_SPEEDS_AGE:
         return []
     return [one for one in memory.machines if listed.get(one.machine) == (one.build, one.born)]
 
@@ -94,5 +94,5 @@
 
 def load(path: str) -> Snapshot | UnusableFile | None:
     """None where there is none."""
-    data = read_file(path, MOST)
+    data = read_file(path, MAX_BYTES)
     return unpack(data) if isinstance(data, bytes) else data
--- a/umbermoor/front/lifecycle/timing_wheel.py
+++ b/umbermoor/front/lifecycle/timing_wheel.py
@@ -35,14 +35,14 @@
             [{} for _ in range(SLOTS)] for _ in range(LEVELS)
         ]
         self._far: dict[int, Timer] = {}
-        self._made = 0
+        self._sequence = 0
         self.count = 0
 
     def set(self, at: int, value: Any) -> Timer:
         timer = Timer(at, value)
-        self._made += 1
-        timer._key = self._made
-        self._put(timer)
+        self._sequence += 1
+        timer._key = self._sequence
+        self._insert(timer)
         self.count += 1
         return timer
 
@@ -55,7 +55,7 @@
         self.count -= 1
         return True
 
-    def _put(self, timer: Timer) -> None:
+    def _insert(self, timer: Timer) -> None:
         tick = max(self._tick, -(-timer.at // self._grain))
         slot = self._far
         for level in range(LEVELS):
@@ -70,7 +70,7 @@
         fired: list[Timer] = []
         last = now // self._grain
         while self.count and (tick := self._next_tick()) <= last:
-            self._go(tick)
+            self._move_to(tick)
             slot = self._levels[0][tick % SLOTS]
             due = sorted(slot.values(), key=lambda one: one._key)
             slot.clear()
@@ -78,12 +78,12 @@
                 timer._slot = None
             self.count -= len(due)
             fired += due
-            self._go(tick + 1)
+            self._move_to(tick + 1)
         if self._tick <= last:
-            self._go(last + 1)
+            self._move_to(last + 1)
         return fired
 
-    def _go(self, tick: int) -> None:
+    def _move_to(self, tick: int) -> None:
         """To a time before which nothing is due."""
         if tick != self._tick:
             self._tick = tick
@@ -94,16 +94,16 @@
         """The slots of higher levels that begin here go down to where they belong."""
         for level in range(1, LEVELS):
             place = self._tick >> (BITS * level)
-            self._again(self._levels[level][place % SLOTS])
+            self._reinsert(self._levels[level][place % SLOTS])
             if place % SLOTS:
                 return
-        self._again(self._far)
+        self._reinsert(self._far)
 
-    def _again(self, slot: dict[int, Timer]) -> None:
+    def _reinsert(self, slot: dict[int, Timer]) -> None:
         timers = list(slot.values())
         slot.clear()
         for timer in timers:
-            self._put(timer)
+            self._insert(timer)
 
     def next_at(self) -> int | None:
         """No later than the first timer; exact within the first level, else the start of its
--- a/umbermoor/front/membership/conclusion.py
+++ b/umbermoor/front/membership/conclusion.py
@@ -48,16 +48,16 @@
     def conclude(self, now: int) -> Conclusion:
         self.tracker.tick(now)
         speaking = [name for name, source in self.tracker.sources.items() if source.speaks(now)]
-        needed = [self.existence] if self.rule == "split" else list(self.tracker.sources)
-        if not any(name in speaking for name in needed):
+        required = [self.existence] if self.rule == "split" else list(self.tracker.sources)
+        if not any(name in speaking for name in required):
             self.last = self.last._replace(is_stale=True)
             return self.last
-        said = {
+        reported = {
             name: self._by_address(self.tracker.present_machines(now, name)) for name in speaking
         }
         members = {}
-        for name, (by, why) in self._there(said, speaking).items():
-            seen = self._facts(name, by, said)
+        for name, (by, why) in self._select(reported, speaking).items():
+            seen = self._merge_facts(name, by, reported)
             members[seen.name] = Member(seen, by, why)
         self.last = Conclusion(dict(sorted(members.items())), False)
         return self.last
@@ -70,48 +70,48 @@
             found.setdefault(present[name].address, present[name])
         return found
 
-    def _there(
-        self, said: dict[str, dict], speaking: list[str]
+    def _select(
+        self, reported: dict[str, dict], speaking: list[str]
     ) -> dict[tuple[str, int], tuple[tuple[str, ...], str]]:
         """By address: who names it, and why it counts."""
         if self.rule == "split":
             return {
                 address: (
-                    tuple(name for name in speaking if address in said[name]),
+                    tuple(name for name in speaking if address in reported[name]),
                     f"{self.existence} says so",
                 )
-                for address in said[self.existence]
+                for address in reported[self.existence]
             }
         if self.rule == "first":
             first = speaking[0]
             return {
                 address: (
-                    tuple(name for name in speaking if address in said[name]),
+                    tuple(name for name in speaking if address in reported[name]),
                     f"{first} is the first that speaks",
                 )
-                for address in said[first]
+                for address in reported[first]
             }
-        every = dict.fromkeys(address for name in speaking for address in said[name])
-        needed = {"any": 1, "all": len(speaking), "quorum": min(self.quorum, len(speaking))}[
+        addresses = dict.fromkeys(address for name in speaking for address in reported[name])
+        required = {"any": 1, "all": len(speaking), "quorum": min(self.quorum, len(speaking))}[
             self.rule
         ]
         found = {}
-        for address in every:
-            by = tuple(name for name in speaking if address in said[name])
-            if len(by) >= needed:
+        for address in addresses:
+            by = tuple(name for name in speaking if address in reported[name])
+            if len(by) >= required:
                 found[address] = (
                     by,
-                    f"named by {len(by)} of {len(speaking)} that speak; {needed} needed",
+                    f"named by {len(by)} of {len(speaking)} that speak; {required} needed",
                 )
         return found
 
-    def _facts(
-        self, address: tuple[str, int], by: tuple[str, ...], said: dict[str, dict]
+    def _merge_facts(
+        self, address: tuple[str, int], by: tuple[str, ...], reported: dict[str, dict]
     ) -> SeenMachine:
         """Each fact from the first source that knows it; the name from the first that is not just
         an address."""
-        order = [name for name in (self.facts, *by) if name and address in said.get(name, {})]
-        views = [said[name][address] for name in dict.fromkeys(order)]
+        order = [name for name in (self.facts, *by) if name and address in reported.get(name, {})]
+        views = [reported[name][address] for name in dict.fromkeys(order)]
         seen = views[0]
         drains = any(view.readiness is Readiness.DRAINING for view in views)
         facts = {
@@ -160,8 +160,8 @@
         age = f"{(now - source.good_at) / 1e6:.1f} s ago" if source.good_at else "never"
         state = f"fails ({source.why})" if source.failing_since else "speaks"
         lines.append(
-            f"source {source.name}: {state}, {len(source.known)} machines, last good {age}"
-            + (f", {len(source.held)} held" if source.held else "")
+            f"source {source.name}: {state}, {len(source.machines)} machines, last good {age}"
+            + (f", {len(source.withheld)} held" if source.withheld else "")
         )
     for name, member in concluder.last.members.items():
         if machine in (None, name):
--- a/umbermoor/front/membership/dns_messages.py
+++ b/umbermoor/front/membership/dns_messages.py
@@ -16,12 +16,12 @@
 import dns.rrset
 
 EDNS_SIZE = 1232  # bytes of an answer over UDP that no path cuts up
-TTL_LEAST, TTL_MOST = (
+MIN_TTL, MAX_TTL = (
     1,
     3600,
 )  # seconds; a lifetime of 0 asks again in one, one of a week does not bind us for it
-NEGATIVE_MOST = 60
-RECORDS_MOST = 1000
+MAX_NEGATIVE_TTL = 60
+MAX_RECORDS = 1000
 
 
 class Target(NamedTuple):
@@ -64,7 +64,7 @@
     why: str
 
 
-Read = ServiceFound | ServiceAbsent | Truncated | Failed | Unrelated
+ReadResult = ServiceFound | ServiceAbsent | Truncated | Failed | Unrelated
 
 
 def question(name: str, id: int, kind: str = "SRV") -> bytes:
@@ -72,7 +72,7 @@
     return message.to_wire()
 
 
-def read(data: bytes, name: str, id: int, kind: str = "SRV") -> Read:
+def read(data: bytes, name: str, id: int, kind: str = "SRV") -> ReadResult:
     """What came in answer to that question. Threat: answers of others, loops in names, rubbish."""
     if len(data) < 12 or int.from_bytes(data[:2]) != id:
         return Unrelated("another id")
@@ -80,67 +80,73 @@
         message = dns.message.from_wire(data, ignore_trailing=False, raise_on_truncation=False)
     except (dns.exception.DNSException, ValueError, IndexError) as error:
         return Failed(f"cannot be read: {type(error).__name__}")
-    asked, wanted = dns.name.from_text(name), dns.rdatatype.from_text(kind)
+    expected, expected_type = dns.name.from_text(name), dns.rdatatype.from_text(kind)
     if not message.flags & dns.flags.QR or len(message.question) != 1:
         return Unrelated("no answer")
     first = message.question[0]
-    if first.name != asked or first.rdtype != wanted or first.rdclass != dns.rdataclass.IN:
+    if (
+        first.name != expected
+        or first.rdtype != expected_type
+        or first.rdclass != dns.rdataclass.IN
+    ):
         return Unrelated("an answer to another question")
     if message.flags & dns.flags.TC:
         return Truncated()
     code = message.rcode()
     if code == dns.rcode.NXDOMAIN:
-        return ServiceAbsent("no such name", _negative(message))
+        return ServiceAbsent("no such name", _negative_ttl(message))
     if code != dns.rcode.NOERROR:
         return Failed(dns.rcode.to_text(code))
-    if any(one.rdtype == dns.rdatatype.CNAME and one.name == asked for one in message.answer):
+    if any(one.rdtype == dns.rdatatype.CNAME and one.name == expected for one in message.answer):
         return Failed("a CNAME where the service should be")
     found = next(
         (
             one
             for one in message.answer
-            if one.name == asked and one.rdtype == wanted and one.rdclass == dns.rdataclass.IN
+            if one.name == expected
+            and one.rdtype == expected_type
+            and one.rdclass == dns.rdataclass.IN
         ),
         None,
     )
     if found is None:
-        return ServiceAbsent("no such record", _negative(message))
-    ttl = max(TTL_LEAST, min(TTL_MOST, found.ttl))
+        return ServiceAbsent("no such record", _negative_ttl(message))
+    ttl = max(MIN_TTL, min(MAX_TTL, found.ttl))
     if kind != "SRV":
         return ServiceFound(
             (Target(name, 0, 0, 0, tuple(sorted(str(one) for one in found))),), ttl, ()
         )
-    if len(found) > RECORDS_MOST:
-        return Failed(f"{len(found)} records, over {RECORDS_MOST}")
+    if len(found) > MAX_RECORDS:
+        return Failed(f"{len(found)} records, over {MAX_RECORDS}")
     if len(found) == 1 and found[0].target == dns.name.root:
         return ServiceAbsent("decidedly not there", ttl)
     return _targets(message, found, ttl)
 
 
-def _targets(message: dns.message.Message, found: dns.rrset.RRset, ttl: int) -> Read:
+def _targets(message: dns.message.Message, found: dns.rrset.RRset, ttl: int) -> ReadResult:
     aliases = {one.name for one in message.additional if one.rdtype == dns.rdatatype.CNAME}
     targets, unknown = [], []
     for record in found:
         if record.target in aliases:  # RFC 2782: a target must not be an alias
             continue
-        held = [
+        address_sets = [
             one
             for one in message.additional
             if one.name == record.target
             and one.rdtype == dns.rdatatype.A
             and one.rdclass == dns.rdataclass.IN
         ]
-        addresses = tuple(sorted(str(address) for one in held for address in one))
+        addresses = tuple(sorted(str(address) for one in address_sets for address in one))
         host = record.target.to_text(omit_final_dot=True).lower()
-        for one in held:
-            ttl = max(TTL_LEAST, min(ttl, one.ttl))
+        for one in address_sets:
+            ttl = max(MIN_TTL, min(ttl, one.ttl))
         if not addresses:
             unknown.append(host)
         targets.append(Target(host, record.port, record.priority, record.weight, addresses))
     return ServiceFound(tuple(sorted(targets)), ttl, tuple(sorted(set(unknown))))
 
 
-def _negative(message: dns.message.Message) -> int:
+def _negative_ttl(message: dns.message.Message) -> int:
     """How long a 'no' holds, by the SOA."""
     soa = next(
         (
@@ -150,4 +156,4 @@
         ),
         None,
     )
-    return TTL_LEAST if soa is None else max(TTL_LEAST, min(NEGATIVE_MOST, soa.ttl, soa[0].minimum))
+    return MIN_TTL if soa is None else max(MIN_TTL, min(MAX_NEGATIVE_TTL, soa.ttl, soa[0].minimum))
--- a/umbermoor/front/membership/dns_queries.py
+++ b/umbermoor/front/membership/dns_queries.py
@@ -23,18 +23,18 @@
 )
 
 SECOND = 1_000_000
-WAIT_LEAST, WAIT_MOST = SECOND // 5, 2 * SECOND  # for one answer
-WAIT_TIMES = 6.0  # so many usual answer times
-LEARN = 0.3
-REFRESH_PART, REFRESH_SPREAD = (
+MIN_WAIT, MAX_WAIT = SECOND // 5, 2 * SECOND  # for one answer
+WAIT_FACTOR = 6.0  # so many usual answer times
+SMOOTHING = 0.3
+REFRESH_SHARE, REFRESH_SPREAD = (
     0.7,
     0.2,
 )  # of a lifetime, after which it is asked again; so many fronts not at once
-AGAIN_FIRST, AGAIN_MOST = (
+FIRST_RETRY_DELAY, MAX_RETRY_DELAY = (
     SECOND // 2,
     8 * SECOND,
 )  # after a round in which no server answered, doubling
-HOSTS_MOST = 64  # whose addresses are asked for by themselves
+MAX_HOSTS = 64  # whose addresses are asked for by themselves
 
 
 class DnsQuery(NamedTuple):
@@ -49,20 +49,20 @@
     """What is known of one server."""
 
     address: str
-    usual: float = 0.0  # its answer time
+    usual_time: float = 0.0  # its answer time
     failures: int = 0
 
     def wait(self) -> int:
         return (
-            round(min(WAIT_MOST, max(WAIT_LEAST, WAIT_TIMES * self.usual)))
-            if self.usual
-            else WAIT_MOST // 2
+            round(min(MAX_WAIT, max(MIN_WAIT, WAIT_FACTOR * self.usual_time)))
+            if self.usual_time
+            else MAX_WAIT // 2
         )
 
 
 @dataclass(slots=True)
 class _Outstanding:
-    ask: DnsQuery
+    query: DnsQuery
     server: Server
     sent: int
     name: str
@@ -73,28 +73,28 @@
 class SrvResolver:
     name: str
     servers: list[Server]
-    chance: Callable[[], float]
+    random: Callable[[], float]
     next_round: int = 0
     outstanding: _Outstanding | None = None
     addresses: dict[str, tuple[str, ...]] = field(default_factory=dict)
-    _found: ServiceFound | None = None  # whose hosts' addresses are still asked for
+    _partial: ServiceFound | None = None  # whose hosts' addresses are still asked for
     _hosts: list[str] = field(default_factory=list)
     _tried: list[Server] = field(default_factory=list)
     _backoff: Backoff = field(init=False)
     why: str = ""
 
     def __post_init__(self) -> None:
-        self._backoff = Backoff(AGAIN_FIRST, AGAIN_MOST, self.chance)
+        self._backoff = Backoff(FIRST_RETRY_DELAY, MAX_RETRY_DELAY, self.random)
 
     def next_query(self, now: int) -> DnsQuery | None:
         """What is to be sent now."""
         if self.outstanding is not None:
             if now < self.outstanding.sent + self.outstanding.server.wait():
                 return None
-            self._missed(self.outstanding.server, "no answer")
+            self._record_failure(self.outstanding.server, "no answer")
         if now < self.next_round:
             return None
-        return self._ask(now, False)
+        return self._query_server(now, False)
 
     def next_at(self) -> int:
         return (
@@ -104,85 +104,91 @@
         )
 
     def handle_answer(
-        self, now: int, ask: DnsQuery, data: bytes
+        self, now: int, query: DnsQuery, data: bytes
     ) -> ServiceFound | ServiceAbsent | Failed | DnsQuery | None:
         """An answer: what it proves, or what to ask at once; None: nothing yet."""
         out = self.outstanding
-        if out is None or out.ask is not ask:
+        if out is None or out.query is not query:
             return None
-        read = dns_messages.read(data, out.name, ask.id, out.kind)
+        read = dns_messages.read(data, out.name, query.id, out.kind)
         if isinstance(read, Unrelated):
             return None
         took = now - out.sent
-        out.server.usual += (took - out.server.usual) * (LEARN if out.server.usual else 1.0)
+        out.server.usual_time += (took - out.server.usual_time) * (
+            SMOOTHING if out.server.usual_time else 1.0
+        )
         if isinstance(read, Truncated):
             return (
                 self._failed(now, out.server, "truncated over TCP")
-                if ask.tcp
-                else self._again_over_tcp(now, out)
+                if query.tcp
+                else self._retry_over_tcp(now, out)
             )
         if isinstance(read, Failed):
             return self._failed(now, out.server, read.why)
         out.server.failures = 0
         self.outstanding = None
-        return self._address(now, out, read) if out.kind == "A" else self._service(now, read)
+        return (
+            self._handle_address(now, out, read)
+            if out.kind == "A"
+            else self._handle_service(now, read)
+        )
 
-    def handle_failure(self, now: int, ask: DnsQuery, why: str) -> Failed | DnsQuery | None:
+    def handle_failure(self, now: int, query: DnsQuery, why: str) -> Failed | DnsQuery | None:
         """It could not be sent, or its connection ended without an answer."""
-        if self.outstanding is None or self.outstanding.ask is not ask:
+        if self.outstanding is None or self.outstanding.query is not query:
             return None
         return self._failed(now, self.outstanding.server, why)
 
     # Within.
 
-    def _ask(self, now: int, tcp: bool) -> DnsQuery | None:
+    def _query_server(self, now: int, tcp: bool) -> DnsQuery | None:
         server = min(
             (one for one in self.servers if one not in self._tried),
             default=None,
-            key=lambda one: (one.failures, one.usual * (0.8 + 0.4 * self.chance())),
+            key=lambda one: (one.failures, one.usual_time * (0.8 + 0.4 * self.random())),
         )
         if server is None:
-            self._round_over(now)
+            self._end_round(now)
             return None
         name, kind = (self._hosts[0], "A") if self._hosts else (self.name, "SRV")
         return self._send(now, server, name, kind, tcp)
 
     def _send(self, now: int, server: Server, name: str, kind: str, tcp: bool) -> DnsQuery:
-        id = int(self.chance() * 65536)
-        ask = DnsQuery(server.address, id, dns_messages.question(name, id, kind), tcp)
-        self.outstanding = _Outstanding(ask, server, now, name, kind)
-        return ask
+        id = int(self.random() * 65536)
+        query = DnsQuery(server.address, id, dns_messages.question(name, id, kind), tcp)
+        self.outstanding = _Outstanding(query, server, now, name, kind)
+        return query
 
-    def _again_over_tcp(self, now: int, out: _Outstanding) -> DnsQuery:
+    def _retry_over_tcp(self, now: int, out: _Outstanding) -> DnsQuery:
         return self._send(now, out.server, out.name, out.kind, True)
 
-    def _missed(self, server: Server, why: str) -> None:
+    def _record_failure(self, server: Server, why: str) -> None:
         server.failures += 1
         self._tried.append(server)
         self.outstanding, self.why = None, f"{server.address}: {why}"
 
     def _failed(self, now: int, server: Server, why: str) -> Failed | DnsQuery | None:
-        self._missed(server, why)
-        ask = self._ask(now, False)
-        return ask if ask is not None else Failed(self.why)
+        self._record_failure(server, why)
+        query = self._query_server(now, False)
+        return query if query is not None else Failed(self.why)
 
-    def _round_over(self, now: int) -> None:
+    def _end_round(self, now: int) -> None:
         """No server answered."""
         self._tried.clear()
-        self._hosts, self._found = [], None
+        self._hosts, self._partial = [], None
         self.next_round = now + round(self._backoff.next_delay())
 
-    def _service(
+    def _handle_service(
         self, now: int, read: ServiceFound | ServiceAbsent
     ) -> ServiceFound | ServiceAbsent | DnsQuery:
         self._tried.clear()
         if isinstance(read, ServiceFound) and read.unknown:
-            self._found, self._hosts = read, list(read.unknown[:HOSTS_MOST])
+            self._partial, self._hosts = read, list(read.unknown[:MAX_HOSTS])
             self.addresses = {}
-            return self._ask(now, False)
-        return self._settled(now, read)
+            return self._query_server(now, False)
+        return self._finish(now, read)
 
-    def _address(
+    def _handle_address(
         self, now: int, out: _Outstanding, read: ServiceFound | ServiceAbsent
     ) -> ServiceFound | DnsQuery | ServiceAbsent:
         self._tried.clear()
@@ -190,25 +196,23 @@
         self.addresses[out.name] = (
             read.targets[0].addresses if isinstance(read, ServiceFound) else ()
         )
-        found = self._found
-        self._found = found._replace(ttl=max(dns_messages.TTL_LEAST, min(found.ttl, read.ttl)))
+        found = self._partial
+        self._partial = found._replace(ttl=max(dns_messages.MIN_TTL, min(found.ttl, read.ttl)))
         if self._hosts:
-            return self._ask(now, False)
+            return self._query_server(now, False)
         targets = tuple(
             one._replace(addresses=one.addresses or self.addresses.get(one.host, ()))
-            for one in self._found.targets
+            for one in self._partial.targets
         )
         done = ServiceFound(
-            targets, self._found.ttl, tuple(one.host for one in targets if not one.addresses)
+            targets, self._partial.ttl, tuple(one.host for one in targets if not one.addresses)
         )
-        self._found = None
-        return self._settled(now, done)
+        self._partial = None
+        return self._finish(now, done)
 
-    def _settled(
-        self, now: int, read: ServiceFound | ServiceAbsent
-    ) -> ServiceFound | ServiceAbsent:
+    def _finish(self, now: int, read: ServiceFound | ServiceAbsent) -> ServiceFound | ServiceAbsent:
         self._backoff.reset()
-        part = REFRESH_PART + REFRESH_SPREAD * self.chance()
+        part = REFRESH_SHARE + REFRESH_SPREAD * self.random()
         self.next_round = now + max(SECOND // 10, round(read.ttl * SECOND * part))
         return read
 
--- a/umbermoor/front/membership/saved_list.py
+++ b/umbermoor/front/membership/saved_list.py
@@ -16,7 +16,7 @@
     seen: tuple[SeenMachine, ...]
 
 
-def pack(lasting: SavedList) -> bytes:
+def pack(saved: SavedList) -> bytes:
     rows = [
         [
             one.name,
@@ -28,9 +28,9 @@
             one.cell,
             one.weight,
         ]
-        for one in lasting.seen
+        for one in saved.seen
     ]
-    return sealed(MAGIC, VERSION, orjson.dumps({"at": lasting.at, "rows": rows}))
+    return sealed(MAGIC, VERSION, orjson.dumps({"at": saved.at, "rows": rows}))
 
 
 def unpack(data: bytes) -> SavedList | UnusableFile:
@@ -48,9 +48,9 @@
         return UnusableFile(f"cannot be read: {type(error).__name__}")
 
 
-def save(path: str, lasting: SavedList) -> int:
+def save(path: str, saved: SavedList) -> int:
     """Raises OSError."""
-    return replace_file(path, pack(lasting))
+    return replace_file(path, pack(saved))
 
 
 def load(path: str, now: int, keep: int) -> SavedList | UnusableFile | None:
@@ -58,11 +58,11 @@
     data = read_file(path)
     if not isinstance(data, bytes):
         return data
-    lasting = unpack(data)
-    if isinstance(lasting, SavedList) and not 0 <= now - lasting.at <= keep:
+    saved = unpack(data)
+    if isinstance(saved, SavedList) and not 0 <= now - saved.at <= keep:
         return UnusableFile(
-            f"is {(now - lasting.at) / 1e6:.0f} s old, over {keep / 1e6:.0f}"
-            if now > lasting.at
+            f"is {(now - saved.at) / 1e6:.0f} s old, over {keep / 1e6:.0f}"
+            if now > saved.at
             else "is of the future"
         )
-    return lasting
+    return saved
--- a/umbermoor/front/membership/sources.py
+++ b/umbermoor/front/membership/sources.py
@@ -15,16 +15,16 @@
 from umbermoor.front.interface import Readiness
 
 SECOND = 1_000_000
-SUDDEN_PART, SUDDEN_LEAST = 0.5, 4  # losing more than that part of so many at once is held
+SUDDEN_LOSS_SHARE, SUDDEN_LOSS_MIN = 0.5, 4  # losing more than that part of so many at once is held
 CONFIRMED_AFTER = 2  # answers that say the same
-HELD_MOST = 10 * SECOND  # and in any case no longer than this
-STEADY_FIRST, STEADY_MOST = (
+MAX_HOLD = 10 * SECOND  # and in any case no longer than this
+STEADY_FIRST, MAX_STEADY = (
     SECOND,
     60 * SECOND,
 )  # who came back after a loss waits this long, doubling with each
-CALM = 300 * SECOND  # without a loss, after which its flapping is forgotten
-ENTRIES_MOST = 20_000  # of one source; what is beyond is left out and told
-EVENTS_MOST = 512  # kept for who asks why
+FLAP_MEMORY = 300 * SECOND  # without a loss, after which its flapping is forgotten
+MAX_ENTRIES = 20_000  # of one source; what is beyond is left out and told
+MAX_EVENTS = 512  # kept for who asks why
 
 
 class SeenMachine(NamedTuple):
@@ -60,29 +60,29 @@
 class Source:
     name: str
     authoritative: bool
-    keep: int  # how old its last good set may be; 0: for ever
-    known: dict[str, SeenMachine] = field(default_factory=dict)
+    max_age: int  # how old its last good set may be; 0: for ever
+    machines: dict[str, SeenMachine] = field(default_factory=dict)
     good_at: int = 0  # 0: it never spoke
     failing_since: int = 0
     why: str = ""
     version: int = 0
-    held: dict[str, int] = field(
+    withheld: dict[str, int] = field(
         default_factory=dict
     )  # who it left out, and is not believed yet: since when
-    held_answers: int = 0
+    withheld_answers: int = 0
     flaps: dict[str, _Flap] = field(default_factory=dict)
 
     def speaks(self, now: int) -> bool:
         """Whether what it last said still counts."""
         return bool(self.good_at) and (
-            not self.failing_since or not self.keep or now - self.good_at <= self.keep
+            not self.failing_since or not self.max_age or now - self.good_at <= self.max_age
         )
 
 
 class SourceTracker:
     def __init__(self, sources: Iterable[tuple[str, bool, int]]) -> None:
         self.sources = {
-            name: Source(name, authoritative, keep) for name, authoritative, keep in sources
+            name: Source(name, authoritative, max_age) for name, authoritative, max_age in sources
         }
         self.events: list[Event] = []
 
@@ -94,34 +94,34 @@
         """All that a source knows. False: it was not believed, as its version goes back."""
         source = self.sources[name]
         if version and source.version and version < source.version:
-            self._tell(
+            self._record(
                 now,
                 source,
                 "",
                 f"an older answer, {version} after {source.version}, is passed over",
             )
             return False
-        told = self._bounded(now, source, entries)
-        lost = [one for one in source.known if one not in told]
+        reported = self._limit_entries(now, source, entries)
+        lost = [one for one in source.machines if one not in reported]
         sudden = (
             not source.authoritative
-            and len(source.known) >= SUDDEN_LEAST
-            and len(lost) > SUDDEN_PART * len(source.known)
+            and len(source.machines) >= SUDDEN_LOSS_MIN
+            and len(lost) > SUDDEN_LOSS_SHARE * len(source.machines)
         )
         if sudden and not self._confirmed(now, source, lost):
-            kept = {one: source.known[one] for one in lost}
+            kept = {one: source.machines[one] for one in lost}
         else:
             kept = {}
-            source.held.clear()
-            source.held_answers = 0
+            source.withheld.clear()
+            source.withheld_answers = 0
         for one in lost:
             if one not in kept:
-                self._lost(now, source, one)
-        for one in told:
-            if one not in source.known:
-                self._came(now, source, one)
-        source.known = {**kept, **told}
-        self._good(now, source, version)
+                self._record_loss(now, source, one)
+        for one in reported:
+            if one not in source.machines:
+                self._record_arrival(now, source, one)
+        source.machines = {**kept, **reported}
+        self._mark_good(now, source, version)
         return True
 
     def report_changes(
@@ -131,36 +131,38 @@
         source = self.sources[name]
         for one in entries:
             if one.readiness is Readiness.GONE:
-                if source.known.pop(one.name, None) is not None:
-                    self._lost(now, source, one.name)
-            elif len(source.known) < ENTRIES_MOST or one.name in source.known:
-                if one.name not in source.known:
-                    self._came(now, source, one.name)
-                source.known[one.name] = one
-            source.held.pop(one.name, None)
-        self._good(now, source, version)
+                if source.machines.pop(one.name, None) is not None:
+                    self._record_loss(now, source, one.name)
+            elif len(source.machines) < MAX_ENTRIES or one.name in source.machines:
+                if one.name not in source.machines:
+                    self._record_arrival(now, source, one.name)
+                source.machines[one.name] = one
+            source.withheld.pop(one.name, None)
+        self._mark_good(now, source, version)
 
     def report_failure(self, now: int, name: str, why: str) -> None:
         source = self.sources[name]
         if not source.failing_since:
             source.failing_since = now
-            self._tell(now, source, "", f"fails: {why}; its last good set stays")
+            self._record(now, source, "", f"fails: {why}; its last good set stays")
         source.why = why
 
     def tick(self, now: int) -> None:
         """What was held for long enough is believed; what flapped long ago is forgotten."""
         for source in self.sources.values():
             if (
-                source.held
-                and now - min(source.held.values()) >= HELD_MOST
+                source.withheld
+                and now - min(source.withheld.values()) >= MAX_HOLD
                 and not source.failing_since
             ):
-                for one in list(source.held):
-                    source.known.pop(one, None)
-                    self._lost(now, source, one)
-                source.held.clear()
-                source.held_answers = 0
-            for one in [one for one, flap in source.flaps.items() if now - flap.lost_at > CALM]:
+                for one in list(source.withheld):
+                    source.machines.pop(one, None)
+                    self._record_loss(now, source, one)
+                source.withheld.clear()
+                source.withheld_answers = 0
+            for one in [
+                one for one, flap in source.flaps.items() if now - flap.lost_at > FLAP_MEMORY
+            ]:
                 del source.flaps[one]
 
     # What is believed.
@@ -171,7 +173,7 @@
         if not source.speaks(now):
             return {}
         return {
-            one: seen for one, seen in source.known.items() if self.steady_at(source, one) <= now
+            one: seen for one, seen in source.machines.items() if self.steady_at(source, one) <= now
         }
 
     def steady_at(self, source: Source, name: str) -> int:
@@ -179,79 +181,84 @@
         flap = source.flaps.get(name)
         if flap is None or not flap.losses or not flap.since:
             return 0
-        return flap.since + min(STEADY_MOST, STEADY_FIRST << min(20, flap.losses - 1))
+        return flap.since + min(MAX_STEADY, STEADY_FIRST << min(20, flap.losses - 1))
 
     def next_at(self, now: int) -> int | None:
-        times = [min(one.held.values()) + HELD_MOST for one in self.sources.values() if one.held]
+        times = [
+            min(one.withheld.values()) + MAX_HOLD for one in self.sources.values() if one.withheld
+        ]
         for source in self.sources.values():
             times += [
                 at
                 for name in source.flaps
-                if name in source.known and (at := self.steady_at(source, name)) > now
+                if name in source.machines and (at := self.steady_at(source, name)) > now
             ]
-            if source.failing_since and source.keep:
-                times.append(source.good_at + source.keep + 1)
+            if source.failing_since and source.max_age:
+                times.append(source.good_at + source.max_age + 1)
         return min((one for one in times if one > now), default=None)
 
     # Within.
 
-    def _bounded(
+    def _limit_entries(
         self, now: int, source: Source, entries: Iterable[SeenMachine]
     ) -> dict[str, SeenMachine]:
-        told: dict[str, SeenMachine] = {}
+        reported: dict[str, SeenMachine] = {}
         for one in entries:
-            if len(told) >= ENTRIES_MOST and one.name not in told:
-                self._tell(
+            if len(reported) >= MAX_ENTRIES and one.name not in reported:
+                self._record(
                     now,
                     source,
                     "",
-                    f"names more than {ENTRIES_MOST} machines: the rest is left out",
+                    f"names more than {MAX_ENTRIES} machines: the rest is left out",
                 )
                 break
             if one.readiness is not Readiness.GONE:
-                told[one.name] = one
-        return told
+                reported[one.name] = one
+        return reported
 
     def _confirmed(self, now: int, source: Source, lost: list[str]) -> bool:
-        source.held_answers += 1
+        source.withheld_answers += 1
         for one in lost:
-            source.held.setdefault(one, now)
-        source.held = {one: at for one, at in source.held.items() if one in lost}
-        if source.held_answers == 1:
-            self._tell(
+            source.withheld.setdefault(one, now)
+        source.withheld = {one: at for one, at in source.withheld.items() if one in lost}
+        if source.withheld_answers == 1:
+            self._record(
                 now,
                 source,
                 "",
-                f"left out {len(lost)} of {len(source.known)} at once: held until it says so again",
+                f"left out {len(lost)} of {len(source.machines)} at once: held until it says so again",
             )
-        return source.held_answers > CONFIRMED_AFTER or now - min(source.held.values()) >= HELD_MOST
+        return (
+            source.withheld_answers > CONFIRMED_AFTER
+            or now - min(source.withheld.values()) >= MAX_HOLD
+        )
 
-    def _good(self, now: int, source: Source, version: int) -> None:
+    def _mark_good(self, now: int, source: Source, version: int) -> None:
         if source.failing_since:
-            self._tell(
+            self._record(
                 now, source, "", f"speaks again after {(now - source.failing_since) / SECOND:.1f} s"
             )
         source.good_at, source.failing_since, source.why = max(1, now), 0, ""
         source.version = version or source.version
 
-    def _lost(self, now: int, source: Source, name: str) -> None:
+    def _record_loss(self, now: int, source: Source, name: str) -> None:
         flap = source.flaps.setdefault(name, _Flap())
         flap.losses, flap.lost_at, flap.since = flap.losses + 1, now, 0
-        if len(source.flaps) > 2 * ENTRIES_MOST:
+        if len(source.flaps) > 2 * MAX_ENTRIES:
             source.flaps.pop(next(iter(source.flaps)))
-        self._tell(now, source, name, "is gone")
+        self._record(now, source, name, "is gone")
 
-    def _came(self, now: int, source: Source, name: str) -> None:
+    def _record_arrival(self, now: int, source: Source, name: str) -> None:
         flap = source.flaps.get(name)
         if flap is not None:
             flap.since = now
-        self._tell(
+        self._record(
             now,
             source,
             name,
             "is there" if flap is None else f"is back, after {flap.losses} losses",
         )
 
-    def _tell(self, now: int, source: Source, machine: str, what: str) -> None:
+    def _record(self, now: int, source: Source, machine: str, what: str) -> None:
         self.events.append(Event(now, source.name, machine, what))
-        del self.events[:-EVENTS_MOST]
+        del self.events[:-MAX_EVENTS]
