--- a/umbermoor/front/capture/__init__.py
+++ b/umbermoor/front/capture/__init__.py
@@ -1,2 +1,4 @@
-"""What a front was asked and what became of it, written down as it serves, to plan by. See
-docs/capture.md."""
+"""Traffic capture: a front records its queries and their outcomes for capacity planning.
+
+See docs/capture.md.
+"""
--- a/umbermoor/front/capture/command.py
+++ b/umbermoor/front/capture/command.py
@@ -45,6 +45,7 @@
 
 
 def summarise(capture: Capture) -> dict[str, Any]:
+    """Return counts, rates, endings and percentiles by profile."""
     seconds = max(1e-6, capture.span / 1e6)
     profiles = {}
     for place, profile in enumerate(capture.header.profiles):
@@ -69,6 +70,7 @@
 
 
 def _at(ordered: list[int], part: float) -> float:
+    """Return a quantile of sorted microseconds in milliseconds, 0 if there are none."""
     return (
         round(ordered[min(len(ordered) - 1, int(part * len(ordered)))] / 1000, 1)
         if ordered
--- a/umbermoor/front/capture/files.py
+++ b/umbermoor/front/capture/files.py
@@ -1,4 +1,4 @@
-"""The capture's files: written in segments with a bound on disk, and read whole again."""
+"""Files of a capture: written in segments with a limit on disk space, and read back whole."""
 
 import logging
 import os
@@ -11,12 +11,19 @@
 
 log = logging.getLogger(__name__)
 
-PREVIOUS_SUFFIX = ".1"  # the segment before the present one
+PREVIOUS_SUFFIX = ".1"  # of the previous segment's path
 
 
 class Segments:
-    """Two files at most, each up to half the bound: the present one, and the one before it. A fault
-    ends the capture and leaves the front as it is."""
+    """Writes a capture to at most two files, the current and the previous segment.
+
+    An error ends the capture and does not affect the front.
+
+    Args:
+        path: path of the current segment.
+        limit: bytes of both files together; each segment takes up to half.
+        begin: returns the bytes that follow the file's head in each segment.
+    """
 
     def __init__(self, path: str, limit: int, begin: Callable[[], bytes]) -> None:
         self._path, self._half, self._begin = path, limit // 2, begin
@@ -25,6 +32,7 @@
         self.ended = False
 
     def write(self, data: bytes) -> None:
+        """Append whole frames; start a new segment if they don't fit into the current one."""
         if self.ended:
             return
         try:
@@ -40,7 +48,7 @@
             self._end(error)
 
     def _open(self) -> None:
-        if os.path.exists(self._path):  # of an earlier start: kept as the segment before
+        if os.path.exists(self._path):  # from an earlier run: kept as the previous segment
             os.replace(self._path, self._path + PREVIOUS_SUFFIX)
         self._file = open(self._path, "xb", buffering=0)
         head = file_head() + self._begin()
@@ -64,9 +72,11 @@
 
 
 class Capture(NamedTuple):
+    """What was read from the files of a capture."""
+
     header: Header | None
     rows: list[Row]
-    damage: list[tuple[str, Damage]]  # by file
+    damage: list[tuple[str, Damage]]  # path and damage
 
     @property
     def span(self) -> int:
@@ -75,12 +85,15 @@
 
 
 class Unreadable(Exception):
-    """One line: file, place, and what could be read."""
+    """Nothing of a capture could be read; the text is one line with file, place and reason."""
 
 
 def read_capture(path: str) -> Capture:
-    """The segment before, if there is one, and the present one; rows in order of their coming.
-    Raises Unreadable where there is nothing to read at all."""
+    """Read the previous segment, if there is one, and the current one; sort rows by arrival.
+
+    Raises:
+        Unreadable: there is no file, it can't be opened, or nothing in it can be read.
+    """
     header, rows, damage = None, [], []
     paths = [one for one in (path + PREVIOUS_SUFFIX, path) if Path(one).exists()]
     if not paths:
@@ -116,5 +129,6 @@
 
 
 def describe_damage(damage: tuple[str, Damage], rows: int) -> str:
+    """Return a line on damaged data; `rows` is the number of queries that were read."""
     path, what = damage
     return f"{path}: byte {what.at}: {what.what}; what stands before it was read, {rows} queries in all"
--- a/umbermoor/front/capture/frames.py
+++ b/umbermoor/front/capture/frames.py
@@ -1,13 +1,13 @@
-"""The capture's form on disk, version 1, without I/O. Little-endian throughout.
+"""File format of a capture, version 1, without I/O. All integers are little-endian.
 
     file    "UMCAP" version:u8 reserved:u16, then frames
     frame   "Fr" kind:u8 reserved:u8 length:u32 crc32:u32 (of kind and payload), payload
     kind H  JSON: name of the front, begun (microseconds of its clock), profiles
     kind R  zlib of: base:u64 machines:u16 rows:u32, the machines (length:u8 name build:u16
-born:u64), the rows
+            born:u64), the rows
 
-Each frame of rows stands by itself: it has the machines that its rows name. A file that ends in the
-middle of a frame loses that frame alone.
+Each frame of rows is self-contained: it includes the machines that its rows refer to. A file that
+ends in the middle of a frame loses only that frame.
 """
 
 import zlib
@@ -27,7 +27,7 @@
 _ROW = Struct("<IBBBBIIHHIII")
 FRAME_MARK = b"Fr"
 HEAD, ROWS = ord("H"), ord("R")
-MAX_PAYLOAD = 4 << 20  # bytes of a payload; a length beyond that is damage
+MAX_PAYLOAD = 4 << 20  # bytes; a longer frame is treated as damage
 MAX_UNPACKED = 32 << 20
 NO_MACHINE = 0xFFFF
 REPEATED, HINTED = 1, 2
@@ -36,38 +36,40 @@
 
 
 class SeenMachine(NamedTuple):
-    """A machine as a frame names it."""
+    """A machine in a frame."""
 
     name: str
     build: int
-    born: int  # microseconds of the front's clock; 0: long ago
+    born: int  # start time, microseconds of the front's clock; 0: long ago
 
 
 class Row(NamedTuple):
-    """One query. Times are microseconds; ``came`` by the front's clock, the others from there."""
+    """One query. Times are microseconds: `came` by the front's clock, the others since `came`."""
 
     came: int
     profile: int
     repeated: bool
-    hint: int | None  # what its work was said to be
+    hint: int | None  # work estimate that came with it
     ending: str
     hand_offs: int
-    took: int  # until its final answer
-    patience: int  # what its client had left when it came
+    took: int  # until its final response
+    patience: int  # time left to its deadline when it came
     machine: SeenMachine | None  # of the last hand-off
-    ahead: int  # other hand-offs of this front that were out at that machine then
+    ahead: int  # this front's other open hand-offs to that machine at that time
     sent: int  # when the last hand-off was decided
-    served: int  # what that hand-off took; 0: it was not done
+    served: int  # duration of that hand-off; 0: it was not completed
 
 
 class Damage(NamedTuple):
-    """What could not be read, and where. All rows before it were read."""
+    """Data that could not be read; all rows before it were read."""
 
-    at: int  # byte of the file
+    at: int  # byte offset in the file
     what: str
 
 
 class Header(NamedTuple):
+    """Header of a capture: the front, its start time and its profiles."""
+
     name: str
     begun: int
     profiles: tuple[dict[str, Any], ...]
@@ -77,14 +79,17 @@
 
 
 def file_head() -> bytes:
+    """Return the bytes that a file begins with."""
     return _FILE.pack(MAGIC, VERSION, 0)
 
 
 def frame(kind: int, payload: bytes) -> bytes:
+    """Return a frame with its checksum."""
     return _FRAME.pack(FRAME_MARK, kind, 0, len(payload), zlib.crc32(payload, kind)) + payload
 
 
 def header_frame(header: Header) -> bytes:
+    """Return the frame of a header."""
     return frame(
         HEAD,
         orjson.dumps(
@@ -94,7 +99,7 @@
 
 
 def rows_frame(rows: Iterable[Row]) -> bytes:
-    """Rows of less than an hour, of at most 65,535 machines."""
+    """Return a frame of rows that span less than an hour and at most 65,535 machines."""
     rows = list(rows)
     base = min(row.came for row in rows)
     places: dict[SeenMachine, int] = {}
@@ -129,7 +134,7 @@
 
 
 def read(data: bytes) -> Iterator[Header | list[Row] | Damage]:
-    """Frames in turn; the first damage is the last thing told."""
+    """Yield the frames' contents in order; the first damage ends the iteration."""
     if len(data) < _FILE.size:
         yield Damage(0, "ends before the file's head does")
         return
--- a/umbermoor/front/capture/recorder.py
+++ b/umbermoor/front/capture/recorder.py
@@ -1,8 +1,7 @@
-"""Notes what a front is asked and how it ends, and makes frames of it; without I/O, in bounded
-memory.
+"""Records a front's queries and their outcomes and packs them into frames; no I/O, bounded memory.
 
-One record stands for each query that the front holds, and at most ``ROWS_MOST`` rows wait for their
-frame. What a frame costs and holds: docs/capture.md.
+It keeps one record for each query in flight, and at most `MAX_ROWS` rows that wait for their frame.
+Cost and content of a frame: docs/capture.md.
 """
 
 from collections import Counter
@@ -12,13 +11,15 @@
 from umbermoor.front.capture.frames import Header, Row, SeenMachine, header_frame, rows_frame
 from umbermoor.front.interface import Ending, Entry
 
-MAX_ROWS = 512  # of a frame
-FRAME_EVERY = 2_000_000  # microseconds; a front that is killed loses no more than that
-MAX_TRACKED = 20_000  # queries noted at once; those beyond are counted, not noted
+MAX_ROWS = 512  # per frame
+FRAME_EVERY = 2_000_000  # microseconds; a front that is killed loses at most the rows of this time
+MAX_TRACKED = 20_000  # concurrent queries that are recorded; further ones are only counted
 
 
 @dataclass(slots=True)
 class _TrackedQuery:
+    """A query in flight. Times are microseconds."""
+
     came: int
     profile: int
     repeated: bool
@@ -32,22 +33,31 @@
 
 
 class Recorder:
+    """Records the events of one front.
+
+    Args:
+        clock: returns the front's time in microseconds.
+        header: header of the capture.
+        write: called with each frame of rows.
+    """
+
     def __init__(
         self, clock: Callable[[], int], header: Header, write: Callable[[bytes], None]
     ) -> None:
         self._clock, self._write, self.header = clock, write, header
         self._tracked: dict[str, _TrackedQuery] = {}
         self._rows: list[Row] = []
-        self._oldest_row_at = 0  # of the rows that wait
+        self._oldest_row_at = 0  # when the first row that waits was added
         self._machines: dict[str, SeenMachine] = {}
-        self._open: Counter[str] = Counter()  # hand-offs that are out, by machine
+        self._open: Counter[str] = Counter()  # open hand-offs by machine
         self.left_out = 0
 
     def begin(self) -> bytes:
-        """What a new file opens with, behind its head."""
+        """Return the bytes that follow the head of a new file."""
         return header_frame(self.header)
 
     def listed(self, whole: bool, entries: list[Entry]) -> None:
+        """Update the machine list: all of it if `whole`, else the changed entries."""
         if whole:
             self._machines.clear()
         for entry in entries:
@@ -57,12 +67,14 @@
                 self._machines.pop(entry.machine, None)
 
     def asked(self, query: str, profile: int, due: int, hint: int | None, repeated: bool) -> None:
+        """Record a new query."""
         if len(self._tracked) >= MAX_TRACKED:
             self.left_out += 1
         else:
             self._tracked[query] = _TrackedQuery(self._clock(), profile, repeated, hint, due)
 
     def handed(self, query: str, machine: str) -> None:
+        """Record a hand-off of the query to a machine."""
         tracked = self._tracked.get(query)
         if tracked is not None:
             tracked.hand_offs += 1
@@ -75,7 +87,7 @@
         self._open[machine] += 1
 
     def ended(self, query: str, machine: str, ending: Ending, took: int) -> None:
-        """A hand-off is over. It may come after its query's answer."""
+        """Record the end of a hand-off; it may come after the final response of its query."""
         self._open[machine] -= 1
         if self._open[machine] <= 0:
             del self._open[machine]
@@ -89,7 +101,7 @@
             tracked.served = took
 
     def closed(self, query: str, ending: str) -> None:
-        """The final answer, or the client has left."""
+        """Record the end of a query: its final response, or that its client has left."""
         tracked = self._tracked.pop(query, None)
         if tracked is None:
             return
@@ -116,6 +128,7 @@
             self.flush()
 
     def flush(self) -> None:
+        """Write the rows that wait as a frame."""
         if self._rows:
             rows, self._rows = self._rows, []
             self._write(rows_frame(rows))
--- a/umbermoor/front/http2/__init__.py
+++ b/umbermoor/front/http2/__init__.py
@@ -1,2 +1,5 @@
-"""HTTP/2 to machines: many hand-offs over few connections, and exact knowledge of what never ran.
-No I/O in here."""
+"""HTTP/2 client for hand-offs to machines, without I/O.
+
+Many hand-offs share few connections, and each failed one is classified by whether its query may
+have been executed.
+"""
--- a/umbermoor/front/http2/frames.py
+++ b/umbermoor/front/http2/frames.py
@@ -1,27 +1,28 @@
-"""Cuts frames out of a connection's bytes before the codec sees them, and holds every bound on what
-a machine may send.
+"""Splits a connection's bytes into frames before the codec, and limits what a machine may send.
 
-Source: RFC 9113, sections 4.1, 6 and 10.5. What exceeds a bound is a fault of that connection
-alone. GOAWAY is read here
-and not passed on: the codec would end the connection with it, while its lower streams go on.
+Source: RFC 9113, sections 4.1, 6 and 10.5. A machine that exceeds a limit loses that connection
+only. GOAWAY is handled here and not passed to the codec, which would end the whole connection
+although streams up to the last one that GOAWAY names may go on.
 """
 
 from enum import IntEnum
 from typing import NamedTuple
 
-HEAD = 9
-MAX_FRAME_BYTES = 16_384  # SETTINGS_MAX_FRAME_SIZE, which we leave as it is
-MAX_HEADER_BLOCK_BYTES = 32 * 1024  # bytes of one header block, with its continuations
+HEAD = 9  # bytes of a frame header
+MAX_FRAME_BYTES = 16_384  # default of SETTINGS_MAX_FRAME_SIZE, which we don't change
+MAX_HEADER_BLOCK_BYTES = 32 * 1024  # with its CONTINUATION frames
 MAX_CONTINUATIONS = 8
-MAX_EMPTY_FRAMES = (
-    200  # frames that bring nothing (SETTINGS, PING, RST, empty DATA, unknown ...) at once,
-)
-EMPTY_FRAMES_PER_SECOND = 50  # and in a second from then on
+# Limits on frames without content (SETTINGS, PING, RST_STREAM, empty DATA, unknown types ...):
+MAX_EMPTY_FRAMES = 200  # in a burst
+EMPTY_FRAMES_PER_SECOND = 50  # sustained
 MAX_GOAWAYS = 8
-FIRST = b"\x00\x00"  # a first frame is SETTINGS: short, so that its length opens with these
+# The first frame is SETTINGS, which is short: the upper two bytes of its length are zero.
+FIRST = b"\x00\x00"
 
 
 class Kind(IntEnum):
+    """Frame type."""
+
     DATA = 0
     HEADERS = 1
     PRIORITY = 2
@@ -38,12 +39,14 @@
 
 
 class Goaway(NamedTuple):
-    last: int
-    code: int
+    """A GOAWAY frame."""
+
+    last: int  # the last stream that was or might be processed
+    code: int  # error code
 
 
 class ConnectionFault(NamedTuple):
-    """The connection cannot be used further."""
+    """The connection violated the protocol or a limit and can't be used further."""
 
     what: str
     speaks: bool = True  # whether it is HTTP/2 at all
@@ -53,22 +56,22 @@
 
 
 class FrameSplitter:
-    """Holds at most one frame that is partly there."""
+    """Splits received bytes into frames; buffers at most one incomplete frame."""
 
     def __init__(self, now: int) -> None:
         self._rest = b""
         self._first = True
-        self._block = self._continuations = 0  # of the header block that is open
+        self._block = self._continuations = 0  # of the open header block
         self._empty, self._empty_at = 0.0, now
         self._goaways = 0
 
     @property
     def settled(self) -> bool:
-        """Whether the peer's first SETTINGS are here."""
+        """Whether the peer's first SETTINGS frame has been received."""
         return not self._first
 
     def feed(self, now: int, data: bytes) -> list[FrameResult]:
-        """Frames to pass on, in turn; a fault is the last thing found."""
+        """Return the frames to pass on, in order; nothing follows a fault."""
         found: list[FrameResult] = []
         buffered = self._rest + data
         at = 0
@@ -96,7 +99,7 @@
                 return found
             if kind == Kind.GOAWAY:
                 if length < 8 or stream:
-                    found.append(ConnectionFault("a GOAWAY that is none"))
+                    found.append(ConnectionFault("a malformed GOAWAY frame"))
                     return found
                 found.append(
                     Goaway(int.from_bytes(frame[9:13]) & 0x7FFFFFFF, int.from_bytes(frame[13:17]))
@@ -121,11 +124,11 @@
         if kind in (Kind.HEADERS, Kind.CONTINUATION) and self._block > MAX_HEADER_BLOCK_BYTES:
             return ConnectionFault("a header block that is too large")
         if kind == Kind.PUSH_PROMISE:
-            return ConnectionFault("a push, which was not allowed")
+            return ConnectionFault("a PUSH_PROMISE frame, although push is disabled")
         if kind == Kind.GOAWAY:
             self._goaways += 1
             return (
-                ConnectionFault("GOAWAY again and again") if self._goaways > MAX_GOAWAYS else None
+                ConnectionFault("too many GOAWAY frames") if self._goaways > MAX_GOAWAYS else None
             )
         has_content = kind in (Kind.HEADERS, Kind.CONTINUATION) or (
             kind == Kind.DATA
@@ -140,7 +143,7 @@
         )
         self._empty_at = now
         return (
-            ConnectionFault("frames that bring nothing, too many at once")
+            ConnectionFault("too many frames without content")
             if self._empty > MAX_EMPTY_FRAMES
             else None
         )
--- a/umbermoor/front/http2/session.py
+++ b/umbermoor/front/http2/session.py
@@ -1,11 +1,10 @@
-"""One connection to a machine, without I/O: queries onto streams, answers from them, and what each
-end proves.
-
-A query is turned into frames only when the kernel has accepted all that was written before, and one
-at a time: so what waits was never sent, and whatever ends the connection, at most one query is in
-part. A host calls ``next_bytes`` whenever
-the transport has nothing left to write, ``receive`` with what came, ``lost`` when the connection
-has ended. Each call's ``ended`` is called once. Source: RFC 9113.
+"""State of one HTTP/2 connection to a machine, without I/O.
+
+Queries are turned into frames one at a time, and only when the kernel has accepted all that was
+written before. So queries that wait were never sent, and when the connection ends at most one query
+is partly sent. The host calls `next_bytes` whenever the transport has nothing left to write,
+`receive` with what it received, and `lost` when the connection has ended. Each call's `ended` is
+called once. Source: RFC 9113.
 """
 
 from collections import deque
@@ -23,20 +22,26 @@
 from umbermoor.http1.buffers import MAX_BODY_BYTES, Buffers, ByteQueue
 from umbermoor.http1.reader import Response
 
-GOAWAY_ANNOUNCED = 0x7FFFFFFF  # a GOAWAY with this only says that the end is near
-STREAM_WINDOW = MAX_BODY_BYTES  # an answer fits: no stream waits for us
-CONNECTION_WINDOW = 1 << 20  # so that one slow body does not stall the others
-ASSUMED_STREAMS = 100  # until the peer says how many; RFC 9113 asks for no less
+GOAWAY_ANNOUNCED = 0x7FFFFFFF  # last stream of a GOAWAY that only announces the shutdown
+STREAM_WINDOW = MAX_BODY_BYTES  # a whole response fits: no stream waits for a window update
+CONNECTION_WINDOW = 1 << 20  # large, so that one slow body does not stall the others
+ASSUMED_STREAMS = 100  # until the peer sends its limit; RFC 9113 recommends no less than 100
 MAX_STREAM_ID = (1 << 31) - 1
-MAX_INTERIM = 16  # 1xx answers before one answer
-MAX_HEADERS = 64  # names in an answer's head
+MAX_INTERIM = 16  # 1xx responses before the final one
+MAX_HEADERS = 64  # different fields in a response
 
 Outcome = Response | Failed
 
 
 class Call:
-    """One query on its way. ``may_go`` is asked when its turn comes, right before its first
-    byte."""
+    """One query on a connection.
+
+    Args:
+        headers: header fields, pseudo-header fields included.
+        body: content.
+        may_go: called right before the first byte is sent; if False, the query is not sent.
+        ended: called once with the outcome.
+    """
 
     __slots__ = ("body", "ended", "headers", "may_go", "over", "progress", "stream")
 
@@ -51,16 +56,18 @@
         self.progress, self.over, self.stream = StreamProgress.UNSENT, False, 0
 
     def settle(self, outcome: Outcome) -> None:
+        """Report the outcome, unless one was reported before."""
         if not self.over:
             self.over = True
             self.ended(outcome)
 
     def fail(self, end: StreamEnd) -> None:
+        """Report a failure with the call's current progress."""
         self.settle(Failed(self.progress, end))
 
 
 class _Stream:
-    """A call on a stream, and its answer as far as it is here."""
+    """A call that has a stream, and the part of its response that was received."""
 
     __slots__ = ("call", "closed", "headers", "interim", "unsent", "received", "status")
 
@@ -69,10 +76,17 @@
         self.status, self.headers = 0, {}
         self.received = ByteQueue(buffers)
         self.interim = 0
-        self.closed = False  # on our side: END_STREAM was handed on
+        self.closed = False  # on our side: END_STREAM was written
 
 
 class Session:
+    """One client connection.
+
+    Args:
+        buffers: pool for the received bodies.
+        now: current time, microseconds.
+    """
+
     def __init__(self, buffers: Buffers, now: int) -> None:
         self._buffers = buffers
         self._splitter = FrameSplitter(now)
@@ -89,42 +103,44 @@
                 h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: 16 * 1024,
                 h2.settings.SettingCodes.HEADER_TABLE_SIZE: 0,
             },
-        )  # so that a head which nobody waits for can be passed over
+        )  # no HPACK table: so the header block of an abandoned stream can be skipped
         self._codec.initiate_connection()
         self._codec.increment_flow_control_window(CONNECTION_WINDOW - 65_535)
         self._streams: dict[int, _Stream] = {}
         self._waiting: deque[Call] = deque()
-        self._block_open = False  # a head that the codec has a part of
+        self._block_open = False  # the codec has part of a header block
         self._written: _Stream | None = (
-            None  # its END_STREAM is the last thing that was handed to the kernel
+            None  # the stream whose END_STREAM was the last thing written
         )
-        self._last = GOAWAY_ANNOUNCED  # of the peer's GOAWAY
-        self.draining = False  # a GOAWAY came: no new stream
+        self._last = GOAWAY_ANNOUNCED  # last stream in the peer's GOAWAY
+        self.draining = False  # no new streams: a GOAWAY was received, or the host is closing it
         self.ended = False
-        self.speaks = True  # HTTP/2, as far as is known
-        self.answered = 0  # streams that were answered
-        self.heard = now  # when anything last came
-        self.pinged = 0  # when a PING went out that is not answered yet
-        self.fault = ""  # what was wrong with it
+        self.speaks = True  # the peer speaks HTTP/2, as far as is known
+        self.answered = 0  # number of answered streams
+        self.heard = now  # when anything was received last
+        self.pinged = 0  # when the unanswered PING was sent; 0: there is none
+        self.fault = ""  # why it was given up
 
-    # What stands.
+    # State.
 
     @property
     def settled(self) -> bool:
-        """Whether the peer has said its SETTINGS: before that nothing is asked."""
+        """Whether the peer has sent its SETTINGS; before that no query is sent."""
         return self._splitter.settled
 
     @property
     def open_streams(self) -> int:
+        """Number of open streams."""
         return len(self._streams)
 
     @property
     def waiting(self) -> int:
+        """Number of calls that wait for a stream."""
         return len(self._waiting)
 
     @property
     def limit(self) -> int:
-        """Streams that the peer takes at once."""
+        """Number of concurrent streams that the peer allows."""
         return min(
             ASSUMED_STREAMS if not self.settled else 1 << 20,
             self._codec.remote_settings.max_concurrent_streams,
@@ -132,28 +148,29 @@
 
     @property
     def usable(self) -> bool:
-        """Whether new calls may be put on it."""
+        """Whether new calls may be submitted."""
         return (
             not self.ended
             and not self.draining
             and self._codec.highest_outbound_stream_id < MAX_STREAM_ID - 2
         )
 
-    # What is asked.
+    # Sending.
 
     def submit(self, call: Call) -> None:
+        """Queue a call; it fails at once if the connection is not usable."""
         if self.usable:
             self._waiting.append(call)
         else:
             call.fail(StreamEnd.UNCONNECTED)
 
     def take_unsent(self) -> list[Call]:
-        """The calls that wait, for another connection: nothing of them was sent."""
+        """Remove and return the waiting calls, for another connection; none of them was sent."""
         calls, self._waiting = [one for one in self._waiting if not one.over], deque()
         return calls
 
     def cancel(self, call: Call, end: StreamEnd) -> None:
-        """Given up on; its neighbours go on. Call ``next_bytes`` after."""
+        """Cancel one call; the other streams go on. Call `next_bytes` after it."""
         if call.over:
             return
         if call.progress is StreamProgress.UNSENT:
@@ -163,13 +180,16 @@
         call.fail(end)
 
     def ping(self, now: int) -> None:
+        """Send a PING, unless one is unanswered."""
         if not self.ended and not self.pinged:
             self.pinged = now
             self._codec.ping(now.to_bytes(8))
 
     def next_bytes(self) -> bytes:
-        """What is to be written now. Only to be called when all that was written before is with the
-        kernel; empty: wait."""
+        """Return the bytes to write now; empty if there is nothing to write.
+
+        Only to be called when the kernel has accepted all that was written before.
+        """
         if self._written is not None:
             self._written.call.progress = max(self._written.call.progress, StreamProgress.WHOLE)
             self._written = None
@@ -216,10 +236,13 @@
             stream.closed, self._written = True, stream
         return self._codec.data_to_send()
 
-    # What comes.
+    # Receiving.
 
     def receive(self, now: int, data: bytes) -> None:
-        """Raises nothing: what is wrong ends this connection alone. Call ``next_bytes`` after."""
+        """Process received bytes; raises nothing. Call `next_bytes` after it.
+
+        Invalid input ends this connection only.
+        """
         self.heard = now
         for found in self._splitter.feed(now, data):
             if self.ended:
@@ -233,9 +256,11 @@
                 self._decode(found)
 
     def _is_abandoned_head(self, frame: bytes) -> bool:
-        """Heads for streams that we have given up on. Threat: the codec takes some of them for a
-        fault of the connection,
-        and one query's time-out ends its neighbours."""
+        """Return whether the frame is part of a header block for a stream that we have cancelled.
+
+        Threat: the codec treats some of these as a connection error, so that the timeout of one
+        query would end the other streams.
+        """
         kind, flags, number = frame[3], frame[4], int.from_bytes(frame[5:9]) & 0x7FFFFFFF
         if (kind == Kind.CONTINUATION and self._block_open) or kind not in (
             Kind.HEADERS,
@@ -263,14 +288,13 @@
             if isinstance(event, h2.events.PingAckReceived):
                 self.pinged = 0
             elif isinstance(event, h2.events.ConnectionTerminated):
-                self.give_up(StreamEnd.FAULT, "the codec ended it")
+                self.give_up(StreamEnd.FAULT, "the codec terminated the connection")
             elif (number := getattr(event, "stream_id", None)) and number in self._streams:
                 self._dispatch(number, self._streams[number], event)
         self._acknowledge_data(events)
 
     def _acknowledge_data(self, events: list) -> None:
-        """All that came is ours already: the windows open again at once. What we hold of it is
-        bounded by the buffers."""
+        """Reopen the flow-control windows at once; the buffers limit the memory that is used."""
         for event in events:
             if (
                 isinstance(event, h2.events.DataReceived)
@@ -281,7 +305,7 @@
                     self._codec.acknowledge_received_data(
                         event.flow_controlled_length, event.stream_id
                     )
-                except h2.exceptions.ProtocolError:  # the stream is over
+                except h2.exceptions.ProtocolError:  # the stream is closed
                     continue
 
     def _dispatch(self, number: int, stream: _Stream, event: h2.events.Event) -> None:
@@ -330,7 +354,7 @@
         whole = stream.closed and call.progress >= StreamProgress.WHOLE
         length = stream.headers.get("content-length")
         if not whole or not stream.status or (length is not None and length != str(len(body))):
-            self._reject_answer(number)  # before the query's end, or not what it says
+            self._reject_answer(number)  # before the end of the query, or of another length
             return
         self.answered += 1
         self._forget(number)
@@ -346,7 +370,7 @@
             self._forget(number)
             try:
                 self._codec.reset_stream(number, code)
-            except h2.exceptions.ProtocolError:  # it is closed there already
+            except h2.exceptions.ProtocolError:  # already closed in the codec
                 return
 
     def _forget(self, number: int) -> None:
@@ -356,10 +380,11 @@
             self._written = None
 
     def _handle_goaway(self, found: Goaway) -> None:
-        """Streams above the last never ran; those at or below it are still out, and may be
-        answered."""
+        """Process a GOAWAY: streams above its last one were never executed, the others go on."""
         if found.last > self._last:
-            self.give_up(StreamEnd.FAULT, f"a GOAWAY that rises from {self._last} to {found.last}")
+            self.give_up(
+                StreamEnd.FAULT, f"last stream of GOAWAY rises from {self._last} to {found.last}"
+            )
             return
         self._last, self.draining = found.last, True
         for number in [one for one in self._streams if one > found.last]:
@@ -367,15 +392,15 @@
             self._forget(number)
             call.fail(StreamEnd.ABOVE)
 
-    # The end.
+    # End of the connection.
 
     def give_up(self, end: StreamEnd, what: str) -> None:
-        """Ends the connection from our side; the host closes it."""
+        """End the connection from our side because of `what`; the host closes the socket."""
         self.fault = self.fault or what
         self._end(end)
 
     def lost(self) -> None:
-        """The connection has ended."""
+        """Register that the connection has ended."""
         self._end(StreamEnd.LOST)
 
     def _end(self, end: StreamEnd) -> None:
--- a/umbermoor/front/http2/stream_outcomes.py
+++ b/umbermoor/front/http2/stream_outcomes.py
@@ -1,45 +1,50 @@
-"""What became of a stream, and what that proves; in one table. Source: RFC 9113, sections 5.4, 6.4,
-6.8, 7, 8.1, 8.7.
+"""Outcomes of streams, and a table of what each proves about the execution of its query.
 
-A stream's stand is how far its query had come when it ended. Written whole means that the kernel
-had all bytes up to its
-END_STREAM; from then on it may have run, unless the machine itself says that it did not.
+The outcome is the progress of the stream and the reason of its end. A query is written whole once
+the kernel has accepted all bytes up to END_STREAM; from then on the machine may have executed it,
+unless the machine itself says that it did not. Source: RFC 9113, sections 5.4, 6.4, 6.8, 7, 8.1,
+8.7.
 """
 
 from enum import Enum, IntEnum, auto
 
 
 class StreamProgress(IntEnum):
-    UNSENT = 0  # waits for a connection, or for a stream on one: nothing of it was written
-    PART = 1  # HEADERS written, or handed to the kernel; END_STREAM not fully accepted by it
-    WHOLE = 2
-    ANSWERING = 3  # a part of its answer came
+    """How far a query had come when its stream ended."""
+
+    UNSENT = 0  # waits for a connection or a stream; nothing of it was written
+    PART = 1  # HEADERS written to the transport; the kernel has not accepted all up to END_STREAM
+    WHOLE = 2  # the kernel has accepted all of it
+    ANSWERING = 3  # part of the response was received
 
 
 class StreamEnd(Enum):
+    """Why a stream ended without a usable response."""
+
     REFUSED = auto()  # RST_STREAM with REFUSED_STREAM
     RESET = auto()  # RST_STREAM with any other code
-    ABOVE = auto()  # GOAWAY that names a lower stream as its last
-    LOST = auto()  # the connection ended, and no GOAWAY spoke of this stream
-    SILENT = auto()  # the connection was given up for its silence
-    FAULT = auto()  # the connection was given up for what came on it
-    GARBLED = auto()  # its answer cannot be used
-    LATE = auto()  # our own time-out
-    STOPPED = auto()  # called off
-    WITHDRAWN = auto()  # might no longer be sent when its turn came
-    UNCONNECTED = auto()  # no connection came up
+    ABOVE = auto()  # GOAWAY with a lower last stream
+    LOST = auto()  # the connection ended, without a GOAWAY that covers this stream
+    SILENT = auto()  # the connection was given up as it received nothing
+    FAULT = auto()  # the connection was given up as it received something invalid
+    GARBLED = auto()  # the response is invalid
+    LATE = auto()  # our timeout
+    STOPPED = auto()  # cancelled by us
+    WITHDRAWN = auto()  # no longer allowed to be sent when its turn came
+    UNCONNECTED = auto()  # no connection could be opened
 
 
 class Proof(Enum):
-    """What an end proves of the query."""
+    """What the outcome of a stream proves about its query."""
 
-    NEVER_RAN = "never ran"  # and the machine is none the worse for it
-    TURNED_AWAY = "turned away"  # never ran, as the machine would not
-    UNDELIVERED = "no way"  # never ran, as it could not be brought there
-    MAY_HAVE = "may have run"
+    NEVER_RAN = "never ran"  # not executed; says nothing against the machine
+    TURNED_AWAY = "turned away"  # not executed, as the machine refused it
+    UNDELIVERED = "no way"  # not executed, as it could not be delivered
+    MAY_HAVE = "may have run"  # perhaps executed
 
 
-# Threat: calling what may have run 'never ran': a booking would run twice.
+# Threat: a query that may have been executed is classified as never run and sent again, and a
+# booking is executed twice.
 _WHOLE = dict.fromkeys(StreamEnd, Proof.MAY_HAVE) | {
     StreamEnd.REFUSED: Proof.TURNED_AWAY,
     StreamEnd.ABOVE: Proof.NEVER_RAN,
@@ -49,10 +54,9 @@
     StreamEnd.ABOVE: Proof.NEVER_RAN,
     StreamEnd.WITHDRAWN: Proof.NEVER_RAN,
     StreamEnd.GARBLED: Proof.MAY_HAVE,
-}  # an answer before the query's end: the machine did something with it
-_ANSWERING = dict.fromkeys(
-    StreamEnd, Proof.MAY_HAVE
-)  # whatever it says now, it had begun to answer
+}  # GARBLED: a response before the query's end shows that the machine processed some of it
+# Whatever the machine says now, it had begun to respond.
+_ANSWERING = dict.fromkeys(StreamEnd, Proof.MAY_HAVE)
 
 PROOFS: dict[tuple[StreamProgress, StreamEnd], Proof] = {
     (progress, end): {
@@ -67,7 +71,7 @@
 
 
 class Failed:
-    """A query that got no answer: how far it had come, and what ended it."""
+    """A query without a usable response: its progress, and why its stream ended."""
 
     __slots__ = ("end", "progress")
 
@@ -76,6 +80,7 @@
 
     @property
     def proof(self) -> Proof:
+        """What this proves about the execution of the query."""
         return PROOFS[self.progress, self.end]
 
     def __eq__(self, other: object) -> bool:
--- a/umbermoor/front/lifecycle/__init__.py
+++ b/umbermoor/front/lifecycle/__init__.py
@@ -1,2 +1,4 @@
-"""A front's own life: serving, draining on request, coming back; what it remembers; its background
-work. No I/O in here."""
+"""Lifecycle of a front: serving, drain and resume, snapshots over restarts, background work.
+
+The modules do no I/O, except for the snapshot file and the operators' command.
+"""
--- a/umbermoor/front/lifecycle/admin_calls.py
+++ b/umbermoor/front/lifecycle/admin_calls.py
@@ -1,12 +1,14 @@
-"""What operators may ask of a front, and the answers, without I/O: the door on sockets only carries
-them.
-
-GET  /status   state, deadline, work in hand, machines, stage
-GET  /hands    each query in hand: profile, age, machine, time left
-GET  /metrics  counters in the Prometheus text form
-GET  /config   what the front runs with
-GET  /members  who said what of the machines, and what was concluded
-POST /drain    {"deadline_s": 30}; POST /resume
+"""Admin calls of a front and their responses, without I/O.
+
+`server.admin_endpoint` receives the requests on a socket and sends the responses.
+
+GET  /status   state, deadline, queries in flight, machines, stage
+GET  /hands    each query in flight: profile, age, machine, time left
+GET  /metrics  counters and gauges in the Prometheus text format
+GET  /config   the configuration that the front runs with
+GET  /members  what each membership source reported, and the resulting machine list
+POST /drain    {"deadline_s": 30}; the body is optional
+POST /resume
 """
 
 import hmac
@@ -22,18 +24,26 @@
 
 
 class AdminResponse(NamedTuple):
+    """HTTP response of an admin call."""
+
     status: int
     body: bytes
     content_type: str = "application/json"
 
 
 class AdminCalls:
-    """``front`` answers each of the names; ``token`` is asked for where it is not empty."""
+    """Dispatcher of the admin calls.
+
+    Args:
+        front: function for each call, by the call's path without the leading slash.
+        token: bearer token that each request must carry; empty if none is required.
+    """
 
     def __init__(self, front: Mapping[str, Callable[..., Any]], token: str = "") -> None:
         self._front, self._token = front, token
 
     def answer(self, request: Request) -> AdminResponse:
+        """Run the call that `request` names and return its response."""
         if self._token and not self._allowed(request.headers.get("authorization", "")):
             return _json_response(401, {"error": "a token is needed: Authorization: Bearer TOKEN"})
         path = request.target.partition("?")[0]
@@ -64,12 +74,13 @@
         return _json_response(200, self._front[path[1:]]())
 
     def _allowed(self, given: str) -> bool:
-        """In constant time, whatever was given."""
+        """Compare in constant time, so that the duration tells nothing about the token."""
         return hmac.compare_digest(
             given.encode("utf-8", "replace"), f"Bearer {self._token}".encode()
         )
 
     def _deadline(self, body: bytes) -> int | None | AdminResponse:
+        """Return the drain deadline in microseconds, None if none is given, or an error."""
         if not body:
             return None
         try:
@@ -95,8 +106,7 @@
 
 
 def metrics_text(rows: list[tuple[str, str, str, dict[str, str], float]]) -> bytes:
-    """Rows of (name, kind, help, labels, value) in the Prometheus text form, by its client
-    library."""
+    """Return rows of (name, kind, help, labels, value) in the Prometheus text format."""
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
@@ -111,7 +121,7 @@
 
 
 class _Rows:
-    """What the client library asks for what it writes."""
+    """Collector that returns fixed metric families to the Prometheus client library."""
 
     def __init__(self, families: list[Any]) -> None:
         self._families = families
--- a/umbermoor/front/lifecycle/command.py
+++ b/umbermoor/front/lifecycle/command.py
@@ -42,10 +42,12 @@
 
 
 class Unanswered(Exception):
-    pass
+    """The admin endpoint could not be reached or did not answer."""
 
 
 class _UnixConnection(http.client.HTTPConnection):
+    """HTTP connection over a Unix socket."""
+
     def __init__(self, path: str) -> None:
         super().__init__("localhost", timeout=TIMEOUT)
         self._path = path
@@ -59,7 +61,18 @@
 def ask(
     where: str, method: str, path: str, body: dict[str, Any] | None = None, token: str | None = None
 ) -> tuple[int, bytes]:
-    """One question to the door. Raises Unanswered."""
+    """Send one request to the admin endpoint; return the status and body of the response.
+
+    Args:
+        where: address of the endpoint: host:port, or unix:/path.
+        method: HTTP method.
+        path: path of the call.
+        body: JSON object to send, if any.
+        token: path of the file with the bearer token, if one is required.
+
+    Raises:
+        Unanswered: the endpoint could not be reached, or the token file not read.
+    """
     try:
         if where.startswith("unix:"):
             connection: http.client.HTTPConnection = _UnixConnection(where.removeprefix("unix:"))
@@ -118,6 +131,7 @@
 
 
 def _until_drained(where: str, token: str | None) -> int:
+    """Poll the front until it is drained; return 0, or 1 if the drain was cancelled meanwhile."""
     while True:
         status = orjson.loads(ask(where, "GET", "/status", None, token)[1])
         if status["state"] == "drained":
@@ -129,6 +143,7 @@
 
 
 def status_line(status: dict[str, Any]) -> str:
+    """Return the status in one line."""
     left = "" if status["deadline_s"] is None else f", {status['deadline_s']:.1f} s to its deadline"
     return (
         f"{status['name']}: {status['state']}{left}; {status['in_hand']} in hand, {status['clients']} clients, "
@@ -137,6 +152,7 @@
 
 
 def _view(status: dict[str, Any]):
+    """Return the status as a table for the terminal."""
     from rich.table import Table
 
     table = Table(title=status_line(status))
@@ -150,6 +166,7 @@
 
 
 def _watch(where: str, token: str | None, seconds: float, record: str | None) -> int:
+    """Show the status live for `seconds`; append each to the file `record`, if given."""
     from rich.live import Live
 
     until = time.monotonic() + seconds
@@ -165,6 +182,7 @@
 
 
 def _replay(path: str) -> int:
+    """Show the statuses that `_watch` recorded."""
     from rich.console import Console
 
     console = Console()
--- a/umbermoor/front/lifecycle/drain_keeper.py
+++ b/umbermoor/front/lifecycle/drain_keeper.py
@@ -1,9 +1,8 @@
-"""Keeps a front's state by the table: commands, deadlines and the ramp; decisions without I/O.
-Times are microseconds.
+"""Lifecycle state of a front: commands, drain deadline and the ramp after a resume, without I/O.
 
-A host reports commands and what it has in hand, asks ``admits`` for each query, and calls ``tick``
-at ``next_at``; it then
-does what ``Due`` says.
+The host passes on commands, asks `admits` for each query, and calls `tick` at `next_at` with the
+number of queries in flight; it then carries out the returned `DrainAction`s. Transitions follow
+`states.TABLE`. Times are microseconds.
 """
 
 from enum import Enum
@@ -12,24 +11,26 @@
 from umbermoor.front.lifecycle.states import CLOSES, TABLE, UP, VOTES, Event, State
 
 SECOND = 1_000_000
-DEFAULT_DEADLINE = 30 * SECOND  # of a drain that names none
+DEFAULT_DEADLINE = 30 * SECOND  # of a drain request that gives none
 MAX_DEADLINE = 3600 * SECOND
-RAMP_TIME = 5 * SECOND  # from a return until all is taken again
-RAMP_START = 4  # queries at once that a front which is back takes at first
-BACK_IN = SECOND  # when to come back, for who is turned away
+RAMP_TIME = 5 * SECOND  # from a resume until the front accepts its full load again
+RAMP_START = 4  # concurrent queries that a front accepts right after a resume
+BACK_IN = SECOND  # after which a client whose query was not accepted should retry
 DRAINED_AFTER = (
     SECOND // 10
-)  # so long with nothing in hand, and it is drained: a query that crosses is still read
+)  # idle time before it counts as drained: a query that was already on its way is still read
 
 
 class DrainAction(Enum):
+    """An action that the host of a `DrainKeeper` carries out."""
+
     CLOSE_IDLE = "tell idle clients to go"
     GIVE_UP = "answer at once all that is in hand"
     FORGET = "evidence is too old to vote on"
 
 
 class StateChange(NamedTuple):
-    """One change, for the operators."""
+    """One state change, as shown to operators."""
 
     at: int
     state: State
@@ -37,11 +38,17 @@
 
 
 class DrainKeeper:
+    """Lifecycle state of one front.
+
+    Args:
+        now: current time.
+        capacity: concurrent queries that the front can hold at most.
+    """
+
     def __init__(self, now: int, capacity: int) -> None:
-        """``room``: queries at once that the front can hold at the most."""
         self.state, self._capacity = State.STARTING, max(RAMP_START, capacity)
         self.deadline: int | None = None
-        self._resumed_at = 0  # when it came back
+        self._resumed_at = 0
         self._empty_since: int | None = None
         self._actions: list[DrainAction] = []
         self.history: list[StateChange] = [StateChange(now, self.state, "start")]
@@ -49,11 +56,14 @@
     # Commands.
 
     def ready(self, now: int) -> None:
+        """Enter service: the machine list and the rollout stage are known."""
         self._move(now, Event.READY, "list and stage are known")
 
     def drain(self, now: int, within: int | None = None) -> str:
-        """Asked again, the new deadline takes the old one's place. What came of it, for who
-        asked."""
+        """Start a drain that ends within `within`; return the result as text for the operator.
+
+        During a drain the new deadline replaces the old one.
+        """
         if self.state is State.LEAVING:
             return "leaving already"
         if self.state is State.DRAINED:
@@ -69,6 +79,7 @@
         return "the deadline is moved" if again else "draining"
 
     def resume(self, now: int) -> str:
+        """Cancel a drain or end the drained state; return the result as text for the operator."""
         if self.state not in (State.DRAINING, State.DRAINED):
             return {State.LEAVING: "leaving: there is no way back"}.get(
                 self.state, "in service already"
@@ -82,21 +93,23 @@
         return "resuming"
 
     def leave(self, now: int) -> None:
+        """Begin the shutdown."""
         self.deadline = None
         self._move(now, Event.LEAVE, "SIGTERM")
 
     # Queries.
 
     def admits(self, now: int, in_hand: int) -> bool:
-        """Whether a query that came is taken; who is not, is told when to come back, and nothing
-        was done for it."""
+        """Return whether a new query is accepted.
+
+        A query that is not accepted has not been executed; its client is told when to retry.
+        """
         if self.state is State.DRAINED:
             return False
         return self.state is not State.RESUMING or in_hand < self.max_in_hand(now)
 
     def max_in_hand(self, now: int) -> int:
-        """Queries at once that it takes: few at first, and then more in step with the time since
-        its return."""
+        """Return how many concurrent queries are accepted: after a resume it grows linearly."""
         if self.state is not State.RESUMING:
             return self._capacity
         return (
@@ -108,19 +121,23 @@
 
     @property
     def up(self) -> bool:
+        """Whether `GET /up` reports the front as in service."""
         return self.state in UP
 
     @property
     def closes(self) -> bool:
+        """Whether responses tell their clients to close the connection."""
         return self.state in CLOSES
 
     @property
     def votes(self) -> bool:
+        """Whether the front may vote on a rollout."""
         return self.state in VOTES
 
     # Time.
 
     def next_at(self, now: int) -> int | None:
+        """Return when `tick` is due next, or None if no timer runs."""
         times = []
         if self.state is State.DRAINING:
             times.append(self.deadline)
@@ -132,8 +149,11 @@
         return min((one for one in times if one is not None), default=None)
 
     def tick(self, now: int, in_hand: int) -> list[DrainAction]:
-        """What is to be done now. At the deadline it is drained only once all has been answered:
-        the host does so at once, and the next tick finds nothing in hand."""
+        """Advance the timers and return the actions for the host to carry out now.
+
+        At the deadline the front is not drained before all queries are answered: the host answers
+        them on `GIVE_UP`, and the next tick finds none in flight.
+        """
         if self.state is State.DRAINING:
             if in_hand:
                 self._empty_since = None
--- a/umbermoor/front/lifecycle/scheduler.py
+++ b/umbermoor/front/lifecycle/scheduler.py
@@ -1,10 +1,9 @@
-"""Background work under budgets, without I/O: which piece runs next, and when none may.
+"""Scheduler of background work under CPU and I/O budgets; does no I/O itself.
 
-Work is a generator that yields after each slice the bytes that the slice moved. A slice is measured
-by the clock that is
-given; what takes longer than the bound on slices is told, as nobody can cut it short. Queries come
-first: while the host
-says that it is pressed, only work that has waited for long runs, a slice at a time.
+A task is a generator that yields after each slice the number of bytes that the slice moved. Slices
+are measured by the given clock; a slice over the limit is reported, as it can't be interrupted.
+Queries have precedence: while the host is under load (`pressed`), only tasks that have waited for
+long run, one slice at a time.
 """
 
 from collections.abc import Callable, Generator
@@ -13,23 +12,25 @@
 from umbermoor.front.lifecycle.timing_wheel import Timer, Wheel
 
 SECOND = 1_000_000
-MAX_SLICE = 5_000  # microseconds that a slice should hold the core at the most
-CPU_PER_SECOND = 50_000  # microseconds of the core in a second, for all background work
+MAX_SLICE = 5_000  # microseconds of CPU that a slice should take at most
+CPU_PER_SECOND = 50_000  # microseconds of CPU per second for all background work
 BYTES_PER_SECOND = 4 << 20
-BURST = 0.2  # seconds' worth of budget that may be spent at once
-AGEING = SECOND // 2  # waiting so long is worth one step of priority
-MAX_PRESSED_WAIT = 5 * SECOND  # what has waited so long runs though the host is pressed
-GRAIN = 10_000
+BURST = 0.2  # seconds of budget that may accumulate and be spent at once
+AGEING = SECOND // 2  # waiting time that raises the priority by one step
+MAX_PRESSED_WAIT = 5 * SECOND  # a task that has waited this long runs even under load
+GRAIN = 10_000  # microseconds; resolution of the timers
 
 Work = Generator[int, None, None]
 
 
 @dataclass(slots=True, eq=False)
 class Task:
+    """A task, its current run and its statistics. Times are microseconds."""
+
     name: str
-    priority: int  # lower is sooner
+    priority: int  # lower runs first
     make: Callable[[], Work]
-    every: int = 0  # microseconds from one end to the next begin; 0: once
+    every: int = 0  # from the end of a run to the start of the next; 0: run once
     work: Work | None = None
     waits_since: int = 0
     timer: Timer | None = None
@@ -42,11 +43,14 @@
 
 @dataclass(slots=True)
 class Budget:
-    rate: float  # a second
+    """Token bucket that fills at `rate` and holds at most `BURST` seconds of it."""
+
+    rate: float  # per second
     remaining: float = 0.0
     at: int = 0
 
     def fill(self, now: int) -> None:
+        """Add what has accrued since the last call."""
         limit = self.rate * BURST
         self.remaining = min(limit, self.remaining + self.rate * max(0, now - self.at) / SECOND)
         self.at = now
@@ -54,6 +58,16 @@
 
 @dataclass(slots=True)
 class Scheduler:
+    """Runs one slice of one task at a time.
+
+    Attributes:
+        clock: returns the time in microseconds.
+        cpu: budget of CPU microseconds.
+        moved: budget of bytes moved.
+        tasks: all tasks that are not finished.
+        report: called with a task and a text about a fault or a slice over the limit.
+    """
+
     clock: Callable[[], int]
     cpu: Budget = field(default_factory=lambda: Budget(CPU_PER_SECOND))
     moved: Budget = field(default_factory=lambda: Budget(BYTES_PER_SECOND))
@@ -77,7 +91,7 @@
         return task
 
     def cancel(self, task: Task) -> None:
-        """It runs no more; what it had begun is closed."""
+        """Remove the task and close the generator of a run that has started."""
         task.dropped = True
         if task.timer is not None:
             self._wheel.cancel(task.timer)
@@ -90,7 +104,7 @@
             task.work = None
 
     def next_at(self) -> int | None:
-        """When ``run`` is wanted next."""
+        """Return when `run` should be called next, or None if no task is left."""
         now = self.clock()
         if self._ready:
             short = [
@@ -102,7 +116,7 @@
         return self._wheel.next_at()
 
     def run(self, pressed: bool = False) -> int:
-        """One slice at the most; how long it took. 0: nothing was run."""
+        """Run at most one slice; return its duration in microseconds, 0 if none ran."""
         now = self.clock()
         for timer in self._wheel.advance(now):
             task: Task = timer.value
@@ -129,7 +143,7 @@
             self.moved.remaining -= next(task.work)
         except StopIteration:
             finished = True
-        except Exception as error:  # it stops here: other work goes on
+        except Exception as error:  # contained, so that other tasks go on
             task.faults += 1
             finished = True
             self.report(task, f"fault: {type(error).__name__}: {error}")
--- a/umbermoor/front/lifecycle/snapshot.py
+++ b/umbermoor/front/lifecycle/snapshot.py
@@ -1,6 +1,6 @@
-"""What a front remembers over a restart: its form, and what of it may be used. Without I/O but for
-``write`` and ``load``,
-which replace the file in one step and read it whole.
+"""Snapshot that a front keeps over a restart: its format, and which parts may still be used.
+
+`write` replaces the file atomically and `load` reads it whole; the rest does no I/O.
 
     "UMSNAP" version:u8 length:u32 crc32:u32, then JSON
 """
@@ -13,12 +13,12 @@
 
 MAGIC, VERSION = b"UMSNAP", 1
 MAX_BYTES = 4 << 20
-MAX_AGE = 600_000_000  # microseconds after which nothing of it is of use
-MAX_SPEEDS_AGE = 120_000_000  # and after which machines may have become others
+MAX_AGE = 600_000_000  # microseconds; an older snapshot is not used at all
+MAX_SPEEDS_AGE = 120_000_000  # microseconds after which the machines may have been replaced
 
 
 class MachineSnapshot(NamedTuple):
-    """Of one machine: answer times, work ahead of them, usual silence, failures."""
+    """Estimates for one machine: response time, work ahead, usual gap, failures."""
 
     machine: str
     build: int
@@ -30,25 +30,29 @@
 
 
 class Snapshot(NamedTuple):
+    """What a front keeps; the field names are the keys of the stored JSON."""
+
     at: int  # microseconds since 1970
     name: str  # of the front
-    fleet: str  # what the settings say, as a sum: of another fleet nothing is taken
-    took: float  # the fleet's usual ones
+    fleet: str  # digest of the settings: a snapshot of another fleet is not used
+    took: float  # `took`, `work` and `carried` are averages of the fleet
     work: float
     carried: float
     usual: tuple[float, ...]
     machines: tuple[MachineSnapshot, ...]
 
 
-def pack(memory: Snapshot) -> bytes:
+def pack(snapshot: Snapshot) -> bytes:
+    """Serialize a snapshot."""
     return sealed(
         MAGIC,
         VERSION,
-        orjson.dumps({**memory._asdict(), "machines": [list(one) for one in memory.machines]}),
+        orjson.dumps({**snapshot._asdict(), "machines": [list(one) for one in snapshot.machines]}),
     )
 
 
 def unpack(data: bytes) -> Snapshot | UnusableFile:
+    """Parse a serialized snapshot."""
     opened = unsealed(MAGIC, (VERSION,), data)
     if isinstance(opened, UnusableFile):
         return opened
@@ -56,43 +60,50 @@
     try:
         given: dict[str, Any] = orjson.loads(body)
         machines = tuple(MachineSnapshot(*one) for one in given.pop("machines"))
-        memory = Snapshot(**given, machines=machines)
-        return memory._replace(
-            usual=tuple(map(float, memory.usual)), at=int(memory.at), name=str(memory.name)
+        snapshot = Snapshot(**given, machines=machines)
+        return snapshot._replace(
+            usual=tuple(map(float, snapshot.usual)), at=int(snapshot.at), name=str(snapshot.name)
         )
     except (orjson.JSONDecodeError, TypeError, ValueError, KeyError) as error:
         return UnusableFile(f"cannot be read: {type(error).__name__}")
 
 
-def find_mismatch(memory: Snapshot, now: int, name: str, fleet: str) -> UnusableFile | None:
-    """Whether it may be used; what is wrong with it."""
-    if memory.name != name:
-        return UnusableFile(f"is of front {memory.name!r}")
-    if memory.fleet != fleet:
-        return UnusableFile("is of a fleet with other settings")
-    if not 0 <= now - memory.at <= MAX_AGE:
+def find_mismatch(snapshot: Snapshot, now: int, name: str, fleet: str) -> UnusableFile | None:
+    """Return why the snapshot must not be used by front `name` now, or None if it may."""
+    if snapshot.name != name:
+        return UnusableFile(f"belongs to front {snapshot.name!r}")
+    if snapshot.fleet != fleet:
+        return UnusableFile("belongs to a fleet with other settings")
+    if not 0 <= now - snapshot.at <= MAX_AGE:
         return UnusableFile(
-            f"is {(now - memory.at) / 1e6:.0f} s old" if now > memory.at else "is of the future"
+            f"is {(now - snapshot.at) / 1e6:.0f} s old"
+            if now > snapshot.at
+            else "is from the future"
         )
     return None
 
 
 def usable_machines(
-    memory: Snapshot, now: int, listed: dict[str, tuple[int, int]]
+    snapshot: Snapshot, now: int, listed: dict[str, tuple[int, int]]
 ) -> list[MachineSnapshot]:
-    """Of the machines, those that are listed now with the same build and start, if it is not too
-    old for that."""
-    if now - memory.at > MAX_SPEEDS_AGE:
+    """Return the machines that are still listed with the same build and start time.
+
+    Args:
+        memory: the snapshot; if it is too old, no machine of it is used.
+        now: microseconds since 1970.
+        listed: build and start time of each listed machine, by name.
+    """
+    if now - snapshot.at > MAX_SPEEDS_AGE:
         return []
-    return [one for one in memory.machines if listed.get(one.machine) == (one.build, one.born)]
+    return [one for one in snapshot.machines if listed.get(one.machine) == (one.build, one.born)]
 
 
-def write(path: str, memory: Snapshot) -> int:
-    """Replaces the file whole. Raises OSError."""
-    return replace_file(path, pack(memory))
+def write(path: str, snapshot: Snapshot) -> int:
+    """Replace the file atomically. Raises OSError."""
+    return replace_file(path, pack(snapshot))
 
 
 def load(path: str) -> Snapshot | UnusableFile | None:
-    """None where there is none."""
+    """Return the stored snapshot, or None if there is no file."""
     data = read_file(path, MAX_BYTES)
     return unpack(data) if isinstance(data, bytes) else data
--- a/umbermoor/front/lifecycle/states.py
+++ b/umbermoor/front/lifecycle/states.py
@@ -1,25 +1,29 @@
-"""Every state of a front, and what each event does in it; in one table that leaves nothing out."""
+"""Lifecycle states of a front and a transition table that covers every event in every state."""
 
 from enum import Enum, auto
 
 
 class State(Enum):
-    STARTING = "starting"  # not asked by clients yet
+    """Lifecycle state of a front."""
+
+    STARTING = "starting"  # clients do not send queries yet
     SERVING = "serving"
-    RESUMING = "resuming"  # back in service, and takes more and more
-    DRAINING = "draining"  # answers what it has, and what still comes; tells clients to go
-    DRAINED = "drained"  # has nothing in hand, and takes nothing
-    LEAVING = "leaving"  # on its way out; there is no way back
+    RESUMING = "resuming"  # in service again, with a growing limit of concurrent queries
+    DRAINING = "draining"  # answers old and new queries, and tells clients to disconnect
+    DRAINED = "drained"  # no query is in flight, and none is accepted
+    LEAVING = "leaving"  # shutting down; cannot be undone
 
 
 class Event(Enum):
-    READY = auto()  # list and stage are known
-    DRAIN = auto()  # the operators ask for it
-    RESUME = auto()  # and take it back
+    """Something that may change the state."""
+
+    READY = auto()  # the machine list and the rollout stage are known
+    DRAIN = auto()  # an operator requests a drain
+    RESUME = auto()  # an operator cancels or ends a drain
     LEAVE = auto()  # SIGTERM
-    EMPTY = auto()  # nothing is in hand any more
-    DEADLINE = auto()  # what was in hand has been given up on
-    RAMPED = auto()  # it has been back for long enough
+    EMPTY = auto()  # no query is in flight any more
+    DEADLINE = auto()  # the drain deadline has passed and the remaining queries were answered
+    RAMPED = auto()  # the ramp after a resume is over
 
 
 S, E = State, Event
@@ -68,8 +72,8 @@
     (S.LEAVING, E.RAMPED): S.LEAVING,
 }
 
-UP = frozenset({State.SERVING, State.RESUMING})  # where GET /up says so
+UP = frozenset({State.SERVING, State.RESUMING})  # states in which GET /up reports "in service"
 CLOSES = frozenset(
     {State.DRAINING, State.DRAINED, State.LEAVING}
-)  # where each answer tells its client to go
-VOTES = frozenset({State.SERVING})  # elsewhere its evidence is of too little, or too old
+)  # states in which each response tells its client to close the connection
+VOTES = frozenset({State.SERVING})  # in other states its evidence is too little or too old
--- a/umbermoor/front/lifecycle/timing_wheel.py
+++ b/umbermoor/front/lifecycle/timing_wheel.py
@@ -1,9 +1,8 @@
-"""A hierarchical timing wheel: timers by time, set and called off in constant time (Varghese and
-Lauck, 1987).
+"""Hierarchical timing wheel: timers are set and cancelled in constant time.
 
-Times are whole numbers of any unit; a timer fires in the first ``advance`` at or past its time, in
-the order of times at
-the wheel's grain, and within one slot in the order in which they were set.
+Source: Varghese and Lauck, 1987. Times are integers of any unit. A timer fires in the first
+`advance` at or after its time. Timers fire in order of time at the resolution of the wheel's grain,
+and within one slot in the order in which they were set.
 """
 
 from collections.abc import Iterator
@@ -14,6 +13,8 @@
 
 
 class Timer:
+    """A timer of a `Wheel`; `value` is what its owner attached to it."""
+
     __slots__ = ("_key", "_slot", "at", "value")
 
     def __init__(self, at: int, value: Any) -> None:
@@ -23,12 +24,19 @@
 
     @property
     def active(self) -> bool:
+        """Whether the timer is set: neither fired nor cancelled."""
         return self._slot is not None
 
 
 class Wheel:
+    """Timing wheel.
+
+    Args:
+        now: current time.
+        grain: resolution; timers within one grain may fire together, up to one grain late.
+    """
+
     def __init__(self, now: int, grain: int) -> None:
-        """``grain``: timers that lie within one may fire together, up to so much late."""
         self._grain = max(1, grain)
         self._tick = now // self._grain
         self._levels: list[list[dict[int, Timer]]] = [
@@ -39,6 +47,7 @@
         self.count = 0
 
     def set(self, at: int, value: Any) -> Timer:
+        """Add a timer that fires at `at`."""
         timer = Timer(at, value)
         self._sequence += 1
         timer._key = self._sequence
@@ -47,7 +56,7 @@
         return timer
 
     def cancel(self, timer: Timer) -> bool:
-        """Whether it was still set."""
+        """Cancel the timer; return whether it was still set."""
         if timer._slot is None:
             return False
         del timer._slot[timer._key]
@@ -66,7 +75,7 @@
         timer._slot = slot
 
     def advance(self, now: int) -> list[Timer]:
-        """All that is due, in turn. Slots that hold nothing are passed over."""
+        """Remove and return the timers that are due at `now`, in order. Empty slots are skipped."""
         fired: list[Timer] = []
         last = now // self._grain
         while self.count and (tick := self._next_tick()) <= last:
@@ -84,14 +93,14 @@
         return fired
 
     def _move_to(self, tick: int) -> None:
-        """To a time before which nothing is due."""
+        """Advance to `tick`; no timer may be due before it."""
         if tick != self._tick:
             self._tick = tick
             if tick % SLOTS == 0:
                 self._cascade()
 
     def _cascade(self) -> None:
-        """The slots of higher levels that begin here go down to where they belong."""
+        """Move the timers of higher-level slots that begin at this tick to lower levels."""
         for level in range(1, LEVELS):
             place = self._tick >> (BITS * level)
             self._reinsert(self._levels[level][place % SLOTS])
@@ -106,12 +115,14 @@
             self._insert(timer)
 
     def next_at(self) -> int | None:
-        """No later than the first timer; exact within the first level, else the start of its
-        slot."""
+        """Return a time no later than the first timer, or None if there is no timer.
+
+        It is exact for timers in the first level, else the start of the timer's slot.
+        """
         return self._next_tick() * self._grain if self.count else None
 
     def _next_tick(self) -> int:
-        """The start of the first slot that holds anything."""
+        """Return the start of the first slot that is not empty, in ticks."""
         found = ((self._tick >> (BITS * LEVELS)) + 1) << (BITS * LEVELS)
         for level in range(LEVELS - 1, -1, -1):
             start, slots = self._tick >> (BITS * level), self._levels[level]
--- a/umbermoor/front/membership/__init__.py
+++ b/umbermoor/front/membership/__init__.py
@@ -1,2 +1,4 @@
-"""Who the machines are, from several sources that may fail, flap or disagree; decided without I/O.
-See docs/service-discovery.md."""
+"""Membership: the machine list, from several sources that may fail, flap or disagree.
+
+The modules do no I/O, except for the saved list. See docs/service-discovery.md.
+"""
--- a/umbermoor/front/membership/conclusion.py
+++ b/umbermoor/front/membership/conclusion.py
@@ -1,14 +1,14 @@
-"""One list out of many sources, by a stated rule; with reasons. Without I/O.
+"""Merges the machine lists of several sources by a configured rule, with reasons. Without I/O.
 
-    first      the first source, in order, that still speaks
-    any        who is named by any source that speaks
-    all        who is named by all sources that speak
-    quorum     who is named by so many of the sources that speak (by all of them, where fewer speak)
-    split      one source says who is there, another what is known of it
+    first      the machines of the first usable source, in the configured order
+    any        machines that at least one usable source lists
+    all        machines that all usable sources list
+    quorum     machines that at least `quorum` usable sources list (all of them, if there are fewer)
+    split      one source decides which machines exist, another supplies their attributes
 
-Whatever the rule: a source that says that a machine drains is believed, and a rule never empties
-the list because sources
-fail: then the last conclusion stands.
+A source is usable if it answers, or if its last good answer is not too old. Under every rule a
+machine drains if any source says so. Failures of sources never empty the list: if no source is
+usable, the previous result stays in force.
 """
 
 from typing import Literal, NamedTuple
@@ -20,19 +20,31 @@
 
 
 class Member(NamedTuple):
-    """A machine as it was concluded."""
+    """A machine of the merged list."""
 
     seen: SeenMachine
-    by: tuple[str, ...]  # the sources that name it
-    why: str
+    by: tuple[str, ...]  # the sources that list it
+    why: str  # the reason it is in the list, for operators
 
 
 class Conclusion(NamedTuple):
+    """The merged list."""
+
     members: dict[str, Member]
-    is_stale: bool  # of an earlier time: no source speaks
+    is_stale: bool  # of an earlier time, as no source is usable
 
 
 class Concluder:
+    """Merges the lists of the sources by a rule.
+
+    Args:
+        tracker: the sources and what they reported.
+        rule: name of the rule, see the module's docstring.
+        quorum: number of sources for the rule `quorum`.
+        existence: for the rule `split`, the source that decides which machines exist.
+        facts: source whose attributes of a machine have precedence.
+    """
+
     def __init__(
         self,
         tracker: SourceTracker,
@@ -46,70 +58,77 @@
         self.last = Conclusion({}, True)
 
     def conclude(self, now: int) -> Conclusion:
+        """Merge what the sources reported up to `now`."""
         self.tracker.tick(now)
-        speaking = [name for name, source in self.tracker.sources.items() if source.speaks(now)]
+        usable = [name for name, source in self.tracker.sources.items() if source.is_usable(now)]
         required = [self.existence] if self.rule == "split" else list(self.tracker.sources)
-        if not any(name in speaking for name in required):
+        if not any(name in usable for name in required):
             self.last = self.last._replace(is_stale=True)
             return self.last
         reported = {
-            name: self._by_address(self.tracker.present_machines(now, name)) for name in speaking
+            name: self._by_address(self.tracker.present_machines(now, name)) for name in usable
         }
         members = {}
-        for name, (by, why) in self._select(reported, speaking).items():
+        for name, (by, why) in self._select(reported, usable).items():
             seen = self._merge_facts(name, by, reported)
             members[seen.name] = Member(seen, by, why)
         self.last = Conclusion(dict(sorted(members.items())), False)
         return self.last
 
     def _by_address(self, present: dict[str, SeenMachine]) -> dict[tuple[str, int], SeenMachine]:
-        """One address is one machine, whatever names a source gives it: the first by name
-        stands."""
+        """Index machines by address.
+
+        An address is one machine; if a source lists it under several names, the first in
+        alphabetical order counts.
+        """
         found: dict[tuple[str, int], SeenMachine] = {}
         for name in sorted(present):
             found.setdefault(present[name].address, present[name])
         return found
 
     def _select(
-        self, reported: dict[str, dict], speaking: list[str]
+        self, reported: dict[str, dict], usable: list[str]
     ) -> dict[tuple[str, int], tuple[tuple[str, ...], str]]:
-        """By address: who names it, and why it counts."""
+        """Return the machines that the rule selects: by address, their sources and the reason."""
         if self.rule == "split":
             return {
                 address: (
-                    tuple(name for name in speaking if address in reported[name]),
+                    tuple(name for name in usable if address in reported[name]),
                     f"{self.existence} says so",
                 )
                 for address in reported[self.existence]
             }
         if self.rule == "first":
-            first = speaking[0]
+            first = usable[0]
             return {
                 address: (
-                    tuple(name for name in speaking if address in reported[name]),
+                    tuple(name for name in usable if address in reported[name]),
                     f"{first} is the first that speaks",
                 )
                 for address in reported[first]
             }
-        addresses = dict.fromkeys(address for name in speaking for address in reported[name])
-        required = {"any": 1, "all": len(speaking), "quorum": min(self.quorum, len(speaking))}[
+        addresses = dict.fromkeys(address for name in usable for address in reported[name])
+        required = {"any": 1, "all": len(usable), "quorum": min(self.quorum, len(usable))}[
             self.rule
         ]
         found = {}
         for address in addresses:
-            by = tuple(name for name in speaking if address in reported[name])
+            by = tuple(name for name in usable if address in reported[name])
             if len(by) >= required:
                 found[address] = (
                     by,
-                    f"named by {len(by)} of {len(speaking)} that speak; {required} needed",
+                    f"named by {len(by)} of {len(usable)} that speak; {required} needed",
                 )
         return found
 
     def _merge_facts(
         self, address: tuple[str, int], by: tuple[str, ...], reported: dict[str, dict]
     ) -> SeenMachine:
-        """Each fact from the first source that knows it; the name from the first that is not just
-        an address."""
+        """Merge the sources' entries for one machine.
+
+        Name and address come from the first source that lists it, each other attribute from the
+        first that knows it; the source `facts` goes first.
+        """
         order = [name for name in (self.facts, *by) if name and address in reported.get(name, {})]
         views = [reported[name][address] for name in dict.fromkeys(order)]
         seen = views[0]
@@ -124,7 +143,10 @@
 
 
 def entry_of(member: Member) -> Entry:
-    """In the module's form. What no source knows is as of a machine that has run for long."""
+    """Convert to an `Entry` of the front; what no source knows gets a default.
+
+    The defaults are those of a machine that has run for long.
+    """
     seen = member.seen
     return Entry(
         seen.name,
@@ -138,7 +160,10 @@
 
 
 def difference(old: dict[str, Member], new: dict[str, Member]) -> tuple[Listing, list[Entry]]:
-    """What has changed, as changes for the module; a machine that moved is told as it is now."""
+    """Return the changes from `old` to `new` as entries for the front.
+
+    A machine that changed, in its address for example, appears as it is now.
+    """
     entries = [
         entry_of(member)
         for name, member in new.items()
@@ -154,7 +179,13 @@
 
 
 def describe_membership(now: int, concluder: Concluder, machine: str | None = None) -> list[str]:
-    """Who said what when, what was concluded, and why; a line each."""
+    """Return lines for operators: state of the sources, merged list with reasons, recent events.
+
+    Args:
+        now: current time, microseconds.
+        concluder: the merged list and its sources.
+        machine: name of the only machine to show; None for all.
+    """
     lines = []
     for source in concluder.tracker.sources.values():
         age = f"{(now - source.good_at) / 1e6:.1f} s ago" if source.good_at else "never"
--- a/umbermoor/front/membership/dns_messages.py
+++ b/umbermoor/front/membership/dns_messages.py
@@ -1,7 +1,6 @@
-"""DNS messages for SRV records: what is asked, and what an answer proves; the codec is dnspython's.
-Without I/O.
+"""Queries for SRV records and the interpretation of responses; without I/O. dnspython is the codec.
 
-Sources: RFC 2782 (SRV), 1035 and 2181 (messages, lifetimes), 2308 (negative answers), 6891 (EDNS).
+Sources: RFC 2782 (SRV), 1035 and 2181 (messages, TTLs), 2308 (negative responses), 6891 (EDNS).
 """
 
 from typing import NamedTuple
@@ -15,16 +14,18 @@
 import dns.rdatatype
 import dns.rrset
 
-EDNS_SIZE = 1232  # bytes of an answer over UDP that no path cuts up
+EDNS_SIZE = 1232  # bytes of a UDP response that no path fragments
 MIN_TTL, MAX_TTL = (
     1,
     3600,
-)  # seconds; a lifetime of 0 asks again in one, one of a week does not bind us for it
-MAX_NEGATIVE_TTL = 60
+)  # seconds; limits a TTL of 0 to one query a second, and a TTL of a week to an hour
+MAX_NEGATIVE_TTL = 60  # seconds
 MAX_RECORDS = 1000
 
 
 class Target(NamedTuple):
+    """Target of one SRV record, with the addresses of its host."""
+
     host: str
     port: int
     priority: int
@@ -33,7 +34,7 @@
 
 
 class ServiceFound(NamedTuple):
-    """The service's targets. ``unknown`` are hosts whose addresses the answer does not hold."""
+    """The service's targets; `unknown` lists hosts whose addresses the response lacks."""
 
     targets: tuple[Target, ...]
     ttl: int
@@ -41,25 +42,24 @@
 
 
 class ServiceAbsent(NamedTuple):
-    """Said with authority: there is no such name, no such record, or the service is decidedly not
-    there."""
+    """Negative response: no such name, no such record, or a record that denies the service."""
 
     why: str
     ttl: int
 
 
 class Truncated(NamedTuple):
-    """Truncated: to be asked over TCP."""
+    """The response is truncated and must be requested again over TCP."""
 
 
 class Failed(NamedTuple):
-    """The server cannot or will not say."""
+    """The server can't answer, refuses, or its response is malformed."""
 
     why: str
 
 
 class Unrelated(NamedTuple):
-    """No answer to this question: passed over, as if it had not come."""
+    """Not a response to this query: ignored as if it had not arrived."""
 
     why: str
 
@@ -68,12 +68,17 @@
 
 
 def question(name: str, id: int, kind: str = "SRV") -> bytes:
+    """Return a query for the records of type `kind` of `name`."""
     message = dns.message.make_query(name, kind, use_edns=0, payload=EDNS_SIZE, id=id)
     return message.to_wire()
 
 
 def read(data: bytes, name: str, id: int, kind: str = "SRV") -> ReadResult:
-    """What came in answer to that question. Threat: answers of others, loops in names, rubbish."""
+    """Interpret `data` as a response to the query with this name, id and type.
+
+    Threat: spoofed responses, compression loops in names and malformed bytes must neither raise
+    nor be taken for an answer.
+    """
     if len(data) < 12 or int.from_bytes(data[:2]) != id:
         return Unrelated("another id")
     try:
@@ -119,11 +124,12 @@
     if len(found) > MAX_RECORDS:
         return Failed(f"{len(found)} records, over {MAX_RECORDS}")
     if len(found) == 1 and found[0].target == dns.name.root:
-        return ServiceAbsent("decidedly not there", ttl)
+        return ServiceAbsent("the service is not available at this domain", ttl)
     return _targets(message, found, ttl)
 
 
 def _targets(message: dns.message.Message, found: dns.rrset.RRset, ttl: int) -> ReadResult:
+    """Return the targets of the SRV records `found`, with addresses from the additional section."""
     aliases = {one.name for one in message.additional if one.rdtype == dns.rdatatype.CNAME}
     targets, unknown = [], []
     for record in found:
@@ -147,7 +153,7 @@
 
 
 def _negative_ttl(message: dns.message.Message) -> int:
-    """How long a 'no' holds, by the SOA."""
+    """Return how long a negative response is valid, from its SOA record, in seconds."""
     soa = next(
         (
             one
--- a/umbermoor/front/membership/dns_queries.py
+++ b/umbermoor/front/membership/dns_queries.py
@@ -1,10 +1,8 @@
-"""When to ask which server for a service's records, and what to make of the answers; decisions
-without I/O.
+"""Schedule of the DNS queries for a service's SRV records, and the state of the lookup; no I/O.
 
-A host sends what ``due`` says, over UDP from a port of its own for each question, and tells
-``heard`` and ``broke``. Ids and
-ports are drawn by chance that is given. Times are microseconds. Source: RFC 1035 section 7, 5452,
-7766.
+The host sends what `next_query` returns, over UDP from a separate port for each query, and reports
+to `handle_answer` and `handle_failure`. Query ids come from the given random source. Times are
+microseconds. Sources: RFC 1035 section 7, RFC 5452, RFC 7766.
 """
 
 from collections.abc import Callable
@@ -23,21 +21,23 @@
 )
 
 SECOND = 1_000_000
-MIN_WAIT, MAX_WAIT = SECOND // 5, 2 * SECOND  # for one answer
-WAIT_FACTOR = 6.0  # so many usual answer times
-SMOOTHING = 0.3
+MIN_WAIT, MAX_WAIT = SECOND // 5, 2 * SECOND  # timeout of one query
+WAIT_FACTOR = 6.0  # timeout as a multiple of the server's average response time
+SMOOTHING = 0.3  # weight of the newest response time in the average
 REFRESH_SHARE, REFRESH_SPREAD = (
     0.7,
     0.2,
-)  # of a lifetime, after which it is asked again; so many fronts not at once
+)  # of the TTL after which it is queried again, and random spread so that fronts don't synchronize
 FIRST_RETRY_DELAY, MAX_RETRY_DELAY = (
     SECOND // 2,
     8 * SECOND,
-)  # after a round in which no server answered, doubling
-MAX_HOSTS = 64  # whose addresses are asked for by themselves
+)  # delay after a round in which no server answered; doubles
+MAX_HOSTS = 64  # hosts whose addresses are queried separately
 
 
 class DnsQuery(NamedTuple):
+    """A query for the host to send to `server`."""
+
     server: str
     id: int
     data: bytes
@@ -46,13 +46,14 @@
 
 @dataclass(slots=True)
 class Server:
-    """What is known of one server."""
+    """State of one DNS server."""
 
     address: str
-    usual_time: float = 0.0  # its answer time
-    failures: int = 0
+    usual_time: float = 0.0  # average response time; 0: none yet
+    failures: int = 0  # in sequence
 
     def wait(self) -> int:
+        """Return the timeout of a query to this server."""
         return (
             round(min(MAX_WAIT, max(MIN_WAIT, WAIT_FACTOR * self.usual_time)))
             if self.usual_time
@@ -62,6 +63,8 @@
 
 @dataclass(slots=True)
 class _Outstanding:
+    """A query that was sent and not answered yet."""
+
     query: DnsQuery
     server: Server
     sent: int
@@ -71,13 +74,25 @@
 
 @dataclass(slots=True)
 class SrvResolver:
+    """Resolves the SRV records of one service, and the addresses of their hosts, again and again.
+
+    Attributes:
+        name: service name.
+        servers: DNS servers; those with fewer failures and shorter response times go first.
+        random: returns numbers from 0 to 1.
+        next_round: when the next lookup starts.
+        outstanding: the query that waits for an answer.
+        addresses: addresses of hosts that were queried separately.
+        why: reason of the last failure.
+    """
+
     name: str
     servers: list[Server]
     random: Callable[[], float]
     next_round: int = 0
     outstanding: _Outstanding | None = None
     addresses: dict[str, tuple[str, ...]] = field(default_factory=dict)
-    _partial: ServiceFound | None = None  # whose hosts' addresses are still asked for
+    _partial: ServiceFound | None = None  # result whose host addresses are still being queried
     _hosts: list[str] = field(default_factory=list)
     _tried: list[Server] = field(default_factory=list)
     _backoff: Backoff = field(init=False)
@@ -87,7 +102,7 @@
         self._backoff = Backoff(FIRST_RETRY_DELAY, MAX_RETRY_DELAY, self.random)
 
     def next_query(self, now: int) -> DnsQuery | None:
-        """What is to be sent now."""
+        """Return the query to send now, if any; also registers a timeout of the last one."""
         if self.outstanding is not None:
             if now < self.outstanding.sent + self.outstanding.server.wait():
                 return None
@@ -97,6 +112,7 @@
         return self._query_server(now, False)
 
     def next_at(self) -> int:
+        """Return when `next_query` should be called next."""
         return (
             self.next_round
             if self.outstanding is None
@@ -106,7 +122,11 @@
     def handle_answer(
         self, now: int, query: DnsQuery, data: bytes
     ) -> ServiceFound | ServiceAbsent | Failed | DnsQuery | None:
-        """An answer: what it proves, or what to ask at once; None: nothing yet."""
+        """Process a response to `query`.
+
+        Returns:
+            The result of the lookup, or the query to send next, or None if there is no result yet.
+        """
         out = self.outstanding
         if out is None or out.query is not query:
             return None
@@ -134,12 +154,12 @@
         )
 
     def handle_failure(self, now: int, query: DnsQuery, why: str) -> Failed | DnsQuery | None:
-        """It could not be sent, or its connection ended without an answer."""
+        """Register that `query` could not be sent or its connection ended without a response."""
         if self.outstanding is None or self.outstanding.query is not query:
             return None
         return self._failed(now, self.outstanding.server, why)
 
-    # Within.
+    # Internals.
 
     def _query_server(self, now: int, tcp: bool) -> DnsQuery | None:
         server = min(
@@ -173,7 +193,7 @@
         return query if query is not None else Failed(self.why)
 
     def _end_round(self, now: int) -> None:
-        """No server answered."""
+        """End a round in which no server answered, and schedule the next."""
         self._tried.clear()
         self._hosts, self._partial = [], None
         self.next_round = now + round(self._backoff.next_delay())
@@ -218,9 +238,11 @@
 
 
 def srv_endpoints(found: ServiceFound) -> list[tuple[str, tuple[str, int], int]]:
-    """Name, address and weight of each place that the records name; of priorities only the first
-    counts, as in RFC 2782 a
-    client asks the others when none of these can be reached, which the list is there to say."""
+    """Return name, address and weight of each endpoint that the records list.
+
+    Only the records of the first priority count: in RFC 2782 a client uses the others when none of
+    these can be reached, and whether they can is what this list is meant to find out.
+    """
     if not found.targets:
         return []
     first = min(one.priority for one in found.targets)
--- a/umbermoor/front/membership/saved_list.py
+++ b/umbermoor/front/membership/saved_list.py
@@ -1,4 +1,4 @@
-"""The last good list in a file, for a front that starts with all sources dead."""
+"""Stores the last good machine list in a file, for a front that starts while all sources fail."""
 
 from typing import NamedTuple
 
@@ -12,11 +12,14 @@
 
 
 class SavedList(NamedTuple):
+    """A machine list and the time it was saved."""
+
     at: int  # microseconds since 1970
     seen: tuple[SeenMachine, ...]
 
 
 def pack(saved: SavedList) -> bytes:
+    """Serialize a list."""
     rows = [
         [
             one.name,
@@ -34,6 +37,7 @@
 
 
 def unpack(data: bytes) -> SavedList | UnusableFile:
+    """Parse a serialized list."""
     opened = unsealed(MAGIC, (VERSION,), data)
     if isinstance(opened, UnusableFile):
         return opened
@@ -49,12 +53,18 @@
 
 
 def save(path: str, saved: SavedList) -> int:
-    """Raises OSError."""
+    """Replace the file atomically. Raises OSError."""
     return replace_file(path, pack(saved))
 
 
 def load(path: str, now: int, keep: int) -> SavedList | UnusableFile | None:
-    """None where there is none. ``keep``: microseconds after which it is too old."""
+    """Return the stored list, or None if there is no file.
+
+    Args:
+        path: path of the file.
+        now: microseconds since 1970.
+        keep: age in microseconds beyond which the list is not used.
+    """
     data = read_file(path)
     if not isinstance(data, bytes):
         return data
@@ -63,6 +73,6 @@
         return UnusableFile(
             f"is {(now - saved.at) / 1e6:.0f} s old, over {keep / 1e6:.0f}"
             if now > saved.at
-            else "is of the future"
+            else "is from the future"
         )
     return saved
--- a/umbermoor/front/membership/sources.py
+++ b/umbermoor/front/membership/sources.py
@@ -1,11 +1,9 @@
-"""What each source last said, and what of it is believed: last good sets, sudden emptiness,
-flapping. Without I/O.
-
-Sources tell whole sets, changes, or that they fail. What a failing source knew stays, with its age.
-What an authoritative
-source leaves out is gone at once; of another, a set that lost most of its machines in one answer is
-held until it says so
-again. Times are microseconds.
+"""Tracks what each membership source reported last, and which of its machines count. Without I/O.
+
+Sources report full lists, changes or failures. The last good list of a failing source is kept with
+its age. A machine that an authoritative source leaves out is removed at once. If another source
+loses most of its machines in one report, the loss is withheld until the source confirms it. A
+machine that flaps has to be listed steadily for a while. Times are microseconds.
 """
 
 from collections.abc import Iterable
@@ -15,20 +13,21 @@
 from umbermoor.front.interface import Readiness
 
 SECOND = 1_000_000
-SUDDEN_LOSS_SHARE, SUDDEN_LOSS_MIN = 0.5, 4  # losing more than that part of so many at once is held
-CONFIRMED_AFTER = 2  # answers that say the same
-MAX_HOLD = 10 * SECOND  # and in any case no longer than this
+# A loss of more than this share at once is withheld, if the source had at least so many machines.
+SUDDEN_LOSS_SHARE, SUDDEN_LOSS_MIN = 0.5, 4
+CONFIRMED_AFTER = 2  # further reports without the lost machines that confirm the loss
+MAX_HOLD = 10 * SECOND  # after which a withheld loss counts in any case
 STEADY_FIRST, MAX_STEADY = (
     SECOND,
     60 * SECOND,
-)  # who came back after a loss waits this long, doubling with each
-FLAP_MEMORY = 300 * SECOND  # without a loss, after which its flapping is forgotten
-MAX_ENTRIES = 20_000  # of one source; what is beyond is left out and told
-MAX_EVENTS = 512  # kept for who asks why
+)  # time for which a machine that was lost must be listed again; doubles with each loss
+FLAP_MEMORY = 300 * SECOND  # time without a loss after which earlier losses are forgotten
+MAX_ENTRIES = 20_000  # of one source; further entries are left out, with an event
+MAX_EVENTS = 512  # kept to explain the list to operators
 
 
 class SeenMachine(NamedTuple):
-    """A machine as a source names it. What it does not know is None."""
+    """A machine as a source lists it; None for what the source does not know."""
 
     name: str
     address: tuple[str, int]
@@ -41,7 +40,7 @@
 
 
 class Event(NamedTuple):
-    """Something that was concluded, for who asks why."""
+    """A decision about a source or a machine, to explain the list to operators."""
 
     at: int
     source: str
@@ -51,47 +50,57 @@
 
 @dataclass(slots=True)
 class _Flap:
+    """Recent losses of one machine by one source."""
+
     losses: int = 0
     lost_at: int = 0
-    since: int = 0  # when it came back
+    since: int = 0  # when it was listed again; 0: it is not
 
 
 @dataclass(slots=True)
 class Source:
+    """State of one source."""
+
     name: str
     authoritative: bool
-    max_age: int  # how old its last good set may be; 0: for ever
+    max_age: int  # of its last good list while it fails; 0: no limit
     machines: dict[str, SeenMachine] = field(default_factory=dict)
-    good_at: int = 0  # 0: it never spoke
+    good_at: int = 0  # time of its last good report; 0: none yet
     failing_since: int = 0
     why: str = ""
     version: int = 0
     withheld: dict[str, int] = field(
         default_factory=dict
-    )  # who it left out, and is not believed yet: since when
+    )  # machines whose loss is withheld, and since when
     withheld_answers: int = 0
     flaps: dict[str, _Flap] = field(default_factory=dict)
 
-    def speaks(self, now: int) -> bool:
-        """Whether what it last said still counts."""
+    def is_usable(self, now: int) -> bool:
+        """Whether its last good list still counts."""
         return bool(self.good_at) and (
             not self.failing_since or not self.max_age or now - self.good_at <= self.max_age
         )
 
 
 class SourceTracker:
+    """State of all sources.
+
+    Args:
+        sources: name, whether it is authoritative, and maximum age of each source.
+    """
+
     def __init__(self, sources: Iterable[tuple[str, bool, int]]) -> None:
         self.sources = {
             name: Source(name, authoritative, max_age) for name, authoritative, max_age in sources
         }
         self.events: list[Event] = []
 
-    # What sources say.
+    # Reports of sources.
 
     def report_all(
         self, now: int, name: str, entries: Iterable[SeenMachine], version: int = 0
     ) -> bool:
-        """All that a source knows. False: it was not believed, as its version goes back."""
+        """Process a full list; return False if its version is older than the last one's."""
         source = self.sources[name]
         if version and source.version and version < source.version:
             self._record(
@@ -127,7 +136,7 @@
     def report_changes(
         self, now: int, name: str, entries: Iterable[SeenMachine], version: int = 0
     ) -> None:
-        """Single machines; GONE is a goodbye, which is obeyed at once whoever says it."""
+        """Process changes of single machines; GONE removes a machine at once, from any source."""
         source = self.sources[name]
         for one in entries:
             if one.readiness is Readiness.GONE:
@@ -141,6 +150,7 @@
         self._mark_good(now, source, version)
 
     def report_failure(self, now: int, name: str, why: str) -> None:
+        """Process a failure of the source; its last good list stays."""
         source = self.sources[name]
         if not source.failing_since:
             source.failing_since = now
@@ -148,7 +158,7 @@
         source.why = why
 
     def tick(self, now: int) -> None:
-        """What was held for long enough is believed; what flapped long ago is forgotten."""
+        """Accept losses withheld for `MAX_HOLD`, and forget old flaps."""
         for source in self.sources.values():
             if (
                 source.withheld
@@ -165,25 +175,26 @@
             ]:
                 del source.flaps[one]
 
-    # What is believed.
+    # The machines that count.
 
     def present_machines(self, now: int, name: str) -> dict[str, SeenMachine]:
-        """A source's machines, without those that flap and have not been steady for long enough."""
+        """Return a source's machines, without those that flap and are not steady yet."""
         source = self.sources[name]
-        if not source.speaks(now):
+        if not source.is_usable(now):
             return {}
         return {
             one: seen for one, seen in source.machines.items() if self.steady_at(source, one) <= now
         }
 
     def steady_at(self, source: Source, name: str) -> int:
-        """When a machine that came back is taken again; it was never lost: at once."""
+        """Return when a machine that was lost counts again; 0 if it was never lost."""
         flap = source.flaps.get(name)
         if flap is None or not flap.losses or not flap.since:
             return 0
         return flap.since + min(MAX_STEADY, STEADY_FIRST << min(20, flap.losses - 1))
 
     def next_at(self, now: int) -> int | None:
+        """Return when the list may change next without a new report, or None."""
         times = [
             min(one.withheld.values()) + MAX_HOLD for one in self.sources.values() if one.withheld
         ]
@@ -197,7 +208,7 @@
                 times.append(source.good_at + source.max_age + 1)
         return min((one for one in times if one > now), default=None)
 
-    # Within.
+    # Internals.
 
     def _limit_entries(
         self, now: int, source: Source, entries: Iterable[SeenMachine]
@@ -217,6 +228,7 @@
         return reported
 
     def _confirmed(self, now: int, source: Source, lost: list[str]) -> bool:
+        """Withhold the loss of `lost`; return whether it is confirmed or withheld long enough."""
         source.withheld_answers += 1
         for one in lost:
             source.withheld.setdefault(one, now)
@@ -226,7 +238,8 @@
                 now,
                 source,
                 "",
-                f"left out {len(lost)} of {len(source.machines)} at once: held until it says so again",
+                f"left out {len(lost)} of {len(source.machines)} at once: "
+                "held until it says so again",
             )
         return (
             source.withheld_answers > CONFIRMED_AFTER
--- a/umbermoor/front/membership/subsets.py
+++ b/umbermoor/front/membership/subsets.py
@@ -1,11 +1,9 @@
-"""Which part of the machines a front keeps connections to: deterministic, even, and with little
-churn. Without I/O.
-
-Three ways, measured against one another in benchmarks/subsets.py: the highest weights of a hash of
-both names (rendezvous,
-Thaler and Ravishankar 1996), a ring of points (Karger 1997), and rounds of a shuffled order (each
-round deals all machines
-out to the fronts in turn). Hashes are by xxhash.
+"""Selects the subset of machines a front keeps connections to: deterministic, even, little churn.
+
+Three algorithms, which benchmarks/subsets.py compares: rendezvous hashing of the names of front and
+machine (Thaler and Ravishankar 1996), consistent hashing on a ring (Karger 1997), and rounds of a
+shuffled order, each of which deals all machines out to the fronts in turn. Hashes are xxhash. No
+I/O.
 """
 
 import random
@@ -14,11 +12,14 @@
 
 import xxhash
 
-POINTS = 64  # of each machine on the ring
+POINTS = 64  # per machine on the ring
 
 
 def rendezvous(front: str, machines: Sequence[str], size: int) -> list[str]:
-    """A machine that goes is replaced by one other; load is even as chance has it."""
+    """Return the subset of `front` by rendezvous hashing.
+
+    A machine that is removed is replaced by one other. The load per machine varies randomly.
+    """
     if size >= len(machines):
         return sorted(machines)
     return sorted(
@@ -29,6 +30,8 @@
 
 
 class Ring:
+    """Hash ring of the machines (consistent hashing)."""
+
     def __init__(self, machines: Sequence[str]) -> None:
         points = sorted(
             (xxhash.xxh64_intdigest(f"{one}#{at}".encode()), one)
@@ -40,6 +43,7 @@
         self._count = len(set(machines))
 
     def of(self, front: str, size: int) -> list[str]:
+        """Return the subset of `front`: the next `size` machines on the ring."""
         found: dict[str, None] = {}
         place = bisect(self._at, xxhash.xxh64_intdigest(front.encode()))
         while len(found) < min(size, self._count):
@@ -49,8 +53,11 @@
 
 
 def rounds(front: int, machines: Sequence[str], size: int) -> list[str]:
-    """Even to one, as each round deals every machine out once; the number of the front has to be
-    known."""
+    """Return the subset of the front with number `front`, by rounds of a shuffled order.
+
+    The number of fronts per machine differs by at most one, as each round deals every machine out
+    once.
+    """
     if size >= len(machines):
         return sorted(machines)
     per_round = len(machines) // size
@@ -61,8 +68,10 @@
 
 
 def spread_rendezvous(front: str, groups: dict[str, Sequence[str]], size: int) -> list[str]:
-    """The same over groups: each gets its share by its size, and at least one while there is
-    room."""
+    """Return a subset by rendezvous hashing within each group of machines.
+
+    Each group gets a share in proportion to its size, and at least one machine if `size` allows.
+    """
     total = sum(len(one) for one in groups.values())
     if size >= total:
         return sorted(one for some in groups.values() for one in some)
--- a/umbermoor/http1/buffers.py
+++ b/umbermoor/http1/buffers.py
@@ -1,7 +1,7 @@
-"""Receive buffers: a bounded pool of fixed-size buffers, and a byte queue that lies in them.
+"""Receive buffers: a bounded pool of fixed-size buffers, and a byte queue stored in them.
 
-All bytes received of messages that are not complete yet are held here, so that the memory they may
-take has one limit for all connections together.
+All received bytes of incomplete messages are stored here, so that one limit covers the memory that
+they take in all connections together.
 """
 
 MAX_HEAD_BYTES = 16 * 1024  # start line and header fields
@@ -9,8 +9,8 @@
 CHUNK_FRAMING_BYTES = 16 * 1024  # chunk sizes, extensions and trailer fields of one message
 MAX_MESSAGE_BYTES = MAX_HEAD_BYTES + MAX_BODY_BYTES + CHUNK_FRAMING_BYTES
 BUFFER_BYTES = 4 * 1024  # a usual message fits into one buffer
-BUFFERS_MEMORY_DIVISOR = 8  # buffers may take one part in so many of the process's memory
-MAX_FREE_BUFFERS = 256  # kept for use again, the others are left to the garbage collector
+BUFFERS_MEMORY_DIVISOR = 8  # buffers may take the process's memory divided by this
+MAX_FREE_BUFFERS = 256  # kept for reuse; further ones are left to the garbage collector
 
 
 class Buffers:
@@ -26,13 +26,13 @@
         self.resize(memory)
 
     def resize(self, memory: int) -> None:
-        """Set the limit anew for `memory` bytes; buffers in use above it stay in use."""
+        """Set the limit for `memory` bytes; buffers in use above the new limit stay in use."""
         self._max_in_use = memory // BUFFERS_MEMORY_DIVISOR // BUFFER_BYTES
 
     def acquire(self) -> bytearray | None:
         """Return a buffer, or None at the limit.
 
-        The limit holds against clients that begin many messages at once and never end them.
+        The limit protects against clients that begin many messages at once and never end them.
         """
         if self.in_use >= self._max_in_use:
             return None
@@ -94,7 +94,7 @@
         return offset if offset < 0 else offset + start
 
     def discard(self, count: int) -> None:
-        """Remove the first `count` bytes, and release the buffers that held nothing else."""
+        """Remove the first `count` bytes, and release the buffers that become empty."""
         self._start, self.size = self._start + count, self.size - count
         while self._buffers and (self._start >= BUFFER_BYTES or not self.size):
             self._pool.release(self._buffers.pop(0))
--- a/umbermoor/http1/reader.py
+++ b/umbermoor/http1/reader.py
@@ -30,7 +30,7 @@
 
 
 class Fault(NamedTuple):
-    """The stream is malformed or over a limit, and can't be read on from here."""
+    """The stream is malformed or over a limit, and can't be read further."""
 
     status: int  # status code a server answers with
     reason: str  # for logs
@@ -62,7 +62,7 @@
 
 
 class _Framing(Enum):
-    """How the length of a body is found (RFC 9112, section 6.3)."""
+    """How the length of a body is determined (RFC 9112, section 6.3)."""
 
     CONTENT_LENGTH = auto()
     CHUNKED = auto()
@@ -78,18 +78,18 @@
 
 
 class Reader:
-    """Parser of one direction of one connection; holds buffers only while a message is partly read.
+    """Parser of one direction of one connection; uses buffers only while a message is partly read.
 
     Args:
-        buffers: pool that the received bytes are held in.
+        buffers: pool for the received bytes.
         responses: whether responses are read; requests otherwise.
         stream_body: whether the bodies of 200 responses are returned as they arrive, as `BodyPart`;
-            bodies of errors stay whole, so that none is taken for content of the stream.
+            bodies of errors are returned whole, so that none is taken for content of the stream.
         max_body_bytes: limit of a body.
         single_value_headers: fields (lower-case) that may occur once. If given, the reader is
-            strict: whatever another HTTP implementation might read differently is refused, against
-            request smuggling (RFC 9112, section 11.2). If None it reads as the front in service
-            always did.
+            strict: it refuses whatever another HTTP implementation might read differently, to
+            prevent request smuggling (RFC 9112, section 11.2). If None, it accepts what the front
+            in service has always accepted.
     """
 
     def __init__(
@@ -162,14 +162,14 @@
         return found
 
     def end(self) -> Message | Fault | None:
-        """Return what the end of the stream completes: a response, or a fault if cut short."""
+        """Process the end of the stream: return a response that it completes, or a fault."""
         head = self._head
         if head and self._framing is _Framing.UNTIL_CLOSE and not self._is_streamed:
             return self._complete(head, self._received.copy(0, self._received.size))
         return Fault(400, "cut short") if self.mid_message and not self._failed else None
 
     def drop(self) -> None:
-        """Discard what is held and release its buffers; also to be called on a lost connection."""
+        """Discard the received bytes and release their buffers; also for a lost connection."""
         self._consume(self._received.size)
 
     def _consume(self, count: int) -> None:
@@ -204,7 +204,7 @@
 
     def _read_head(self) -> Fault | None:
         """Set `_head` once all of it is received."""
-        # Scanned bytes are not copied again but for the last three, as a separator may be cut.
+        # Of the scanned bytes only the last three are copied again: a separator may be split.
         data = self._received.copy(0, MAX_HEAD_BYTES) if not self._scanned else b""
         while data[:2] == b"\r\n" and not self._responses:
             # A server ignores empty lines before a request line (RFC 9112, section 2.2).
@@ -229,7 +229,7 @@
         if self._strict:
             if len(head.translate(None, _CONTROL_CHARACTERS)) != len(head):
                 return Fault(400, "control characters")
-            # A response that begins within another's head: the first one was cut short.
+            # A response within another's head: the first one was cut short.
             is_embedded = self._responses and head.find(b"HTTP/1.", 1) > 0
             if is_embedded and _EMBEDDED_STATUS_LINE.search(head, 1):
                 return Fault(400, "an answer within a head")
@@ -285,7 +285,7 @@
         return None
 
     def _frame(self, headers: dict[str, str], status: int) -> Fault | None:
-        """Find how the body's length is told (RFC 9112, section 6.3)."""
+        """Determine the framing of the body from the header fields (RFC 9112, section 6.3)."""
         length, coding = headers.get("content-length"), headers.get("transfer-encoding")
         if length is not None and coding is not None:
             return Fault(400, "both length and transfer coding")
@@ -298,7 +298,7 @@
         ):
             return Fault(413, "body too large")
         if self._responses and (status < 200 or status in (204, 304) or self.bodiless):
-            return None  # whatever its headers say, it has no body
+            return None  # it has no body, whatever its headers say
         if coding is not None:
             self._framing = _Framing.CHUNKED
         elif length is not None:
