--- a/umbermoor/front/http2/frames.py
+++ b/umbermoor/front/http2/frames.py
@@ -93,9 +93,9 @@
             frame = buffered[at : at + HEAD + length]
             at += HEAD + length
             self._first = False
-            wrong = self._check_limits(now, kind, flags, length, frame)
-            if wrong is not None:
-                found.append(wrong)
+            fault = self._check_limits(now, kind, flags, length, frame)
+            if fault is not None:
+                found.append(fault)
                 return found
             if kind == Kind.GOAWAY:
                 if length < 8 or stream:
--- a/umbermoor/front/membership/dns_messages.py
+++ b/umbermoor/front/membership/dns_messages.py
@@ -102,15 +102,17 @@
         return ServiceAbsent("no such name", _negative_ttl(message))
     if code != dns.rcode.NOERROR:
         return Failed(dns.rcode.to_text(code))
-    if any(one.rdtype == dns.rdatatype.CNAME and one.name == expected for one in message.answer):
+    if any(
+        rrset.rdtype == dns.rdatatype.CNAME and rrset.name == expected for rrset in message.answer
+    ):
         return Failed("a CNAME where the service should be")
     found = next(
         (
-            one
-            for one in message.answer
-            if one.name == expected
-            and one.rdtype == expected_type
-            and one.rdclass == dns.rdataclass.IN
+            rrset
+            for rrset in message.answer
+            if rrset.name == expected
+            and rrset.rdtype == expected_type
+            and rrset.rdclass == dns.rdataclass.IN
         ),
         None,
     )
@@ -119,7 +121,7 @@
     ttl = max(MIN_TTL, min(MAX_TTL, found.ttl))
     if kind != "SRV":
         return ServiceFound(
-            (Target(name, 0, 0, 0, tuple(sorted(str(one) for one in found))),), ttl, ()
+            (Target(name, 0, 0, 0, tuple(sorted(str(record) for record in found))),), ttl, ()
         )
     if len(found) > MAX_RECORDS:
         return Failed(f"{len(found)} records, over {MAX_RECORDS}")
@@ -130,22 +132,22 @@
 
 def _targets(message: dns.message.Message, found: dns.rrset.RRset, ttl: int) -> ReadResult:
     """Return the targets of the SRV records `found`, with addresses from the additional section."""
-    aliases = {one.name for one in message.additional if one.rdtype == dns.rdatatype.CNAME}
+    aliases = {rrset.name for rrset in message.additional if rrset.rdtype == dns.rdatatype.CNAME}
     targets, unknown = [], []
     for record in found:
         if record.target in aliases:  # RFC 2782: a target must not be an alias
             continue
         address_sets = [
-            one
-            for one in message.additional
-            if one.name == record.target
-            and one.rdtype == dns.rdatatype.A
-            and one.rdclass == dns.rdataclass.IN
+            rrset
+            for rrset in message.additional
+            if rrset.name == record.target
+            and rrset.rdtype == dns.rdatatype.A
+            and rrset.rdclass == dns.rdataclass.IN
         ]
-        addresses = tuple(sorted(str(address) for one in address_sets for address in one))
+        addresses = tuple(sorted(str(address) for rrset in address_sets for address in rrset))
         host = record.target.to_text(omit_final_dot=True).lower()
-        for one in address_sets:
-            ttl = max(MIN_TTL, min(ttl, one.ttl))
+        for rrset in address_sets:
+            ttl = max(MIN_TTL, min(ttl, rrset.ttl))
         if not addresses:
             unknown.append(host)
         targets.append(Target(host, record.port, record.priority, record.weight, addresses))
@@ -156,9 +158,9 @@
     """Return how long a negative response is valid, from its SOA record, in seconds."""
     soa = next(
         (
-            one
-            for one in message.authority
-            if one.rdtype == dns.rdatatype.SOA and one.rdclass == dns.rdataclass.IN
+            rrset
+            for rrset in message.authority
+            if rrset.rdtype == dns.rdatatype.SOA and rrset.rdclass == dns.rdataclass.IN
         ),
         None,
     )
--- a/umbermoor/front/membership/sources.py
+++ b/umbermoor/front/membership/sources.py
@@ -111,24 +111,24 @@
             )
             return False
         reported = self._limit_entries(now, source, entries)
-        lost = [one for one in source.machines if one not in reported]
+        lost = [machine for machine in source.machines if machine not in reported]
         sudden = (
             not source.authoritative
             and len(source.machines) >= SUDDEN_LOSS_MIN
             and len(lost) > SUDDEN_LOSS_SHARE * len(source.machines)
         )
         if sudden and not self._confirmed(now, source, lost):
-            kept = {one: source.machines[one] for one in lost}
+            kept = {machine: source.machines[machine] for machine in lost}
         else:
             kept = {}
             source.withheld.clear()
             source.withheld_answers = 0
-        for one in lost:
-            if one not in kept:
-                self._record_loss(now, source, one)
-        for one in reported:
-            if one not in source.machines:
-                self._record_arrival(now, source, one)
+        for machine in lost:
+            if machine not in kept:
+                self._record_loss(now, source, machine)
+        for machine in reported:
+            if machine not in source.machines:
+                self._record_arrival(now, source, machine)
         source.machines = {**kept, **reported}
         self._mark_good(now, source, version)
         return True
@@ -138,15 +138,15 @@
     ) -> None:
         """Process changes of single machines; GONE removes a machine at once, from any source."""
         source = self.sources[name]
-        for one in entries:
-            if one.readiness is Readiness.GONE:
-                if source.machines.pop(one.name, None) is not None:
-                    self._record_loss(now, source, one.name)
-            elif len(source.machines) < MAX_ENTRIES or one.name in source.machines:
-                if one.name not in source.machines:
-                    self._record_arrival(now, source, one.name)
-                source.machines[one.name] = one
-            source.withheld.pop(one.name, None)
+        for machine in entries:
+            if machine.readiness is Readiness.GONE:
+                if source.machines.pop(machine.name, None) is not None:
+                    self._record_loss(now, source, machine.name)
+            elif len(source.machines) < MAX_ENTRIES or machine.name in source.machines:
+                if machine.name not in source.machines:
+                    self._record_arrival(now, source, machine.name)
+                source.machines[machine.name] = machine
+            source.withheld.pop(machine.name, None)
         self._mark_good(now, source, version)
 
     def report_failure(self, now: int, name: str, why: str) -> None:
@@ -165,15 +165,17 @@
                 and now - min(source.withheld.values()) >= MAX_HOLD
                 and not source.failing_since
             ):
-                for one in list(source.withheld):
-                    source.machines.pop(one, None)
-                    self._record_loss(now, source, one)
+                for machine in list(source.withheld):
+                    source.machines.pop(machine, None)
+                    self._record_loss(now, source, machine)
                 source.withheld.clear()
                 source.withheld_answers = 0
-            for one in [
-                one for one, flap in source.flaps.items() if now - flap.lost_at > FLAP_MEMORY
+            for machine in [
+                machine
+                for machine, flap in source.flaps.items()
+                if now - flap.lost_at > FLAP_MEMORY
             ]:
-                del source.flaps[one]
+                del source.flaps[machine]
 
     # The machines that count.
 
@@ -183,11 +185,13 @@
         if not source.is_usable(now):
             return {}
         return {
-            one: seen for one, seen in source.machines.items() if self.steady_at(source, one) <= now
+            machine: seen
+            for machine, seen in source.machines.items()
+            if self.steady_at(source, machine) <= now
         }
 
     def steady_at(self, source: Source, name: str) -> int:
-        """Return when a machine that was lost counts again; 0 if it was never lost."""
+        """Return when a lost machine counts again; 0 if it was never lost or is not listed."""
         flap = source.flaps.get(name)
         if flap is None or not flap.losses or not flap.since:
             return 0
@@ -214,8 +218,8 @@
         self, now: int, source: Source, entries: Iterable[SeenMachine]
     ) -> dict[str, SeenMachine]:
         reported: dict[str, SeenMachine] = {}
-        for one in entries:
-            if len(reported) >= MAX_ENTRIES and one.name not in reported:
+        for machine in entries:
+            if len(reported) >= MAX_ENTRIES and machine.name not in reported:
                 self._record(
                     now,
                     source,
@@ -223,16 +227,18 @@
                     f"names more than {MAX_ENTRIES} machines: the rest is left out",
                 )
                 break
-            if one.readiness is not Readiness.GONE:
-                reported[one.name] = one
+            if machine.readiness is not Readiness.GONE:
+                reported[machine.name] = machine
         return reported
 
     def _confirmed(self, now: int, source: Source, lost: list[str]) -> bool:
         """Withhold the loss of `lost`; return whether it is confirmed or withheld long enough."""
         source.withheld_answers += 1
-        for one in lost:
-            source.withheld.setdefault(one, now)
-        source.withheld = {one: at for one, at in source.withheld.items() if one in lost}
+        for machine in lost:
+            source.withheld.setdefault(machine, now)
+        source.withheld = {
+            machine: at for machine, at in source.withheld.items() if machine in lost
+        }
         if source.withheld_answers == 1:
             self._record(
                 now,
