--- a/umbermoor/front/capture/command.py
+++ b/umbermoor/front/capture/command.py
@@ -18,7 +18,7 @@
 import orjson
 from docopt import docopt
 
-from umbermoor.front.capture.files import Capture, Unreadable, read_capture, told
+from umbermoor.front.capture.files import Capture, Unreadable, describe_damage, read_capture
 
 
 def main(words: list[str]) -> int:
@@ -40,11 +40,12 @@
                 + f"; p50 {row['p50_ms']} ms, p99 {row['p99_ms']} ms"
             )
     for damage in capture.damage:
-        print(f"umbermoor: {told(damage, len(capture.rows))}", file=sys.stderr)
+        print(f"umbermoor: {describe_damage(damage, len(capture.rows))}", file=sys.stderr)
     return 1 if capture.damage else 0
 
 
 def summarise(capture: Capture) -> dict[str, Any]:
+    """Return counts, rates, endings and percentiles by profile."""
     seconds = max(1e-6, capture.span / 1e6)
     profiles = {}
     for place, profile in enumerate(capture.header.profiles):
@@ -69,6 +70,7 @@
 
 
 def _at(ordered: list[int], part: float) -> float:
+    """Return a quantile of sorted microseconds in milliseconds, 0 if there are none."""
     return (
         round(ordered[min(len(ordered) - 1, int(part * len(ordered)))] / 1000, 1)
         if ordered
--- a/umbermoor/front/http2/stream_outcomes.py
+++ b/umbermoor/front/http2/stream_outcomes.py
@@ -1,86 +1,96 @@
-"""What became of a stream, and what that proves; in one table. Source: RFC 9113, sections 5.4, 6.4,
-6.8, 7, 8.1, 8.7.
+"""Outcomes of streams, and a table of what each proves about the execution of its query.
 
-A stream's stand is how far its query had come when it ended. Written whole means that the kernel
-had all bytes up to its
-END_STREAM; from then on it may have run, unless the machine itself says that it did not.
+The outcome is the progress of the stream and the reason of its end. A query is written whole once
+the kernel has accepted all bytes up to END_STREAM; from then on the machine may have executed it,
+unless the machine itself says that it did not. Source: RFC 9113, sections 5.4, 6.4, 6.8, 7, 8.1,
+8.7.
 """
 
 from enum import Enum, IntEnum, auto
 
 
-class Stand(IntEnum):
-    UNSENT = 0  # waits for a connection, or for a stream on one: nothing of it was written
-    PART = 1  # HEADERS written, or handed to the kernel; END_STREAM not fully accepted by it
-    WHOLE = 2
-    ANSWERING = 3  # a part of its answer came
+class StreamProgress(IntEnum):
+    """How far a query had come when its stream ended."""
 
+    UNSENT = 0  # waits for a connection or a stream; nothing of it was written
+    PART = 1  # HEADERS written to the transport; the kernel has not accepted all up to END_STREAM
+    WHOLE = 2  # the kernel has accepted all of it
+    ANSWERING = 3  # part of the response was received
+
+
+class StreamEnd(Enum):
+    """Why a stream ended without a usable response."""
 
-class End(Enum):
     REFUSED = auto()  # RST_STREAM with REFUSED_STREAM
     RESET = auto()  # RST_STREAM with any other code
-    ABOVE = auto()  # GOAWAY that names a lower stream as its last
-    LOST = auto()  # the connection ended, and no GOAWAY spoke of this stream
-    SILENT = auto()  # the connection was given up for its silence
-    FAULT = auto()  # the connection was given up for what came on it
-    GARBLED = auto()  # its answer cannot be used
-    LATE = auto()  # our own time-out
-    STOPPED = auto()  # called off
-    WITHDRAWN = auto()  # might no longer be sent when its turn came
-    UNCONNECTED = auto()  # no connection came up
+    ABOVE = auto()  # GOAWAY with a lower last stream
+    LOST = auto()  # the connection ended, without a GOAWAY that covers this stream
+    SILENT = auto()  # the connection was given up as it received nothing
+    FAULT = auto()  # the connection was given up as it received something invalid
+    GARBLED = auto()  # the response is invalid
+    LATE = auto()  # our timeout
+    STOPPED = auto()  # cancelled by us
+    WITHDRAWN = auto()  # no longer allowed to be sent when its turn came
+    UNCONNECTED = auto()  # no connection could be opened
 
 
 class Proof(Enum):
-    """What an end proves of the query."""
+    """What the outcome of a stream proves about its query."""
 
-    NEVER_RAN = "never ran"  # and the machine is none the worse for it
-    TURNED_AWAY = "turned away"  # never ran, as the machine would not
-    NO_WAY = "no way"  # never ran, as it could not be brought there
-    MAY_HAVE = "may have run"
+    NEVER_RAN = "never ran"  # not executed; says nothing against the machine
+    TURNED_AWAY = "turned away"  # not executed, as the machine refused it
+    UNDELIVERED = "no way"  # not executed, as it could not be delivered
+    MAY_HAVE = "may have run"  # perhaps executed
 
 
-# Threat: calling what may have run 'never ran': a booking would run twice.
-_WHOLE = dict.fromkeys(End, Proof.MAY_HAVE) | {
-    End.REFUSED: Proof.TURNED_AWAY,
-    End.ABOVE: Proof.NEVER_RAN,
+# Threat: a query that may have been executed is classified as never run and sent again, and a
+# booking is executed twice.
+_WHOLE = dict.fromkeys(StreamEnd, Proof.MAY_HAVE) | {
+    StreamEnd.REFUSED: Proof.TURNED_AWAY,
+    StreamEnd.ABOVE: Proof.NEVER_RAN,
 }
-_PART = dict.fromkeys(End, Proof.NO_WAY) | {
-    End.REFUSED: Proof.TURNED_AWAY,
-    End.ABOVE: Proof.NEVER_RAN,
-    End.WITHDRAWN: Proof.NEVER_RAN,
-    End.GARBLED: Proof.MAY_HAVE,
-}  # an answer before the query's end: the machine did something with it
-_ANSWERING = dict.fromkeys(End, Proof.MAY_HAVE)  # whatever it says now, it had begun to answer
-
-PROOFS: dict[tuple[Stand, End], Proof] = {
-    (stand, end): {
-        Stand.UNSENT: _PART | {End.GARBLED: Proof.NO_WAY},
-        Stand.PART: _PART,
-        Stand.WHOLE: _WHOLE,
-        Stand.ANSWERING: _ANSWERING,
-    }[stand][end]
-    for stand in Stand
-    for end in End
+_PART = dict.fromkeys(StreamEnd, Proof.UNDELIVERED) | {
+    StreamEnd.REFUSED: Proof.TURNED_AWAY,
+    StreamEnd.ABOVE: Proof.NEVER_RAN,
+    StreamEnd.WITHDRAWN: Proof.NEVER_RAN,
+    StreamEnd.GARBLED: Proof.MAY_HAVE,
+}  # GARBLED: a response before the query's end shows that the machine processed some of it
+# Whatever the machine says now, it had begun to respond.
+_ANSWERING = dict.fromkeys(StreamEnd, Proof.MAY_HAVE)
+
+PROOFS: dict[tuple[StreamProgress, StreamEnd], Proof] = {
+    (progress, end): {
+        StreamProgress.UNSENT: _PART | {StreamEnd.GARBLED: Proof.UNDELIVERED},
+        StreamProgress.PART: _PART,
+        StreamProgress.WHOLE: _WHOLE,
+        StreamProgress.ANSWERING: _ANSWERING,
+    }[progress][end]
+    for progress in StreamProgress
+    for end in StreamEnd
 }
 
 
 class Failed:
-    """A query that got no answer: how far it had come, and what ended it."""
+    """A query without a usable response: its progress, and why its stream ended."""
 
-    __slots__ = ("end", "stand")
+    __slots__ = ("end", "progress")
 
-    def __init__(self, stand: Stand, end: End) -> None:
-        self.stand, self.end = stand, end
+    def __init__(self, progress: StreamProgress, end: StreamEnd) -> None:
+        self.progress, self.end = progress, end
 
     @property
     def proof(self) -> Proof:
-        return PROOFS[self.stand, self.end]
+        """What this proves about the execution of the query."""
+        return PROOFS[self.progress, self.end]
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, Failed) and (self.stand, self.end) == (other.stand, other.end)
+        return isinstance(other, Failed) and (self.progress, self.end) == (
+            other.progress,
+            other.end,
+        )
 
     def __hash__(self) -> int:
-        return hash((self.stand, self.end))
+        return hash((self.progress, self.end))
 
     def __repr__(self) -> str:
-        return f"{self.stand.name.lower()}/{self.end.name.lower()}"
+        return f"{self.progress.name.lower()}/{self.end.name.lower()}"
--- a/umbermoor/front/server/members.py
+++ b/umbermoor/front/server/members.py
@@ -14,11 +14,16 @@
 from umbermoor.front.configuration import read_address
 from umbermoor.front.interface import Entry, Listing, Readiness
 from umbermoor.front.kdl_sheet import Record, SheetError, read_sheet
-from umbermoor.front.membership.conclusion import Concluder, difference, entry_of, explained
-from umbermoor.front.membership.dns_messages import Failed, NotThere, There
-from umbermoor.front.membership.dns_queries import Ask, Asker, Server, places
-from umbermoor.front.membership.saved_list import Lasting, load, save
-from umbermoor.front.membership.sources import SECOND, Book, Seen
+from umbermoor.front.membership.conclusion import (
+    Concluder,
+    describe_membership,
+    difference,
+    entry_of,
+)
+from umbermoor.front.membership.dns_messages import Failed, ServiceAbsent, ServiceFound
+from umbermoor.front.membership.dns_queries import DnsQuery, Server, SrvResolver, srv_endpoints
+from umbermoor.front.membership.saved_list import SavedList, load, save
+from umbermoor.front.membership.sources import SECOND, SeenMachine, SourceTracker
 from umbermoor.front.own_settings import MembersFrom, SrvFrom
 from umbermoor.front.sealed_files import UnusableFile
 from umbermoor.front.server.discovery import News
@@ -37,7 +42,10 @@
     elsewhere is passed over."""
 
     def __init__(
-        self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
+        self,
+        ask: DnsQuery,
+        told: Callable[[DnsQuery, bytes], None],
+        broke: Callable[[DnsQuery, str], None],
     ) -> None:
         self._ask, self._told, self._broke = ask, told, broke
 
@@ -57,7 +65,10 @@
     """The same over TCP: two bytes of length, then the message (RFC 7766)."""
 
     def __init__(
-        self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
+        self,
+        ask: DnsQuery,
+        told: Callable[[DnsQuery, bytes], None],
+        broke: Callable[[DnsQuery, str], None],
     ) -> None:
         self._ask, self._told, self._broke, self._data, self._done = ask, told, broke, b"", False
 
@@ -90,10 +101,10 @@
         clock,
         given: SrvFrom,
         chance,
-        told: Callable[[str, There | NotThere | Failed], None],
+        told: Callable[[str, ServiceFound | ServiceAbsent | Failed], None],
     ) -> None:
         self._reactor, self._clock, self._name, self._told = reactor, clock, given.called, told
-        self._asker = Asker(given.name, [Server(one) for one in given.servers], chance)
+        self._resolver = SrvResolver(given.name, [Server(one) for one in given.servers], chance)
         self._port = self._timer = None
 
     def start(self) -> None:
@@ -110,12 +121,12 @@
             port.stopListening()
 
     def _look(self) -> None:
-        was = self._asker.out
-        ask = self._asker.due(self._clock())
-        if was is not None and self._asker.out is not was:
+        was = self._resolver.outstanding
+        ask = self._resolver.next_query(self._clock())
+        if was is not None and self._resolver.outstanding is not was:
             self._close()
-            if self._asker.out is None:
-                self._told(self._name, Failed(self._asker.why))
+            if self._resolver.outstanding is None:
+                self._told(self._name, Failed(self._resolver.why))
         if ask is not None:
             self._send(ask)
         self._arm()
@@ -123,10 +134,10 @@
     def _arm(self) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        wait = max(0.01, (self._asker.next_at() - self._clock()) / SECOND)
+        wait = max(0.01, (self._resolver.next_at() - self._clock()) / SECOND)
         self._timer = self._reactor.callLater(wait, self._look)
 
-    def _send(self, ask: Ask) -> None:
+    def _send(self, ask: DnsQuery) -> None:
         self._close()
         if ask.tcp:
             factory = Factory()
@@ -142,14 +153,14 @@
                 0, _Datagram(ask, self._heard, self._broke), "127.0.0.1", ANSWER_MOST
             )
 
-    def _heard(self, ask: Ask, data: bytes) -> None:
-        self._take(self._asker.heard(self._clock(), ask, data))
+    def _heard(self, ask: DnsQuery, data: bytes) -> None:
+        self._take(self._resolver.handle_answer(self._clock(), ask, data))
 
-    def _broke(self, ask: Ask, why: str) -> None:
-        self._take(self._asker.broke(self._clock(), ask, why))
+    def _broke(self, ask: DnsQuery, why: str) -> None:
+        self._take(self._resolver.handle_failure(self._clock(), ask, why))
 
     def _take(self, found) -> None:
-        if isinstance(found, Ask):
+        if isinstance(found, DnsQuery):
             self._send(found)
         elif found is not None:
             self._close()
@@ -172,10 +183,10 @@
     machine: tuple[Machine, ...] = ()
 
 
-def read_members(path: str) -> list[Seen]:
+def read_members(path: str) -> list[SeenMachine]:
     """Raises SheetError."""
     return [
-        Seen(
+        SeenMachine(
             one.name,
             read_address(one.at),
             Readiness.DRAINING if one.draining else Readiness.READY,
@@ -200,7 +211,7 @@
         ]
         sure = {one.called: one.authoritative for one in (*given.srv, *given.file)} | {LIST: True}
         self.concluder = Concluder(
-            Book([(name, sure[name], keep) for name in order]),
+            SourceTracker([(name, sure[name], keep) for name in order]),
             given.rule,
             given.quorum,
             given.existence,
@@ -269,7 +280,7 @@
 
     def list_told(self, kind: Listing, news: News) -> None:
         seen = [
-            Seen(
+            SeenMachine(
                 one.machine,
                 news.addresses.get(one.machine, ("", 0)),
                 one.readiness,
@@ -284,37 +295,39 @@
         ]
         self._speaks = {**(self._speaks if kind is Listing.CHANGES else {}), **news.speaks}
         if kind is Listing.CHANGES:
-            self.concluder.book.changes(self._clock(), LIST, seen)
+            self.concluder.tracker.report_changes(self._clock(), LIST, seen)
         elif kind is not Listing.FAILED:
-            self.concluder.book.whole(self._clock(), LIST, seen)
+            self.concluder.tracker.report_all(self._clock(), LIST, seen)
         self._conclude()
 
-    def _srv_told(self, name: str, found: There | NotThere | Failed) -> None:
-        book, now = self.concluder.book, self._clock()
+    def _srv_told(self, name: str, found: ServiceFound | ServiceAbsent | Failed) -> None:
+        tracker, now = self.concluder.tracker, self._clock()
         if isinstance(found, Failed):
-            book.failed(now, name, found.why)
+            tracker.report_failure(now, name, found.why)
         else:
-            rows = places(found) if isinstance(found, There) else []
-            book.whole(now, name, [Seen(label, address, weight=None) for label, address, _ in rows])
+            rows = srv_endpoints(found) if isinstance(found, ServiceFound) else []
+            tracker.report_all(
+                now, name, [SeenMachine(label, address, weight=None) for label, address, _ in rows]
+            )
         self._conclude()
 
     def _look_at(self, name: str, path: str, marks: dict) -> None:
-        book, now = self.concluder.book, self._clock()
+        tracker, now = self.concluder.tracker, self._clock()
         try:
             mark = os.stat(path).st_mtime_ns, os.stat(path).st_size
             if marks.get(path) == mark:
                 return
-            book.whole(now, name, read_members(path))
+            tracker.report_all(now, name, read_members(path))
             marks[path] = mark
         except (OSError, SheetError) as error:
-            book.failed(now, name, str(error))
+            tracker.report_failure(now, name, str(error))
         self._conclude()
 
     # What comes of them.
 
     def _conclude(self) -> None:
         found = self.concluder.conclude(self._clock())
-        if found.stands or (found.members == self._members and not self._first):
+        if found.is_stale or (found.members == self._members and not self._first):
             return
         kind, entries = difference(self._members, found.members)
         if self._first:  # what the front was started with is replaced whole
@@ -344,15 +357,15 @@
 
     def _save(self) -> None:
         members = self.concluder.last.members
-        if members and members is not self._saved and not self.concluder.last.stands:
+        if members and members is not self._saved and not self.concluder.last.is_stale:
             self._saved = members
             try:
                 save(
                     self._given.state,
-                    Lasting(time.time_ns() // 1000, tuple(one.seen for one in members.values())),
+                    SavedList(time.time_ns() // 1000, tuple(one.seen for one in members.values())),
                 )
             except OSError as error:
                 note(log, "list not kept", logging.WARNING, why=error.strerror)
 
     def explain(self, machine: str | None = None) -> list[str]:
-        return explained(self._clock(), self.concluder, machine)
+        return describe_membership(self._clock(), self.concluder, machine)
--- a/umbermoor/front/server/operations.py
+++ b/umbermoor/front/server/operations.py
@@ -11,15 +11,15 @@
 from umbermoor.front.facade import Asked
 from umbermoor.front.interface import Ending, Entry
 from umbermoor.front.lifecycle.admin_calls import AdminCalls, metrics_text
-from umbermoor.front.lifecycle.drain_keeper import SECOND, DrainKeeper, Due
+from umbermoor.front.lifecycle.drain_keeper import SECOND, DrainAction, DrainKeeper
 from umbermoor.front.lifecycle.scheduler import Scheduler, Task
 from umbermoor.front.lifecycle.snapshot import (
-    MachineMemory,
-    Memory,
+    MachineSnapshot,
+    Snapshot,
     UnusableFile,
-    fit,
+    find_mismatch,
     load,
-    usable,
+    usable_machines,
     write,
 )
 from umbermoor.front.own_settings import OwnSettings
@@ -63,7 +63,7 @@
         self._timer = self._work_timer = None
         self._scheduler = Scheduler(
             clock,
-            told=note_background_work,
+            report=note_background_work,
         )
         self._door = self._where = None
         if house.door is not None:
@@ -150,7 +150,7 @@
             "clients": len(self._clients.open),
             "machines": len(self._listed),
             "stage": str(self._exchange.stage),
-            "takes_at_once": keeper.most(now),
+            "takes_at_once": keeper.max_in_hand(now),
             "profiles": {
                 name: {
                     "in_hand": len(ages.get(at, ())),
@@ -256,12 +256,12 @@
         """What the keeper wants done; again when it says."""
         now = self._clock()
         for due in self.keeper.tick(now, len(self._exchange.held)):
-            if due is Due.CLOSE_IDLE:
+            if due is DrainAction.CLOSE_IDLE:
                 self._clients.close_idle()
-            elif due is Due.GIVE_UP:
+            elif due is DrainAction.GIVE_UP:
                 note(log, "deadline", given_up=len(self._exchange.held))
                 self._exchange.give_up_all()
-            elif due is Due.FORGET:
+            elif due is DrainAction.FORGET:
                 self._exchange.forget()
         at = self.keeper.next_at(now)
         if self._timer is not None and self._timer.active():
@@ -290,10 +290,10 @@
         took, work, carried, usual, rows = self._exchange.remember()
         machines = []
         for at, row in enumerate(rows):
-            machines.append(MachineMemory(*row))
+            machines.append(MachineSnapshot(*row))
             if at % 200 == 199:
                 yield 0
-        memory = Memory(
+        memory = Snapshot(
             time.time_ns() // 1000,
             self._station.name,
             self._fleet(),
@@ -316,11 +316,11 @@
         wrong = (
             memory
             if isinstance(memory, UnusableFile)
-            else fit(memory, now, self._station.name, self._fleet())
+            else find_mismatch(memory, now, self._station.name, self._fleet())
         )
         if wrong is not None:
             note(log, "snapshot not used", logging.WARNING, path=path, why=wrong.why)
             return
-        machines = usable(memory, now, self._listed)
+        machines = usable_machines(memory, now, self._listed)
         self._exchange.recall(memory, machines)
         note(log, "snapshot used", age_s=round((now - memory.at) / 1e6, 1), machines=len(machines))
