--- a/umbermoor/gateway/replication/requests.py
+++ b/umbermoor/gateway/replication/requests.py
@@ -1,7 +1,8 @@
 """Calls in progress of this replica's host: puts are sent to the head, reads to the tail.
 
 A call that gets no answer in time ends as UNAVAILABLE, although it may still be carried out. A put
-is never sent to two heads, because the first may have applied it. Times are whole microseconds.
+is sent to a second head only if the first refused it, because otherwise the first may have applied
+it. Times are whole microseconds.
 """
 
 from dataclasses import dataclass, field
--- a/umbermoor/gateway/replication/store.py
+++ b/umbermoor/gateway/replication/store.py
@@ -5,12 +5,12 @@
 promises in it can no longer be known; the replica then counts as one whose disk was lost. A file
 named `lost` records this until the replica has been given the state again.
 
-LMDB copies pages on write and alternates between two meta pages: a commit writes and syncs its
-pages, then a meta page. So a write that is torn by a loss of power leaves the state of the write
-before it. The meta page is synced by a separate call (`metasync=False` and `sync`), because not
-every system honours a descriptor that was opened for synced writes. Meta pages have no digest, and
-the one with the higher commit number is current; the manifest therefore holds that number too:
-docs/storage.md.
+Source: LMDB 0.9. It copies pages on write and alternates between two meta pages: a commit writes
+and syncs its pages, then a meta page. So a write that is torn by a loss of power leaves the state
+of the write before it. The meta page is synced by a separate call (`metasync=False` and `sync`),
+because not every system honours a descriptor that was opened for synced writes. Meta pages have no
+digest, and the one with the higher commit number is current; the manifest therefore holds that
+number too: docs/storage.md.
 """
 
 import errno
--- a/umbermoor/gateway/replication/write_queue.py
+++ b/umbermoor/gateway/replication/write_queue.py
@@ -18,9 +18,7 @@
 from umbermoor.gateway.units import MILLISECOND
 
 RETRY_DELAY = 200 * MILLISECOND  # delay before a refused write is retried
-HANG_THRESHOLD = (
-    400 * MILLISECOND
-)  # a write that takes this long or longer makes the disk unhealthy
+HANG_THRESHOLD = 400 * MILLISECOND  # a write that takes so long makes the disk unhealthy
 SLOW_THRESHOLD = 250 * MILLISECOND  # a write that takes longer is slow
 MIN_PROBATION = 2000 * MILLISECOND  # first probation; doubles with each relapse up to the maximum
 MAX_PROBATION = 32_000 * MILLISECOND
