--- a/umbermoor/gateway/server/client_connection.py
+++ b/umbermoor/gateway/server/client_connection.py
@@ -39,8 +39,8 @@
         "accepted_at",
         "clients",
         "closing",
-        "end_received",
-        "end_sent",
+        "fin_received",
+        "fin_sent",
         "last_activity",
         "lingers",
         "pending",
@@ -65,9 +65,9 @@
         self.reading_paused = False
         self.writing_paused = False  # the client does not read what it was sent
         self.unread_bytes = 0  # of that
-        self.end_received = False
+        self.fin_received = False
         self.lingers = False  # the client may still send
-        self.end_sent = False
+        self.fin_sent = False
         self.last_activity = 0.0
         self.request_began_at: float | None = None  # of a request that is partly read
         self.accepted_at = clients.clock()
@@ -127,7 +127,7 @@
 
     def reject_partial(self) -> None:
         """Answers a request that is not whole; the connection closes."""
-        if self.request_began_at is not None and not self.pending and not self.end_sent:
+        if self.request_began_at is not None and not self.pending and not self.fin_sent:
             self._reject(UNAVAILABLE, DRAINING_RETRY_AFTER)
 
     def _reject(self, status: int, headers: dict[str, str]) -> None:
@@ -238,12 +238,12 @@
 
         Where the client may still send, reading goes on until its own end, or a while.
         """
-        if self.end_sent or self.transport.is_closing():
+        if self.fin_sent or self.transport.is_closing():
             return
-        if self.end_received or not self.lingers:
+        if self.fin_received or not self.lingers:
             self.transport.close()
             return
-        self.end_sent = True
+        self.fin_sent = True
         self.last_activity = self.clients.clock()
         self.reading_paused = False
         self.transport.resume_reading()
@@ -257,7 +257,7 @@
 
         What it has under way ends, but for a request that may not be repeated and was sent.
         """
-        self.closing = self.end_received = True
+        self.closing = self.fin_received = True
         self._note_departure(Departure.ENDED)
         for pending in list(self.pending):
             self.clients.handler.client_ended(pending)
@@ -287,7 +287,7 @@
 
     def _unanswered_cause(self, error: Exception | None) -> UnansweredCause:
         """Without an error of the network and the client's end, this process closed it."""
-        if isinstance(error, OSError) or self.end_received:
+        if isinstance(error, OSError) or self.fin_received:
             return UnansweredCause.CLIENT_LEFT
         return UnansweredCause.CLOSED_BY_PROXY
 
@@ -304,7 +304,7 @@
 
     def is_idle(self) -> bool:
         """Whether no request is under way, and its end is not sent yet."""
-        return not self.pending and not self.reader.mid_message and not self.end_sent
+        return not self.pending and not self.reader.mid_message and not self.fin_sent
 
     def sweep(self, now: float, header_timeout_s: float, idle_timeout_s: float) -> None:
         """Closes it where it is idle, or slow to send its request or to read its response."""
@@ -317,7 +317,7 @@
         idle_s = now - self.last_activity
         if self.writing_paused:
             self._sweep_slow_reader(now, idle_s)
-        elif self.end_sent:
+        elif self.fin_sent:
             if idle_s > LINGER_S:
                 self.transport.close()
         elif self.pending:
