--- a/umbermoor/gateway/server/__init__.py
+++ b/umbermoor/gateway/server/__init__.py
@@ -1,2 +1,4 @@
-"""The mast: what the instruments hang on. Sockets, LMDB and clocks; carries out what the state
-machines return."""
+"""The processes of the gateway: a proxy and a controller on sockets, an LMDB store and clocks.
+
+The state machines of the other packages do no I/O; this package carries out what they return.
+"""
--- a/umbermoor/gateway/server/active_request.py
+++ b/umbermoor/gateway/server/active_request.py
@@ -1,4 +1,4 @@
-"""A request that is worked at, and by when it must be answered."""
+"""A request that the proxy is processing, and the deadline for its response."""
 
 import asyncio
 
@@ -10,23 +10,23 @@
 from umbermoor.gateway.units import MILLISECOND, SECOND
 from umbermoor.http1.reader import Request
 
-# Taken off the time that a client says it waits, for the way there and back.
+# Subtracted from the time that a client says it will wait: request and response are in transit.
 ROUND_TRIP_US = 10 * MILLISECOND
 MAX_TIME_REMAINING_DIGITS = 8
 
 
 class ActiveRequest:
-    """A request that is worked at: what its lifecycle does not hold.
+    """A request in progress: its connection, attempts and timer, which its lifecycle does not hold.
 
     Attributes:
-        connection: Its client's connection.
-        pending: Its place there.
-        request: What was asked.
-        route: The route that it took.
-        lifecycle: Its state, and what comes next.
+        connection: The client's connection.
+        pending: The request's entry in the queue of that connection.
+        request: The client's request.
+        route: The route that the request matched.
+        lifecycle: The state machine that decides the next step.
         attempts: Attempts in flight.
-        attempts_made: How many were made.
-        timer: Wakes it when something is due.
+        attempts_made: Number of attempts started so far.
+        timer: Fires when the lifecycle's next step is due; None when nothing is scheduled.
     """
 
     __slots__ = (
@@ -58,11 +58,11 @@
         self.timer: asyncio.TimerHandle | None = None
 
 
-def deadline_of(pending: PendingRequest, request: Request, route: Route) -> int:
-    """By when a request must be answered, in microseconds of the clock.
+def request_deadline(pending: PendingRequest, request: Request, route: Route) -> int:
+    """Return the deadline for the response to a request, in microseconds of the clock.
 
-    The route's time runs from when it was read whole, and its client's from its first byte: what it
-    waits for its turn is part of both.
+    The route's timeout runs from the moment the request was read completely, the client's from its
+    first byte, so both include the time that the request spends queued on its connection.
     """
     deadline = round(pending.read_at * SECOND) + route.timeout_us
     client_waits = request.headers.get("x-time-remaining", "")  # in milliseconds
--- a/umbermoor/gateway/server/call_results.py
+++ b/umbermoor/gateway/server/call_results.py
@@ -1,4 +1,4 @@
-"""How results of the replica are answered over HTTP, and logged."""
+"""Maps results of the replica to HTTP responses and to fields of the log."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 
 
 def write_response(result: CallResult) -> ApiResponse:
-    """The answer to who asked for a write."""
+    """Return the HTTP response to a write request."""
     if result.status is Status.OK:
         return ApiResponse(200)
     if result.status is Status.UNAVAILABLE:
@@ -25,8 +25,8 @@
     return error_response(HTTP_STATUS[result.status], reason)
 
 
-def outcome_pairs(result: CallResult) -> dict[str, Any]:
-    """What the log says of the head's decision on a write, if there was one."""
+def outcome_fields(result: CallResult) -> dict[str, Any]:
+    """Return the log fields for the head's decision on a write; empty if there was no decision."""
     if isinstance(result.value, Decision):
         return {"outcome": result.value.outcome.value}
     return {}
--- a/umbermoor/gateway/server/client_connection.py
+++ b/umbermoor/gateway/server/client_connection.py
@@ -1,7 +1,7 @@
-"""One connection of a client: requests are read as they come, pipelined ones too.
+"""One client connection: reads requests, including pipelined ones, and writes their responses.
 
-Each is handed to the request handler when it is its turn, and its response leaves when those before
-it have. All connections of a proxy, and what applies to each, are in `client_connections`.
+Each request is passed to the request handler when it may start. Responses are written in the order
+of the requests. `client_connections` holds all connections of a proxy and their common limits.
 """
 
 import asyncio
@@ -10,7 +10,7 @@
 from umbermoor.gateway.balancing.attempt_outcomes import SINGLE_VALUE_HEADERS
 from umbermoor.gateway.server.departures import Departure
 from umbermoor.gateway.server.http_messages import response_bytes
-from umbermoor.gateway.server.peer_transport import peer_has_ended, tune_socket
+from umbermoor.gateway.server.peer_transport import peer_has_sent_fin, tune_socket
 from umbermoor.gateway.server.pending_request import PendingRequest, ResponseParts
 from umbermoor.gateway.server.request_audit import UnansweredCause
 from umbermoor.http1.reader import Fault, Reader, Request
@@ -20,20 +20,21 @@
 
 REQUEST_TIMEOUT = 408
 UNAVAILABLE = 503
-DRAINING_RETRY_AFTER = {"retry-after": "0.05"}  # on a new connection another proxy is met
-
-MAX_PIPELINED_REQUESTS = 16  # of one connection that may wait for their responses
-MAX_REQUEST_S = 30.0  # a request that is not whole by then is given up, however steadily it comes
-HEADER_GRACE_S = 2  # beyond the limit that the configuration sets, for a head that stopped coming
-STALLED_S = 1
-# Read on behind our end, as closing with unread bytes would reset what is still on its way.
+DRAINING_RETRY_AFTER = {"retry-after": "0.05"}  # a new connection reaches another proxy
+
+MAX_PIPELINED_REQUESTS = 16  # per connection, waiting for their responses
+MAX_REQUEST_S = 30.0  # to receive a whole request, even if its data keeps arriving
+HEADER_GRACE_S = 2  # added to the configured header timeout when data has stopped arriving
+STALLED_S = 1  # without data after which a partly read request counts as stalled
+# Reading continues after this side's FIN: closing with unread bytes would make the kernel send a
+# reset, and the client would lose response bytes that are still in transit.
 LINGER_S = 0.5
-# A client that does not read must take so much in MAX_REQUEST_S.
+# A client that reads slowly must take at least this much per MAX_REQUEST_S.
 MIN_READ_BYTES = 4096
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection. The handler answers each request by `respond`."""
+    """One client connection. The request handler answers each request by calling `respond`."""
 
     __slots__ = (
         "accepted_at",
@@ -54,26 +55,26 @@
 
     def __init__(self, clients: "ClientConnections") -> None:
         self.clients = clients
-        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until it is made
+        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until connected
         self.reader = Reader(
             clients.buffers,
             max_body_bytes=clients.max_body_bytes,
             single_value_headers=SINGLE_VALUE_HEADERS,
         )
         self.pending: list[PendingRequest] = []  # oldest first
-        self.closing = False  # nothing more is read of it
+        self.closing = False  # no further request is read
         self.reading_paused = False
-        self.writing_paused = False  # the client does not read what it was sent
-        self.unread_bytes = 0  # of that
+        self.writing_paused = False  # the client is not reading its responses
+        self.unread_bytes = 0  # size of the write buffer when the client last made progress
         self.fin_received = False
-        self.lingers = False  # the client may still send
+        self.lingers = False  # the client may still send: read until its FIN before closing
         self.fin_sent = False
         self.last_activity = 0.0
-        self.request_began_at: float | None = None  # of a request that is partly read
+        self.request_began_at: float | None = None  # first byte of a partly read request
         self.accepted_at = clients.clock()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins, where there are not too many."""
+        """Register the connection, or abort it if there are too many."""
         self.transport = cast(asyncio.Transport, transport)
         tune_socket(transport)
         if not self.clients.admit(self):
@@ -82,18 +83,20 @@
         self.last_activity = self.clients.clock()
 
     def data_received(self, data: bytes) -> None:
-        """Reads requests, and starts those whose turn it is."""
+        """Parse requests and start those that may start now."""
         if self.closing:
-            self.lingers = True  # and no more time: what it sends now is not read
+            self.lingers = (
+                True  # last_activity stays: discarded data does not extend the time limit
+            )
             return
         now = self.last_activity = self.clients.clock()
         first_byte_at = now if self.request_began_at is None else self.request_began_at
-        found: list[Request | Fault] = self.reader.feed(data)  # type: ignore[assignment]
+        messages: list[Request | Fault] = self.reader.feed(data)  # type: ignore[assignment]
         if not self.reader.mid_message:
             self.request_began_at = None
-        elif found or self.request_began_at is None:
+        elif messages or self.request_began_at is None:
             self.request_began_at = self.last_activity
-        for message in found:
+        for message in messages:
             if isinstance(message, Fault):
                 self.pending.append(PendingRequest(None, (message.status, b"", {})))
                 self.closing = self.lingers = True
@@ -107,16 +110,17 @@
                 break
         self._start_requests()
         if self.clients.drain.began:
-            self.refuse_more()
+            self.refuse_new_requests()
         self._write_responses()
         if len(self.pending) >= MAX_PIPELINED_REQUESTS:
             self._pause_reading()
 
-    def refuse_more(self) -> None:
-        """Takes nothing more, where a request is under way.
+    def refuse_new_requests(self) -> None:
+        """Accept no further requests if one is in progress.
 
-        What was read behind it and not begun counts as not read, as the last response closes the
-        connection: its client sends it again elsewhere (RFC 9112, section 9.3.2).
+        Requests that were read after it and not started are discarded as if unread. The last
+        response closes the connection, so that the client sends them again on another one
+        (RFC 9112, section 9.3.2).
         """
         if not self.pending:
             return
@@ -126,15 +130,15 @@
             self.pending.pop()
 
     def reject_partial(self) -> None:
-        """Answers a request that is not whole; the connection closes."""
+        """Answer a partly read request with 503 and close the connection."""
         if self.request_began_at is not None and not self.pending and not self.fin_sent:
             self._reject(UNAVAILABLE, DRAINING_RETRY_AFTER)
 
     def _reject(self, status: int, headers: dict[str, str]) -> None:
-        """Answers a request that is not whole, and reads no more of it."""
+        """Answer a partly read request and read no more of it."""
         self.closing = self.lingers = True
         self.transport.write(response_bytes(status, b"", headers, 0))
-        self._end()
+        self._finish_sending()
 
     def _pause_reading(self) -> None:
         if not self.reading_paused and not self.transport.is_closing():
@@ -142,7 +146,7 @@
             self.transport.pause_reading()
 
     def pause_writing(self) -> None:
-        """The client does not read: nothing more is started for it until it does."""
+        """Start no more requests while the client is not reading its responses."""
         self.writing_paused = True
         self.unread_bytes = self.transport.get_write_buffer_size()
         self.last_activity = self.clients.clock()
@@ -150,15 +154,19 @@
             self._pause_reading()
 
     def resume_writing(self) -> None:
-        """The client reads again."""
+        """Write pending responses and start requests: the client is reading again."""
         self.writing_paused = False
         self.last_activity = self.clients.clock()
         self._write_responses()
         self._start_requests()
 
     def _start_requests(self) -> None:
-        """Starts idempotent requests at once, and any other one when it is its turn."""
-        if len(self.pending) == 1:  # by far the most
+        """Start requests that may start now.
+
+        An idempotent request may run beside other idempotent ones; any other request runs alone,
+        once it is the first one pending.
+        """
+        if len(self.pending) == 1:  # by far the most common case
             pending = self.pending[0]
             request = pending.request
             if request is not None and not pending.started and not self.writing_paused:
@@ -168,7 +176,7 @@
             request = pending.request
             if request is None or self.writing_paused:
                 return
-            # What is behind an idempotent request need not wait for it.
+            # Requests after an idempotent one need not wait for its response.
             idempotent = self.clients.handler.is_idempotent(request)
             if not pending.started:
                 if position and not idempotent:
@@ -179,16 +187,16 @@
 
     def _start(self, pending: PendingRequest, request: Request) -> None:
         pending.started = True
-        if not self.clients.drain.begins_requests():
+        if not self.clients.drain.may_start_requests():
             self.respond(pending, UNAVAILABLE, b"", DRAINING_RETRY_AFTER)
             return
-        self.clients.audit.begun(pending)
+        self.clients.audit.request_started(pending)
         self.clients.handler.handle(self, pending, request)
 
     def respond(
         self, pending: PendingRequest, status: int, body: bytes, headers: dict[str, str]
     ) -> None:
-        """Takes the response to a request; it leaves when those before it have."""
+        """Set the response to a request; it is written after the responses to earlier requests."""
         if pending.response is not None or self.transport is None or self.transport.is_closing():
             return
         pending.response = status, body, headers
@@ -202,7 +210,7 @@
             self.transport.write(b"".join(responses))
             self.last_activity = self.clients.clock()
         if self.closing and not self.pending:
-            self._end()
+            self._finish_sending()
             return
         if (
             self.reading_paused
@@ -214,13 +222,16 @@
         if responses:
             self._start_requests()
         if not self.pending and self.reader.awaits_continue:
-            if self.clients.drain.begins_requests():
+            if self.clients.drain.may_start_requests():
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
             else:
                 self._reject(UNAVAILABLE, DRAINING_RETRY_AFTER)
 
     def _next_response(self) -> bytes:
-        """Takes the first pending request off; its response, and whether it is the last."""
+        """Remove the first pending request and return its response.
+
+        The response carries `connection: close` if it is the last one on this connection.
+        """
         pending = self.pending.pop(0)
         status, body, headers = cast(ResponseParts, pending.response)
         clients = self.clients
@@ -233,10 +244,11 @@
         bodiless = request is not None and request.method == "HEAD"
         return response_bytes(status, body, headers, keep_alive_s, bodiless)
 
-    def _end(self) -> None:
-        """Sends our end behind the last response.
+    def _finish_sending(self) -> None:
+        """Close the connection, or only its sending side, after the last response.
 
-        Where the client may still send, reading goes on until its own end, or a while.
+        If the client may still be sending, send a FIN and keep reading until the client's FIN or
+        for LINGER_S.
         """
         if self.fin_sent or self.transport.is_closing():
             return
@@ -249,25 +261,25 @@
         self.transport.resume_reading()
         try:
             self.transport.write_eof()
-        except OSError:  # it has gone, which the kernel knows and this process does not yet
+        except OSError:  # the kernel has already seen the client leave
             self.transport.abort()
 
     def eof_received(self) -> bool:
-        """The client sends nothing more, and has left: a closed connection looks just like this.
+        """Treat the client's FIN as its departure, as a closed connection looks the same.
 
-        What it has under way ends, but for a request that may not be repeated and was sent.
+        Its requests end, except a non-idempotent one that was already sent to an instance.
         """
         self.closing = self.fin_received = True
         self._note_departure(Departure.ENDED)
         for pending in list(self.pending):
-            self.clients.handler.client_ended(pending)
+            self.clients.handler.client_half_closed(pending)
         given_up = [pending for pending in self.pending if pending.active is None]
         self._report_unanswered(given_up, UnansweredCause.CLIENT_LEFT)
         self.pending = [pending for pending in self.pending if pending.active is not None]
         return bool(self.pending)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Gives up the requests that are worked at."""
+        """Give up the requests in progress on this connection."""
         self.clients.connections.discard(self)
         self.reader.drop()
         cause = self._unanswered_cause(error)
@@ -280,19 +292,22 @@
         self.pending = []
 
     def _note_departure(self, how: Departure) -> None:
-        """Counts the requests that are worked at: nobody may be there to read their responses."""
+        """Count the requests in progress: their client may no longer read the responses."""
         now = self.clients.clock()
         for pending in self.pending:
-            self.clients.handler.departures.left(pending, now, how)
+            self.clients.handler.departures.record_departure(pending, now, how)
 
     def _unanswered_cause(self, error: Exception | None) -> UnansweredCause:
-        """Without an error of the network and the client's end, this process closed it."""
+        """Return why pending requests stay unanswered.
+
+        Without a network error or a FIN from the client, this process closed the connection.
+        """
         if isinstance(error, OSError) or self.fin_received:
             return UnansweredCause.CLIENT_LEFT
         return UnansweredCause.CLOSED_BY_PROXY
 
     def report_unanswered(self, cause: UnansweredCause) -> None:
-        """Counts the requests that were begun here and will get no answer."""
+        """Count the requests of this connection that were started and will not be answered."""
         if self.writing_paused:
             cause = UnansweredCause.CLIENT_STALLED
         self._report_unanswered(self.pending, cause)
@@ -300,18 +315,18 @@
     def _report_unanswered(self, given_up: list[PendingRequest], cause: UnansweredCause) -> None:
         for pending in given_up:
             if pending.started and pending.request is not None and pending.response is None:
-                self.clients.audit.never_answered(pending, self.accepted_at, cause)
+                self.clients.audit.request_unanswered(pending, self.accepted_at, cause)
 
     def is_idle(self) -> bool:
-        """Whether no request is under way, and its end is not sent yet."""
+        """Whether no request is pending or partly read, and no FIN was sent yet."""
         return not self.pending and not self.reader.mid_message and not self.fin_sent
 
     def sweep(self, now: float, header_timeout_s: float, idle_timeout_s: float) -> None:
-        """Closes it where it is idle, or slow to send its request or to read its response."""
+        """Close the connection if it is idle, or if the client sends or reads too slowly."""
         if self.transport is None:
             return
-        if self.pending and self.reading_paused and peer_has_ended(self.transport):
-            if not self.eof_received():  # its end waits behind what is not read
+        if self.pending and self.reading_paused and peer_has_sent_fin(self.transport):
+            if not self.eof_received():  # its FIN is queued behind data that is not read
                 self.transport.close()
             return
         idle_s = now - self.last_activity
@@ -323,9 +338,9 @@
         elif self.pending:
             return
         elif self.request_began_at is not None:
-            taken_s = now - self.request_began_at
-            stalled = taken_s > header_timeout_s + HEADER_GRACE_S and idle_s > STALLED_S
-            if stalled or taken_s > MAX_REQUEST_S:
+            receiving_s = now - self.request_began_at
+            stalled = receiving_s > header_timeout_s + HEADER_GRACE_S and idle_s > STALLED_S
+            if stalled or receiving_s > MAX_REQUEST_S:
                 self._reject(REQUEST_TIMEOUT, {})
         elif idle_s > idle_timeout_s:
             self.transport.close()
--- a/umbermoor/gateway/server/client_connections.py
+++ b/umbermoor/gateway/server/client_connections.py
@@ -1,4 +1,4 @@
-"""All connections of a proxy's clients, and what applies to each of them."""
+"""All client connections of a proxy, and the limits that apply to each of them."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -14,25 +14,28 @@
 if TYPE_CHECKING:
     from umbermoor.gateway.server.request_handler import RequestHandler
 
-MAX_BODY_BYTES = 8 << 20  # of a request: it is held whole until it is sent to an instance
-MAX_CONNECTIONS = 2500  # what strangers can open
-IDLE_GRACE_S = 1.0  # closed so long after the idle time that a client was told
+MAX_BODY_BYTES = (
+    8 << 20
+)  # of a request, which is buffered completely before it is sent to an instance
+MAX_CONNECTIONS = 2500  # bounds what untrusted peers can open
+# A connection is closed this long after the idle time announced to the client.
+IDLE_GRACE_S = 1.0
 
 
 class ClientConnections:
-    """All connections of clients.
+    """All client connections of a proxy.
 
     Attributes:
         buffers: The memory that partly read requests share.
-        clock: Seconds of a steady clock.
-        handler: Takes the requests.
-        audit: Counts the requests that are begun, and those that get no answer.
-        connections: Those that are open.
-        drain: The end of the proxy: no connection is kept behind its last response.
-        keep_alive_s: How long clients are told that a connection may stay idle.
-        idle_timeout_s: How long it may.
-        header_timeout_s: How long a head may take to come.
-        max_body_bytes: Most bytes of a request's body.
+        clock: Returns seconds of a monotonic clock.
+        handler: Processes the requests.
+        audit: Counts requests that are started and requests that are never answered.
+        connections: The open connections.
+        drain: The proxy's drain; once it began, each connection closes after its last response.
+        keep_alive_s: Idle time in seconds that is announced to clients.
+        idle_timeout_s: Idle time in seconds after which a connection is closed.
+        header_timeout_s: Time in seconds that the head of a request may take to arrive.
+        max_body_bytes: Maximum size of a request body.
     """
 
     def __init__(
@@ -54,47 +57,50 @@
         self.max_body_bytes = MAX_BODY_BYTES
 
     def accept(self) -> ClientConnection:
-        """The protocol of a new connection."""
+        """Return the protocol for a new connection."""
         return ClientConnection(self)
 
     def admit(self, connection: ClientConnection) -> bool:
-        """Whether there is room for a connection, which is then one of them."""
+        """Add a connection if there is room; return whether it was added."""
         if len(self.connections) >= MAX_CONNECTIONS:
             return False
         self.connections.add(connection)
         return True
 
     def apply_limits(self, limits: ClientLimits) -> None:
-        """Takes over what a configuration says."""
+        """Apply the limits of a configuration."""
         idle_s = limits.idle_timeout_us / SECOND
         self.idle_timeout_s = idle_s + IDLE_GRACE_S
         self.keep_alive_s = max(1, round(idle_s) - 1)
         self.header_timeout_s = limits.header_timeout_us / SECOND
         self.max_body_bytes = min(MAX_BODY_BYTES, limits.body_bytes)
 
-    def refuse_more(self) -> None:
-        """Takes nothing more where a request is under way; idle connections may bring one."""
+    def refuse_new_requests(self) -> None:
+        """Accept no further requests on connections with one in progress.
+
+        Idle connections may still send one.
+        """
         for connection in list(self.connections):
-            connection.refuse_more()
+            connection.refuse_new_requests()
 
     def reject_partial(self) -> None:
-        """Answers what is not whole at the end of the drain: it never will be begun."""
+        """Answer partly read requests with 503 at the end of the drain: they cannot be started."""
         for connection in list(self.connections):
             connection.reject_partial()
 
     def report_unanswered(self) -> None:
-        """Counts the requests that get no answer because the process ends now."""
+        """Count the requests that are never answered because the process ends now."""
         for connection in self.connections:
             connection.report_unanswered(UnansweredCause.PROCESS_ENDED)
 
     def sweep(self) -> None:
-        """Closes what has been idle or slow for too long."""
+        """Close connections that have been idle or slow for too long."""
         now = self.clock()
         for connection in list(self.connections):
             connection.sweep(now, self.header_timeout_s, self.idle_timeout_s)
 
     def close_idle(self) -> None:
-        """Closes connections on which no request is under way."""
+        """Close connections without a pending or partly read request."""
         for connection in list(self.connections):
             if connection.is_idle():
                 connection.transport.close()
--- a/umbermoor/gateway/server/clocks.py
+++ b/umbermoor/gateway/server/clocks.py
@@ -1,6 +1,6 @@
-"""The clock of a controller, and the unit of its times.
+"""The clock of a controller.
 
-Times are whole microseconds unless a name ends in `_S` or `_s`, which are seconds.
+Times are integers in microseconds, except names that end in `_S` or `_s`, which are in seconds.
 """
 
 import time
@@ -8,12 +8,12 @@
 
 from umbermoor.gateway.units import SECOND
 
-# Runs on while the machine is suspended, where the system has such a clock.
+# CLOCK_BOOTTIME, where available, keeps running while the machine is suspended.
 _SYSTEM_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
-Clock = Callable[[], int]  # microseconds since some fixed point
+Clock = Callable[[], int]  # microseconds since an arbitrary fixed point
 
 
 def system_clock() -> int:
-    """The time in microseconds; it never goes back."""
+    """Return the time in microseconds; it never goes back."""
     return round(time.clock_gettime(_SYSTEM_CLOCK) * SECOND)
--- a/umbermoor/gateway/server/configuration_calls.py
+++ b/umbermoor/gateway/server/configuration_calls.py
@@ -1,6 +1,6 @@
-"""The operator's calls on the configuration: /Config.Replace and /Config.Read.
+"""The operator API for the configuration: /Config.Replace and /Config.Read.
 
-A large configuration is validated and digested in steps, so that heartbeats are answered meanwhile.
+A large configuration is validated and hashed in steps, so that heartbeats are answered in between.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from umbermoor.gateway.config.errors import ValidationError
 from umbermoor.gateway.effects import CallResult, Status
 from umbermoor.gateway.server import events
-from umbermoor.gateway.server.call_results import RETRY_LATER, outcome_pairs, write_response
+from umbermoor.gateway.server.call_results import RETRY_LATER, outcome_fields, write_response
 from umbermoor.gateway.server.invariants import Invariant, Invariants
 from umbermoor.gateway.server.replica_host import ReplicaHost
 
@@ -30,7 +30,7 @@
 
 
 async def run_in_steps(steps: Generator[None, None, Result]) -> Result:
-    """The result of a computation that yields now and then; other tasks run in between."""
+    """Run a computation that yields between its steps, with other tasks running in between."""
     while True:
         try:
             next(steps)
@@ -40,16 +40,16 @@
 
 
 class ConfigurationCalls:
-    """Handlers of the calls on the configuration."""
+    """HTTP handlers for the configuration."""
 
     def __init__(self, host: ReplicaHost, invariants: Invariants) -> None:
         self.host = host
         self._invariants = invariants
-        self._newest_acknowledged = 0  # revision, by this process
+        self._newest_acknowledged = 0  # highest revision acknowledged by this process
 
     @api_call("POST", "/Config.Replace")
     async def replace(self, request: ApiRequest) -> ApiResponse:
-        """Validates a configuration and writes it; answered once the whole chain holds it."""
+        """Validate and write a configuration; respond once every member of the chain stores it."""
         body = decode(request.body)
         if isinstance(body, ValidationError):
             return error_response(400, str(body))
@@ -77,12 +77,12 @@
             kind="configuration",
             revision=revision,
             status=result.status.value,
-            **outcome_pairs(result),
+            **outcome_fields(result),
         )
 
     @api_call("GET", "/Config.Read")
     async def read(self, request: ApiRequest) -> ApiResponse:
-        """The newest configuration, byte for byte as it was sent."""
+        """Return the newest configuration, byte for byte as it was uploaded."""
         acknowledged_before = self._newest_acknowledged
         result = await self.host.call(self.host.replica.read)
         if result.status is not Status.OK:
--- a/umbermoor/gateway/server/connections.py
+++ b/umbermoor/gateway/server/connections.py
@@ -1,8 +1,8 @@
-"""Connections to instances: one request at a time on each, kept for the next one.
+"""Pooled connections to instances; each carries one request at a time.
 
-`ConnectionPool` finds a connection for an attempt; an `InstanceConnection` reads its response. What
-an event on a connection means is decided in `balancing.attempt_outcomes`: this tells it which event
-it was, and carries out what it says.
+`ConnectionPool` finds a connection for an attempt, and `InstanceConnection` reads its response.
+`balancing.attempt_outcomes` decides what an event on a connection means; this module reports the
+events and carries out the decisions.
 """
 
 import asyncio
@@ -28,30 +28,30 @@
     from umbermoor.gateway.server.active_request import ActiveRequest
 
 CONNECT_TIMEOUT_S = 0.35
-IDLE_TIMEOUT_S = 8.0  # kept no longer where the instance names no time
-IDLE_TIMEOUT_NON_IDEMPOTENT_S = 2.0  # for requests that may be executed only once
-CLOSE_AHEAD_S = 1.0  # closed so long before the instance would
+IDLE_TIMEOUT_S = 8.0  # upper bound, and default if the instance announces none
+IDLE_TIMEOUT_NON_IDEMPOTENT_S = 2.0  # for requests that must not be executed twice
+CLOSE_AHEAD_S = 1.0  # time by which a connection is closed before the instance would close it
 MAX_KEEP_ALIVE_DIGITS = 8
-MAX_BODY_BYTES = 8 << 20  # of a response: it is held whole before any of it goes on
-MAX_IDLE_CONNECTIONS = 6  # kept to one instance
-# Ids of the last attempts on a connection: none of them goes on it again, as a second response to
-# the first attempt would fit the second.
+MAX_BODY_BYTES = 8 << 20  # of a response, which is buffered completely before it is relayed
+MAX_IDLE_CONNECTIONS = 6  # per instance
+# Number of recent attempt ids remembered per connection. An attempt is not sent on a connection
+# that carried its id before, as a duplicate response to the earlier attempt would match it.
 REMEMBERED_IDS = 4
 
 
 class Attempt:
-    """A request on its way to one instance; `on_end(attempt, outcome, response)` is called once.
+    """One try of a request at one instance; `on_end(attempt, outcome, response)` is called once.
 
     Attributes:
-        request: The request that it belongs to.
-        number: Its number among the attempts of that request, from 1 on.
-        instance: Where it goes.
-        sent_at: When it was started, in microseconds.
+        request: The request that the attempt belongs to.
+        number: Number among the attempts of that request, starting at 1.
+        instance: The target instance.
+        sent_at: Start time of the attempt, in microseconds.
         id: The X-Attempt-Id of the request.
-        data: The request as it is written.
-        bodiless: Whether it is a HEAD.
-        needs_new_connection: Whether this request was at this instance before.
-        connection: The connection that carries it, or did.
+        data: The serialized request.
+        bodiless: Whether the request is a HEAD, whose response has no body.
+        needs_new_connection: Whether this request was sent to this instance before.
+        connection: The connection that carries or carried the attempt; None before.
         ended: Whether `on_end` was called.
     """
 
@@ -94,13 +94,13 @@
         self.ended = False
 
     def end(self, outcome: AttemptOutcome, response: Response | None = None) -> None:
-        """Ends it, where it has not ended yet."""
+        """End the attempt, unless it has already ended."""
         if not self.ended:
             self.ended = True
             self.on_end(self, outcome, response)
 
     def handle(self, event: ConnectionEvent) -> None:
-        """What happens to it from this side: CANCELLED or DEADLINE_EXCEEDED."""
+        """Apply an event that this proxy causes: CANCELLED, ABANDONED or DEADLINE_EXCEEDED."""
         if self.ended:
             return
         if self.connection is not None:
@@ -115,11 +115,11 @@
     """One connection to an instance.
 
     Attributes:
-        attempt: The attempt on it; None while it is idle.
-        idle_since: When it last became idle, in seconds.
-        idle_timeout_s: How long it may stay so.
-        recent_ids: Ids of the last attempts on it, newest first.
-        tainted: Whether a response to another request came on it.
+        attempt: The attempt in progress; None while the connection is idle.
+        idle_since: Time when the connection last became idle, in seconds.
+        idle_timeout_s: Idle time after which the connection is closed.
+        recent_ids: Ids of the last attempts on the connection, newest first.
+        tainted: Whether a response to another request arrived on the connection.
     """
 
     __slots__ = (
@@ -137,7 +137,7 @@
     def __init__(self, pool: "ConnectionPool", instance: Instance) -> None:
         self.pool = pool
         self.instance = instance
-        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until it is made
+        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until connected
         self.attempt: Attempt | None = None
         self.reader = Reader(
             pool.buffers,
@@ -151,13 +151,13 @@
         self.recent_ids: tuple[str, ...] = ()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins."""
+        """Store the transport and set its socket options."""
         self.transport = cast(asyncio.Transport, transport)
         tune_socket(transport)
 
     @property
     def stage(self) -> AttemptStage:
-        """How far the attempt on it is."""
+        """The progress of the current attempt."""
         if self.attempt is None:
             return AttemptStage.IDLE
         if self.transport.get_write_buffer_size():
@@ -165,7 +165,7 @@
         return AttemptStage.READING if self.reader.mid_message else AttemptStage.WRITTEN
 
     def send(self, attempt: Attempt) -> None:
-        """Writes an attempt's request."""
+        """Write the request of an attempt."""
         self.attempt = attempt
         attempt.connection = self
         self.recent_ids = (attempt.id, *self.recent_ids[: REMEMBERED_IDS - 1])
@@ -173,12 +173,12 @@
         self.transport.write(attempt.data)
 
     def data_received(self, data: bytes) -> None:
-        """Reads responses."""
+        """Parse responses and apply the events that they cause."""
         if self.attempt is None:
             self.handle(ConnectionEvent.UNEXPECTED_DATA)
             return
-        found: list[Response | Fault] = self.reader.feed(data)  # type: ignore[assignment]
-        for position, message in enumerate(found, 1):
+        messages: list[Response | Fault] = self.reader.feed(data)  # type: ignore[assignment]
+        for position, message in enumerate(messages, 1):
             attempt = self.attempt
             if attempt is None:
                 self.handle(ConnectionEvent.UNEXPECTED_DATA)
@@ -187,17 +187,17 @@
                 self.handle(ConnectionEvent.MALFORMED)
                 return
             event = classify(message.status, message.headers, attempt.id, len(self.recent_ids) == 1)
-            self.handle(event, message, position < len(found) or self.reader.mid_message)
+            self.handle(event, message, position < len(messages) or self.reader.mid_message)
 
     def handle(
         self, event: ConnectionEvent, response: Response | None = None, surplus: bool = False
     ) -> None:
-        """Carries out what the table says.
+        """Apply the decision of the attempt outcome table for an event.
 
         Args:
-            event: What happened.
-            response: The response that it was found in.
-            surplus: Whether bytes lie behind that response.
+            event: The event.
+            response: The response that caused the event, if any.
+            surplus: Whether further bytes followed that response.
         """
         outcome, action = decide(self.stage, event)
         if action is ConnectionAction.CONTINUE:
@@ -230,7 +230,7 @@
         self.pool.keep(self)
 
     def eof_received(self) -> bool:
-        """The instance sends nothing more: a response without length may end here."""
+        """Handle the instance's FIN, which may complete a response without a length."""
         message, attempt = self.reader.end(), self.attempt
         if attempt is not None and isinstance(message, Response):
             only_request = len(self.recent_ids) == 1
@@ -244,7 +244,7 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Ends the attempt that was on it."""
+        """End the attempt that the connection carried."""
         self.reader.drop()
         self.pool.forget(self)
         if self.attempt is not None:
@@ -252,13 +252,13 @@
 
 
 class ConnectionPool:
-    """Connections to all instances.
+    """The idle connections to all instances, and the opening of new ones.
 
     Attributes:
         buffers: The memory that partly read responses share.
-        clock: Seconds of a steady clock.
-        may_send: Whether an instance may be sent a request now.
-        idle: Idle connections by the instance's id, the newest last.
+        clock: Returns seconds of a monotonic clock.
+        may_send: Whether requests may be sent to an instance now.
+        idle: Idle connections by instance id, the newest last.
     """
 
     def __init__(
@@ -274,7 +274,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def send(self, instance: Instance, attempt: Attempt, idempotent: bool) -> None:
-        """Sends an attempt on a kept connection, or on a new one."""
+        """Send an attempt on an idle connection, or on a new one."""
         connection = self._take_idle(instance, attempt, idempotent)
         if connection is not None:
             connection.send(attempt)
@@ -286,7 +286,7 @@
     def _take_idle(
         self, instance: Instance, attempt: Attempt, idempotent: bool
     ) -> InstanceConnection | None:
-        """A kept connection for this attempt; closes those that it finds to be kept too long."""
+        """Remove and return an idle connection for an attempt, closing expired ones on the way."""
         connections = self.idle.get(instance.id)
         if not connections or attempt.needs_new_connection:
             return None
@@ -317,26 +317,26 @@
         if attempt.ended:
             connection.transport.close()
         elif connection.transport.is_closing():
-            # It was reset, or sent something, before anything was written.
+            # The instance reset the connection or sent data before the request was written.
             attempt.handle(ConnectionEvent.CLOSED)
-        elif not self.may_send(instance):  # what changed while it was opened
+        elif not self.may_send(instance):  # changed while the connection was being opened
             connection.transport.close()
             attempt.handle(ConnectionEvent.NOT_ALLOWED)
         else:
             connection.send(attempt)
 
     def may_keep(self, connection: InstanceConnection) -> bool:
-        """Whether a connection may become idle."""
+        """Whether a connection may be kept idle."""
         instance = connection.instance
         idle = len(self.idle.get(instance.id, ()))
         return self.may_send(instance) and idle < MAX_IDLE_CONNECTIONS
 
     def keep(self, connection: InstanceConnection) -> None:
-        """A connection became idle."""
+        """Add a connection to the idle ones."""
         self.idle.setdefault(connection.instance.id, []).append(connection)
 
     def forget(self, connection: InstanceConnection) -> None:
-        """A connection was lost."""
+        """Remove a lost connection from the idle ones."""
         connections = self.idle.get(connection.instance.id)
         if connections and connection in connections:
             connections.remove(connection)
@@ -344,12 +344,12 @@
             del self.idle[connection.instance.id]
 
     def close_idle(self, instance: Instance) -> None:
-        """Closes the idle connections to an instance that gets no requests any more."""
+        """Close the idle connections to an instance that no longer receives requests."""
         for connection in self.idle.pop(instance.id, []):
             connection.transport.close()
 
     def sweep(self) -> None:
-        """Closes what was idle for long enough, before the instance does."""
+        """Close connections whose idle timeout has expired, before the instance closes them."""
         now = self.clock()
         for connections in list(self.idle.values()):
             expired = [
--- a/umbermoor/gateway/server/controller.py
+++ b/umbermoor/gateway/server/controller.py
@@ -1,10 +1,15 @@
-"""The controller's process: wires its parts together, drives their clocks, serves the HTTP API.
-
-Start with `Controller`. Each part has a module of its own: `replica_host` the replica, its disk and
-its calls in flight; `peer_messages` what other processes send; `update_publisher` what proxies
-pull; `configuration_calls`, `rollout_calls`, `membership_calls`, `status_calls` and
-`heartbeat_calls` the HTTP API; `store_sweep` and `registry_snapshot` what is stored; `shutdown` the
-end of the process.
+"""The controller process: wires its parts together, runs their ticks and serves the HTTP API.
+
+Start reading with `Controller`. Each part has a module of its own:
+
+    `replica_host`      the replica, its disk and its calls in flight
+    `peer_messages`     dispatch of messages from other processes
+    `update_publisher`  updates that proxies pull
+    `configuration_calls`, `rollout_calls`, `membership_calls`, `status_calls`, `heartbeat_calls`
+                        handlers of the HTTP API
+    `store_sweep`, `registry_snapshot`
+                        integrity and contents of the store
+    `shutdown`          the end of the process
 """
 
 import asyncio
@@ -51,30 +56,30 @@
     from hypercorn.config import Config
 
 TICK_INTERVAL_S = 0.05
-STORE_SHARE = 0.6  # of the disk space that the process may use
+STORE_SHARE = 0.6  # of the process's disk space limit
 DEFAULT_GRACE_S = 6.0
 RANDOM_BITS = 40  # of incarnations and call numbers
-# At the end, for calls in flight: a call's time-out, and what reading a large body takes before it.
+# Time for calls in flight at shutdown: the time-out of a call, plus reading a large body before it.
 MAX_HTTP_GRACEFUL_S = 2.0
-HTTP_GRACEFUL_SHARE = 1 / 3  # of the grace, where that is short
+HTTP_GRACEFUL_SHARE = 1 / 3  # of the grace period, where that is short
 HTTP_KEEP_ALIVE_TIMEOUT_S = 30.0
 HTTP_MAX_HEADER_BYTES = 64 << 10
 
 
 def open_store(settings: NodeSettings) -> Store:
-    """The store in the settings' data directory, opened."""
+    """Open the store in the data directory that the settings name."""
     return Store(settings.data_dir or "", round(settings.disk_mb * STORE_SHARE) << 20)
 
 
 class Controller:
-    """One controller.
+    """One controller process.
 
     Attributes:
         replica: The state machine of the replica set.
-        registry: The instances.
-        rollouts: Decides on rollouts while this member orders writes.
+        registry: The registry of instances.
+        rollouts: Advances rollouts while this member is the head, which orders writes.
         shutdown: Ends the process.
-        invariants: Counts what should have held and did not.
+        invariants: Counts violated invariants.
     """
 
     def __init__(
@@ -84,20 +89,20 @@
         clock: Clock = system_clock,
         store: Store | None = None,
     ) -> None:
-        """Opens the store and wires the parts.
+        """Open the store and wire the parts.
 
         Args:
-            settings: Of this process.
-            rng: For incarnations, jitter and samples.
-            clock: In microseconds; it never goes back.
-            store: Where to keep records; None: in the settings' data directory.
+            settings: Settings of this process.
+            rng: Random numbers for incarnations, jitter and samples.
+            clock: Returns microseconds; never goes back.
+            store: The store for records; None opens one in the settings' data directory.
         """
         self.settings, self.clock = settings, clock
         self.invariants = Invariants()
         self.store = open_store(settings) if store is None else store
         stored = self.store.load()
         instances = decode_snapshot(stored.pop(INSTANCES_KEY, b"[]"))
-        if self.store.lost:  # a disk that cannot be believed counts as lost, and as no new system's
+        if self.store.lost:  # a damaged disk counts as lost, and must not count as a cold start
             events.event("disk_lost", reason=self.store.lost)
         seeds = [seed.rpartition(":")[0] for seed in settings.seeds]
         self.replica = self._make_replica(seeds, stored, rng)
@@ -116,7 +121,7 @@
         self.peers = self._make_peers()
         self.status_log = StatusLog(self.replica)
 
-    # The parts; those that draw from `rng` are made in a fixed order
+    # Parts. Those that draw from `rng` are created in a fixed order, for reproducible simulations.
 
     def _make_replica(
         self, seeds: list[str], stored: dict[str, bytes], rng: random.Random
@@ -170,7 +175,7 @@
         )
 
     def make_api(self) -> HttpApi:
-        """The HTTP API, for instances and operators."""
+        """Return the HTTP API for instances and operators."""
         return HttpApi(
             ConfigurationCalls(self.host, self.invariants),
             HeartbeatCalls(
@@ -196,7 +201,7 @@
     def _call_unanswered(self, method: str, path: str) -> None:
         self.invariants.violated(Invariant.CALL_ANSWERED, method=method, path=path)
 
-    # What the parts tell each other
+    # Callbacks between the parts
 
     def _receive(self, connection: PeerConnection, message: Message) -> None:
         self.peers.receive(connection, message)
@@ -218,11 +223,11 @@
                 )
 
     def _store_lost(self) -> None:
-        """The process is started again, finds that its disk counts as lost, and is filled anew."""
+        """End the process: after its restart the disk counts as lost and the peers refill it."""
         self.shutdown.request()
 
     def metrics(self) -> list[Metric]:
-        """This controller's own figures."""
+        """Return the metrics of this controller."""
         status, store = self.replica.status(), self.store
         return [
             Metric("connected", self.replica.connected),
@@ -242,16 +247,16 @@
             *labelled("invariant_violations_total", "invariant", self.invariants.counts()),
         ]
 
-    # Clocks
+    # Ticks
 
     async def run(self) -> None:
-        """Ticks every TICK_INTERVAL_S, until cancelled."""
+        """Call `tick` every TICK_INTERVAL_S until cancelled."""
         while True:
             self.tick(self.clock())
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def tick(self, now: int) -> None:
-        """Does what is due."""
+        """Run the periodic work of all parts that is due."""
         self.host.carry_out(self.replica.tick(now))
         self.subscriber.members = self.replica.replica_set.members
         self._tick_rollouts(now)
@@ -264,7 +269,7 @@
         self.status_log.tick()
 
     def _tick_rollouts(self, now: int) -> None:
-        """Writes the stages that are due; only the head decides on them."""
+        """Write rollout stages that are due; only the head decides on them."""
         if not self.host.leads():
             return
         for service, record in self.rollouts.tick(now):
@@ -275,19 +280,22 @@
             )
 
     def _tick_subscriber(self, now: int) -> None:
-        """Pulls what the other members know of instances."""
+        """Pull instance records from the other members."""
         self.subscriber.forget_departed(now)
         member_names = self.replica.member_names
-        known = {*self.subscriber.sources, self.replica.name}
-        if self.replica.is_member and known != set(member_names):
+        sources = {*self.subscriber.sources, self.replica.name}
+        if self.replica.is_member and sources != set(member_names):
             self.subscriber.set_members(member_names)
         for name in self.subscriber.due_pulls(now):
             self.transport.send(name, self.subscriber.make_pull(now, name))
 
-    # The process
+    # Process
 
     async def serve(self) -> None:
-        """Serves until the process is told to end. A broken invariant is raised."""
+        """Serve until the process is asked to end.
+
+        An error in a tick, such as a broken invariant, is raised.
+        """
         from hypercorn.asyncio import serve
 
         loop = asyncio.get_running_loop()
@@ -301,18 +309,18 @@
             await serve_metrics(self.settings.ip, self.metrics)
             gc.collect()
             gc.freeze()
-            ticking = loop.create_task(self.run())
-            ticking.add_done_callback(lambda _: self.shutdown.request())
+            tick_task = loop.create_task(self.run())
+            tick_task.add_done_callback(lambda _: self.shutdown.request())
             try:
                 await serve(
                     self.make_api(),
                     _http_config(self.settings),
                     shutdown_trigger=self.shutdown.requested.wait,
                 )
-                if ticking.done():  # only by an error, which ends the process with status 1
-                    ticking.result()
+                if tick_task.done():  # only after an error: exit with status 1
+                    tick_task.result()
             finally:
-                ticking.cancel()
+                tick_task.cancel()
             events.event("stopped")
 
 
@@ -331,5 +339,5 @@
 
 
 async def serve(settings: NodeSettings, path: str = "") -> None:
-    """Runs a controller until it is told to end. Its settings are not read again."""
+    """Run a controller until it is asked to end. Its settings are not reloaded."""
     await Controller(settings, random.Random()).serve()
--- a/umbermoor/gateway/server/controller_link.py
+++ b/umbermoor/gateway/server/controller_link.py
@@ -1,8 +1,8 @@
-"""A proxy's link to the controllers: pulls their updates and puts them in force, sends reports.
+"""A proxy's link to the controllers: pulls and applies their updates, and sends reports.
 
-Updates bring instances, rollouts, other proxies, and that there is a newer configuration, whose
-body is then requested. Messages are best effort and may be from a stranger: each is validated here
-or where it is taken over.
+Updates carry instances, rollouts, other proxies and the newest configuration revision; the body of
+a newer configuration is then requested. Messages are best effort and may come from untrusted peers,
+so each one is validated here or where it is applied.
 """
 
 import json
@@ -23,22 +23,22 @@
 from umbermoor.gateway.server.request_handler import RequestHandler
 from umbermoor.gateway.units import SECOND
 
-# Between two ticks longer than this, the process was frozen or starved.
+# A longer gap between two ticks means that the process was suspended or starved of CPU.
 MAX_TICK_GAP_US = SECOND // 2
 
 
 def controller_addresses(settings: NodeSettings) -> list[str]:
-    """The IP addresses of the seeds."""
+    """Return the IP addresses of the seeds."""
     return [seed.rpartition(":")[0] for seed in settings.seeds]
 
 
 class ControllerLink:
-    """Takes over what the controllers tell.
+    """Applies the updates of the controllers to the parts of a proxy.
 
     Attributes:
-        subscriber: What was heard, and whom to ask next.
-        peers: The transport of messages to and from controllers.
-        configuration_text: The configuration in force, as the operator sent it; "" before any.
+        subscriber: Tracks the updates received and which controller to ask next.
+        peers: The message transport to and from controllers.
+        configuration_text: The active configuration as the operator uploaded it; "" if none.
     """
 
     def __init__(
@@ -65,24 +65,24 @@
         self._requests = requests
         self._pool = pool
         self._clients = clients
-        self._logged_stages: dict[str, tuple[Any, ...]] = {}  # of rollouts, by register key
+        self._logged_stages: dict[str, tuple[Any, ...]] = {}  # last logged stage by register key
         self._started_at = self._ticked_at = started_at
 
     def tick(self, now: int) -> None:
-        """Sends the pulls that are due, and reports of rollouts."""
-        self._notice_pause(now)
+        """Send pulls that are due and reports on rollouts."""
+        self._detect_pause(now)
         for address in self.subscriber.due_pulls(now):
             self.peers.send(address, self.subscriber.make_pull(now, address))
         if self.subscriber.head and (reports := self._rollouts.reports(now)):
             self.peers.send(self.subscriber.head, {"kind": "reports", "reports": reports})
 
     def forget_instances(self, now: int) -> None:
-        """Drops instances that no controller has known for long."""
+        """Remove instances that no controller has listed for a long time."""
         for instance_id in self.subscriber.forget_departed(now):
             self._instances.forget(instance_id)
 
     def is_current(self) -> bool:
-        """Whether what is in force is as new as a quorum of controllers knew after the start."""
+        """Whether the applied state is as new as what a quorum reported since the start."""
         return (
             self._requests.routes is not None
             and self.subscriber.newest_revision <= self.subscriber.revision
@@ -90,44 +90,47 @@
         )
 
     def apply_settings(self, settings: NodeSettings) -> None:
-        """Takes over what the settings file says now."""
+        """Add the seeds of a reloaded settings file."""
         for address in controller_addresses(settings):
             self.subscriber.add_seed(address)
 
-    def _notice_pause(self, now: int) -> None:
-        """Finds out that this process stood still: messages may come before the next tick."""
+    def _detect_pause(self, now: int) -> None:
+        """Mark the subscriber as stalled if this process did not run for a while.
+
+        Also called for each update, as messages may be handled before the next tick.
+        """
         if now - self._ticked_at > MAX_TICK_GAP_US:
             self.subscriber.mark_stalled()
         self._ticked_at = now
 
     def disconnected(self, connection: PeerConnection) -> None:
-        """A connection to a peer is gone."""
+        """Record that the connection to a peer was lost."""
         if connection.peer in self.subscriber.sources:
             self.subscriber.pull_failed(self._requests.now(), connection.peer)
 
     def receive(self, connection: PeerConnection, message: dict[str, Any]) -> None:
-        """A message came."""
+        """Dispatch a message from a peer by its kind."""
         kind = message.get("kind")
         if kind == "news":
-            self._take_update(self._requests.now(), connection.peer or "", message)
+            self._apply_update(self._requests.now(), connection.peer or "", message)
         elif kind == "body" and connection.peer in self.subscriber.sources:
             self.take_configuration(message)
 
-    def _take_update(self, now: int, controller: str, message: dict[str, Any]) -> None:
-        self._notice_pause(now)
+    def _apply_update(self, now: int, controller: str, message: dict[str, Any]) -> None:
+        self._detect_pause(now)
         update = self.subscriber.receive_update(now, controller, message)
         if update is None:
             return
         for instance in self._instances.update(now, update.instances):
             self._pool.close_idle(instance)
-        self._take_rollouts(now, update)
-        self._list_instances(now, update)
+        self._apply_rollouts(now, update)
+        self._update_rollout_instances(now, update)
         proxies = [ip for ip in message.get("fronts", ()) if isinstance(ip, str)]
         self._detector.discovered(now, proxies)
         if update.wants_body:
             self.peers.send(controller, self.subscriber.make_pull(now, controller))
 
-    def _take_rollouts(self, now: int, update: Update) -> None:
+    def _apply_rollouts(self, now: int, update: Update) -> None:
         if update.confirmed:
             self._rollouts.confirm(now)
         for key, record in update.records.items():
@@ -141,43 +144,46 @@
                 state, target, number = stage
                 event("rollout_changed", service=service, state=state, target=target, stage=number)
 
-    def _list_instances(self, now: int, update: Update) -> None:
-        """Tells the rollouts of services whose instances changed."""
+    def _update_rollout_instances(self, now: int, update: Update) -> None:
+        """Pass changed instance lists of services to the rollout observer."""
         for service in self._instances.changed_services:
             if update.confirmed and ROLLOUT_KEY_PREFIX + service not in self.subscriber.records:
                 self._rollouts.apply_record(now, service, None)
-            judged = [
+            instances = [
                 (instance.id, instance.entry.revision, instance.listed_at)
                 for instance in self._instances.judged_by_rollout(service)
             ]
-            self._rollouts.update_instances(now, service, judged)
+            self._rollouts.update_instances(now, service, instances)
         self._instances.changed_services.clear()
 
     def take_configuration(self, message: dict[str, Any]) -> None:
-        """The body of a configuration: in force from now on, if it is newer than what is."""
+        """Apply a configuration body if it is newer than the active one."""
         text = message.get("text")
         if (delta := message.get("delta")) is not None:
-            if self._has_delta(delta):  # it came from another controller before
+            if self._is_applied(delta):  # received from another controller before
                 return
             text = self._apply_delta(delta)
             if text is None:
-                event("configuration_delta_invalid", reason="it does not come out")
+                event(
+                    "configuration_delta_invalid",
+                    reason="the delta does not apply to the active configuration",
+                )
                 self.subscriber.discard_base()
                 return
         try:
-            body = json.loads(text)  # type: ignore[arg-type]  # no text is a TypeError
+            body = json.loads(text)  # type: ignore[arg-type]  # None raises TypeError
             routes = self._requests.routes
             if routes is not None and int(body["revision"], 16) <= routes.revision:
                 return
             routes = RouteTable(body)
         except (KeyError, TypeError, ValueError) as error:
-            # A controller checked it: whoever sent this is none.
+            # Controllers validate configurations, so the sender is not a controller.
             event("configuration_invalid", reason=error)
             return
-        self._put_in_force(routes, text)
+        self._activate(routes, text)
 
-    def _has_delta(self, delta: Any) -> bool:
-        """Whether a delta leads to the configuration in force."""
+    def _is_applied(self, delta: Any) -> bool:
+        """Whether a delta results in the configuration that is already active."""
         try:
             digest, _, _ = delta
         except (TypeError, ValueError):
@@ -185,7 +191,7 @@
         return digest == self.subscriber.base_digest != ""
 
     def _apply_delta(self, delta: Any) -> str | None:
-        """The text that a delta makes of the one in force; None where it fits none."""
+        """Return the active configuration with a delta applied; None if the delta does not fit."""
         try:
             digest, base, changes = delta
             if base != self.subscriber.base_digest or not base:
@@ -194,7 +200,7 @@
         except (TypeError, ValueError):
             return None
 
-    def _put_in_force(self, routes: RouteTable, text: Any) -> None:
+    def _activate(self, routes: RouteTable, text: Any) -> None:
         self._requests.routes = routes
         self.configuration_text = text
         self.subscriber.configuration_applied(routes.revision, text_digest(text))
--- a/umbermoor/gateway/server/datagrams.py
+++ b/umbermoor/gateway/server/datagrams.py
@@ -1,9 +1,9 @@
-"""The failure detector's host: a UDP socket on the proxy's own address and port, and a clock.
+"""Runs the failure detector on a UDP socket, at the proxy's own address and port, and a clock.
 
 Usage, in a proxy:
 
     detector = FailureDetector(address, time.time_ns() // 1000, random.Random())
-    membership = await listen(detector, address, port, now)  # OSError where the port is taken
+    membership = await listen(detector, address, port, now)  # OSError if the port is in use
     ...
     detector.discovered(now(), addresses)
     detector.member_count()
@@ -21,13 +21,13 @@
 
 TICK_INTERVAL_SECONDS = 0.1
 MAX_DATAGRAMS_PER_TICK = 400
-"""Taken in between two ticks; the rest of a flood is dropped unread."""
+"""Datagrams accepted between two ticks; the rest of a flood is dropped unread."""
 MAX_SEND_BUFFER_BYTES = 64 << 10
-"""While more waits to be sent, datagrams are dropped."""
+"""Datagrams are dropped while more than this is waiting to be sent."""
 
 
 class MembershipEndpoint(asyncio.DatagramProtocol):
-    """Carries datagrams to and from a failure detector, and calls its clock.
+    """Carries datagrams to and from a failure detector and runs its ticks.
 
     Args:
         detector: the failure detector.
@@ -43,12 +43,12 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open: the ticks begin."""
+        """Start the ticks: the socket is open."""
         self.transport = cast(asyncio.DatagramTransport, transport)
         self._tick()
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Passes a datagram on, unless it comes from another port or in a flood."""
+        """Pass on a datagram, unless its source port is wrong or too many have arrived."""
         source, port = addr
         if self._received_since_tick >= MAX_DATAGRAMS_PER_TICK or port != self.port:
             self.dropped += 1
@@ -57,7 +57,7 @@
         self._send(self.detector.receive(self.now(), source, data))
 
     def error_received(self, exc: Exception) -> None:
-        """A peer cannot be reached: nothing to do, the detector finds out by itself."""
+        """Ignore that a peer is unreachable: the failure detector notices by itself."""
 
     def _tick(self) -> None:
         self._received_since_tick = 0
@@ -68,17 +68,17 @@
         for address, data in datagrams:
             if self.transport is None:
                 return
-            # typeshed leaves this method of asyncio's datagram transports out
+            # typeshed lacks this method of asyncio's datagram transports.
             waiting = self.transport.get_write_buffer_size()  # type: ignore[attr-defined]
             if waiting < MAX_SEND_BUFFER_BYTES:
                 self.transport.sendto(data, (address, self.port))
 
     def leave(self) -> None:
-        """Tells the others that this proxy ends; ticks go on until `close`."""
+        """Announce to the other proxies that this one leaves; ticks continue until `close`."""
         self._send(self.detector.leave(self.now()))
 
     def close(self) -> None:
-        """Stops the ticks and closes the socket."""
+        """Stop the ticks and close the socket."""
         if self._timer is not None:
             self._timer.cancel()
         if self.transport is not None:
@@ -89,7 +89,7 @@
 async def listen(
     detector: FailureDetector, address: str, port: int, now: Callable[[], int]
 ) -> MembershipEndpoint:
-    """Opens the UDP socket (address, port) for the detector and starts its clock.
+    """Open the UDP socket (address, port) for the detector and start its ticks.
 
     Raises:
         OSError: the socket cannot be bound.
--- a/umbermoor/gateway/server/drain.py
+++ b/umbermoor/gateway/server/drain.py
@@ -1,13 +1,14 @@
-"""A proxy's end after SIGTERM, by the clock: what it still accepts, and until when. No I/O.
+"""The schedule of a proxy's drain after SIGTERM: what it still accepts, and until when. No I/O.
 
     SERVING      before SIGTERM
-    LAME_DUCK    not ready; connections still come, as the platform notices only after two checks
-    FINISHING    no connection is accepted and no request is begun; those under way are finished
-    ENDED        every request has its answer
+    LAME_DUCK    reports not ready; new connections still arrive, as the platform notices only
+                 after two readiness checks
+    FINISHING    accepts no connections and starts no requests; finishes those in progress
+    ENDED        every request has been answered
 
-The invariant is that work has an end before its holder has: a request is begun only while enough of
-the grace is left, and its deadline lies before the end of the process. Both follow from the time
-of SIGTERM alone, and not from a moment at which nothing is under way, which may never come.
+The invariant is that all work ends before the process does: a request is started only while enough
+of the grace period is left, and its deadline lies before the end of the process. Both depend only
+on the time of SIGTERM, and not on a moment without requests in progress, which may never occur.
 
 Lame duck: Site Reliability Engineering (Beyer and others, 2016), chapter 20.
 """
@@ -17,16 +18,16 @@
 
 from umbermoor.gateway.units import SECOND
 
-# The platform asks once a second, and takes a proxy out after two answers that it is not ready.
+# The platform checks readiness once a second and removes a proxy after two checks that fail.
 LAME_DUCK_S = 2.6
-LAME_DUCK_MAX_SHARE = 0.45  # of the grace, where that is short
-# Of the grace, left for what comes after the last answer: writing it, and the end of the process.
+LAME_DUCK_MAX_SHARE = 0.45  # of the grace period, where that is short
+# Part of the grace period reserved for writing the last responses and ending the process.
 END_RESERVE_S = 0.7
-CLOSING_S = 0.3  # of that, until clients have read their last answer and closed
+CLOSING_S = 0.3  # part of END_RESERVE_S in which clients read the last response and close
 
 
 class DrainPhase(Enum):
-    """How far the end of the proxy is."""
+    """The phases of a proxy's drain."""
 
     SERVING = "serving"
     LAME_DUCK = "lame_duck"
@@ -35,23 +36,23 @@
 
 
 class Drain:
-    """When a proxy stops to accept, to begin and to finish requests.
+    """Decides by the clock when a proxy stops accepting, starting and finishing requests.
 
     Attributes:
-        began_at: When SIGTERM came, in seconds of the clock; None before.
+        began_at: Time of SIGTERM, in seconds of the clock; None before.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """`clock`: seconds of a steady clock."""
+        """Create a drain that has not begun; `clock` returns seconds of a monotonic clock."""
         self._clock = clock
         self._grace_s = 0.0
         self.began_at: float | None = None
 
     def begin(self, grace_s: float) -> int:
-        """SIGTERM came; the platform kills the process `grace_s` seconds later.
+        """Begin the drain at SIGTERM; the platform kills the process `grace_s` seconds later.
 
         Returns:
-            By when every request must be answered, in microseconds of the clock.
+            The deadline for the responses to all requests, in microseconds of the clock.
         """
         if self.began_at is None:
             self.began_at = self._clock()
@@ -60,7 +61,7 @@
 
     @property
     def began(self) -> bool:
-        """Whether SIGTERM came."""
+        """Whether SIGTERM was received."""
         return self.began_at is not None
 
     @property
@@ -70,17 +71,17 @@
 
     @property
     def lame_duck_s(self) -> float:
-        """How long after SIGTERM requests are still begun."""
+        """Seconds after SIGTERM during which requests are still started."""
         return min(LAME_DUCK_S, LAME_DUCK_MAX_SHARE * self._grace_s)
 
     @property
     def finish_s(self) -> float:
-        """How long after SIGTERM every request must have its answer."""
+        """Seconds after SIGTERM by which every request must be answered."""
         return max(self.lame_duck_s, self._grace_s - END_RESERVE_S)
 
     @property
     def phase(self) -> DrainPhase:
-        """The phase now."""
+        """The current phase."""
         if self.began_at is None:
             return DrainPhase.SERVING
         elapsed_s = self.elapsed_s
@@ -88,6 +89,6 @@
             return DrainPhase.LAME_DUCK
         return DrainPhase.FINISHING if elapsed_s < self.finish_s else DrainPhase.ENDED
 
-    def begins_requests(self) -> bool:
-        """Whether a request that is read now may be begun."""
+    def may_start_requests(self) -> bool:
+        """Whether a request that is read now may be started."""
         return self.phase in (DrainPhase.SERVING, DrainPhase.LAME_DUCK)
--- a/umbermoor/gateway/server/heartbeat_calls.py
+++ b/umbermoor/gateway/server/heartbeat_calls.py
@@ -1,4 +1,4 @@
-"""The instances' calls: /Plants.Heartbeat and /Plants.Leave."""
+"""The API for instances: /Plants.Heartbeat and /Plants.Leave."""
 
 from collections.abc import Awaitable, Callable
 
@@ -14,10 +14,11 @@
 
 
 class HeartbeatCalls:
-    """Handlers of the instances' calls.
+    """HTTP handlers for heartbeats and departures of instances.
 
-    A first heartbeat, one that drains and a leave are answered once a majority of the controllers
-    holds them; other heartbeats at once, since the next one repeats them.
+    The first heartbeat of an instance, a heartbeat that reports draining and a leave are answered
+    once a majority of the controllers stores them. Other heartbeats are answered at once, since the
+    next one repeats them.
     """
 
     def __init__(
@@ -28,15 +29,22 @@
         replicate: Callable[[InstanceRecord], Awaitable[bool]],
         publish_soon: Callable[[], None],
     ) -> None:
-        """`is_connected`, `replicate` and `publish_soon`: of the replica host, the instance
-        replication and the update publisher."""
+        """Create the handlers.
+
+        Args:
+            registry: The registry of instances.
+            clock: Returns microseconds.
+            is_connected: Whether this controller is in contact with a majority.
+            replicate: Stores a record at a majority of the controllers.
+            publish_soon: Schedules an update to the proxies.
+        """
         self._registry, self._clock = registry, clock
         self._is_connected, self._replicate = is_connected, replicate
         self._publish_soon = publish_soon
 
     @api_call("POST", "/Plants.Heartbeat/")
     async def heartbeat(self, request: ApiRequest) -> ApiResponse:
-        """Notes that an instance is there, and how it is."""
+        """Record the heartbeat of an instance."""
         try:
             body = request.json()
         except (ValueError, RecursionError):
@@ -57,7 +65,7 @@
 
     @api_call("POST", "/Plants.Leave/")
     async def leave(self, request: ApiRequest) -> ApiResponse:
-        """Notes that an instance is gone, in this incarnation for good."""
+        """Record that this incarnation of an instance has left for good."""
         record = self._registry.mark_gone(self._clock(), request.name)
         self._publish_soon()
         if self._is_connected() and await self._replicate(record):
--- a/umbermoor/gateway/server/http_endpoint.py
+++ b/umbermoor/gateway/server/http_endpoint.py
@@ -1,4 +1,4 @@
-"""Small addresses of a process for the platform and operators: readiness and metrics, by GET."""
+"""Small HTTP servers for the platform and operators: readiness and metrics."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -8,13 +8,13 @@
 from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import write_response
 
-BUFFER_BYTES = 8 << 20  # an eighth of it for what is partly read
+BUFFER_BYTES = 8 << 20  # an eighth of it is for partly read requests
 MAX_CONNECTIONS = 64
 NOT_FOUND = 404
 
 
 class Page(NamedTuple):
-    """What a path answers."""
+    """The response for a path."""
 
     status: int
     body: bytes = b""
@@ -24,12 +24,12 @@
 
 
 class Endpoint:
-    """One address. It bounds its own connections: those of one address take none of another's.
+    """One listening address. Its connection limit is independent of other endpoints.
 
     Attributes:
-        pages: By path; 404 for anything else.
+        pages: Functions that return the page for a path; other paths are answered with 404.
         buffers: The memory that partly read requests share.
-        connections: Those that are open.
+        connections: The open connections.
     """
 
     def __init__(self, pages: Pages) -> None:
@@ -38,13 +38,13 @@
         self.connections: set[EndpointConnection] = set()
 
     async def listen(self, host: str, port: int) -> asyncio.Server:
-        """Serves it; raises OSError where the port is taken."""
+        """Start serving; raises OSError if the port is in use."""
         loop = asyncio.get_running_loop()
         return await loop.create_server(lambda: EndpointConnection(self), host, port)
 
 
 def readiness(is_ready: Callable[[], bool]) -> Callable[[], Page]:
-    """The page that says by its status whether clients may come."""
+    """Return a page whose status tells whether the process accepts clients."""
     return lambda: Page(200 if is_ready() else 503)
 
 
@@ -55,20 +55,20 @@
 
     def __init__(self, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
-        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until it is made
+        self.transport: asyncio.Transport = None  # type: ignore[assignment]  # until connected
         self.reader = Reader(endpoint.buffers)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins, where there are not too many."""
+        """Register the connection, or abort it if there are too many."""
         self.transport = cast(asyncio.Transport, transport)
         if len(self.endpoint.connections) >= MAX_CONNECTIONS:
             self.transport.abort()
         self.endpoint.connections.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Answers what is asked."""
-        found: list[Request | Fault] = self.reader.feed(data)  # type: ignore[assignment]
-        for message in found:
+        """Answer the requests in the received data."""
+        messages: list[Request | Fault] = self.reader.feed(data)  # type: ignore[assignment]
+        for message in messages:
             if isinstance(message, Fault):
                 self.transport.write(write_response(message.status, keep_alive=False))
                 self.transport.close()
@@ -82,6 +82,6 @@
                 self.transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Ends."""
+        """Unregister the connection and release its buffers."""
         self.endpoint.connections.discard(self)
         self.reader.drop()
--- a/umbermoor/gateway/server/http_messages.py
+++ b/umbermoor/gateway/server/http_messages.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 messages as a proxy writes them: requests to instances, responses to clients.
+"""Serializes HTTP/1.1 messages of a proxy: requests to instances and responses to clients.
 
-Headers that belong to one connection are left behind (RFC 9110, section 7.6.1).
+Hop-by-hop headers are removed (RFC 9110, section 7.6.1).
 """
 
 from umbermoor.http1.reader import Request
@@ -20,9 +20,9 @@
         "content-length",
     )
 )
-# The proxy tells an instance its own.
+# The proxy sends its own values of these two headers to instances.
 NOT_FORWARDED_HEADERS = HOP_BY_HOP_HEADERS | {"x-time-remaining", "x-target-instance"}
-# A client's `Connection` cannot name these away.
+# Forwarded even if the client's `Connection` header names them.
 ALWAYS_FORWARDED_HEADERS = frozenset(("x-attempt-id", "host", "close", "keep-alive"))
 METHODS_WITHOUT_BODY = ("GET", "HEAD", "DELETE", "OPTIONS")
 STATUSES_WITHOUT_BODY = (204, 304)
@@ -31,14 +31,14 @@
 def response_bytes(
     status: int, body: bytes, headers: dict[str, str], keep_alive_s: int, bodiless: bool = False
 ) -> bytes:
-    """A response to a client.
+    """Return a serialized response to a client.
 
     Args:
-        status: Its status.
-        body: Its body.
-        headers: Its headers, names in lower case; those of a connection are left out.
-        keep_alive_s: For how many seconds the connection may stay idle; 0 closes it.
-        bodiless: Whether it is the response to a HEAD.
+        status: Status code.
+        body: Response body.
+        headers: Headers with lower-case names; hop-by-hop headers are left out.
+        keep_alive_s: Announced idle time of the connection in seconds; 0 closes it.
+        bodiless: Whether this is the response to a HEAD request.
     """
     lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, '')}"]
     lines += [
@@ -53,13 +53,15 @@
 
 
 def request_bytes(request: Request, instance_id: str, time_left_ms: int) -> bytes:
-    """A client's request as an instance gets it."""
-    left_out = NOT_FORWARDED_HEADERS
-    if named := request.headers.get("connection"):
-        names = {name.strip().lower() for name in named.split(",")}
-        left_out = left_out.union(names - ALWAYS_FORWARDED_HEADERS)
+    """Return a client's request serialized for an instance."""
+    dropped_headers = NOT_FORWARDED_HEADERS
+    if connection_header := request.headers.get("connection"):
+        names = {name.strip().lower() for name in connection_header.split(",")}
+        dropped_headers = dropped_headers.union(names - ALWAYS_FORWARDED_HEADERS)
     lines = [f"{request.method} {request.target} HTTP/1.1"]
-    lines += [f"{name}: {value}" for name, value in request.headers.items() if name not in left_out]
+    lines += [
+        f"{name}: {value}" for name, value in request.headers.items() if name not in dropped_headers
+    ]
     lines.append(f"x-time-remaining: {time_left_ms}")
     lines.append(f"x-target-instance: {instance_id}")
     if request.body or request.method not in METHODS_WITHOUT_BODY:
--- a/umbermoor/gateway/server/instance_replication.py
+++ b/umbermoor/gateway/server/instance_replication.py
@@ -1,8 +1,8 @@
-"""Has what an instance said once, and will not repeat, held by a majority of the controllers.
+"""Replicates instance records that are not repeated to a majority of the controllers.
 
-Heartbeats are repeated, so losing one does no harm. That an instance appears, drains or leaves must
-reach every proxy: the call is answered only when a majority of the members holds the record, since
-every proxy reads from a majority.
+Heartbeats are repeated, so losing one does no harm. But every proxy must learn that an instance
+appears, drains or leaves. Every proxy reads from a majority, so such a call is answered only once a
+majority of the members stores the record.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 
 class InstanceReplication:
-    """The records that wait for the acknowledgements of a majority."""
+    """Tracks records that wait for acknowledgements from a majority."""
 
     def __init__(self, host: ReplicaHost, transport: PeerTransport) -> None:
         self._host, self._transport = host, transport
@@ -28,7 +28,11 @@
         return self._host.replica
 
     async def replicate(self, record: InstanceRecord) -> bool:
-        """Whether a majority of the members holds the record, within ACKNOWLEDGE_TIMEOUT_S."""
+        """Send a record to the other members.
+
+        Returns:
+            Whether a majority of the members stores it within ACKNOWLEDGE_TIMEOUT_S.
+        """
         number = self._host.next_call_number()
         acknowledged = asyncio.Event()
         self._waiting[number] = {self._replica.name}, acknowledged
@@ -47,7 +51,7 @@
             del self._waiting[number]
 
     def acknowledge(self, sender: str, number: Any) -> None:
-        """A member holds the record of that number."""
+        """Record that a member stores the record with this number."""
         waiting = self._waiting.get(number) if isinstance(number, int) else None
         if waiting is None:
             return
--- a/umbermoor/gateway/server/membership_calls.py
+++ b/umbermoor/gateway/server/membership_calls.py
@@ -1,4 +1,4 @@
-"""The operator's calls on the replica set: /Members and /Members.Change."""
+"""The operator API for the replica set: /Members and /Members.Change."""
 
 from typing import NamedTuple
 
@@ -19,7 +19,7 @@
 
 
 class ChangeRequest(NamedTuple):
-    """A valid body of /Members.Change."""
+    """A valid request body of /Members.Change."""
 
     add: str  # the member to add; "" for none
     remove: str  # the member to remove; "" for none
@@ -27,7 +27,7 @@
 
     @classmethod
     def decode(cls, request: ApiRequest) -> "ChangeRequest | ApiResponse":
-        """The request in a call's body, or the answer that says what is wrong with it."""
+        """Return the decoded request, or an error response if its body is invalid."""
         try:
             body = request.json()
             add, remove = body.get("add", ""), body.get("remove", "")
@@ -50,14 +50,14 @@
 
 
 class MembershipCalls:
-    """Handlers of the calls on the replica set."""
+    """HTTP handlers for the replica set."""
 
     def __init__(self, host: ReplicaHost, tolerated_losses: int) -> None:
         self._host, self._tolerated_losses = host, tolerated_losses
 
     @api_call("GET", "/Members")
     async def read(self, request: ApiRequest) -> ApiResponse:
-        """Who is a member, who is in the chain, who could be made a member."""
+        """Return the members, the chain, and the learners that could become members."""
         replica, status = self._host.replica, self._host.replica.status()
         ready = replica.learners()
         return json_response(
@@ -75,25 +75,26 @@
 
     @api_call("POST", "/Members.Change")
     async def change(self, request: ApiRequest) -> ApiResponse:
-        """Adds a member, removes one, or replaces one by another; or says what that would leave."""
-        wanted = ChangeRequest.decode(request)
-        if isinstance(wanted, ApiResponse):
-            return wanted
+        """Add, remove or replace a member; a dry run only reports what the result would be."""
+        change_request = ChangeRequest.decode(request)
+        if isinstance(change_request, ApiResponse):
+            return change_request
         result = await self._host.call(
-            lambda now, number: self._host.replica.change(now, number, *wanted), CHANGE_TIMEOUT_S
+            lambda now, number: self._host.replica.change(now, number, *change_request),
+            CHANGE_TIMEOUT_S,
         )
-        outlook = result.value or {}
+        details = result.value or {}
         events.event(
             "replica_set_change_requested",
-            add=wanted.add or "none",
-            remove=wanted.remove or "none",
-            dry_run=wanted.dry_run,
+            add=change_request.add or "none",
+            remove=change_request.remove or "none",
+            dry_run=change_request.dry_run,
             status=result.status.value,
-            number=outlook.get("number", ""),
-            reason=outlook.get("why", ""),
+            number=details.get("number", ""),
+            reason=details.get("why", ""),
         )
         if result.status is Status.UNAVAILABLE:
             return RETRY_LATER
-        if outlook.get("why"):
-            outlook = {**outlook, "error": outlook["why"]}
-        return json_response(HTTP_STATUS[result.status], outlook)
+        if details.get("why"):
+            details = {**details, "error": details["why"]}
+        return json_response(HTTP_STATUS[result.status], details)
--- a/umbermoor/gateway/server/metrics.py
+++ b/umbermoor/gateway/server/metrics.py
@@ -1,6 +1,6 @@
-"""A process's own figures as text, in the exposition format of Prometheus (version 0.0.4).
+"""Metrics of a process, in the Prometheus text exposition format (version 0.0.4).
 
-They are read at `PORT` of the machine's address, path `/metrics`; `deploy/system.toml` names both.
+They are served on `PORT` at the path `PATH`; `deploy/system.toml` names both.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -15,12 +15,12 @@
 
 
 class Metric(NamedTuple):
-    """One figure.
+    """One sample of a metric.
 
     Attributes:
-        name: Without the prefix that all have.
-        value: The figure.
-        label: Its label's name and value, where there are several figures of one name.
+        name: Metric name without the common prefix.
+        value: The sample value.
+        label: Label name and value, for a metric with several samples.
     """
 
     name: str
@@ -29,12 +29,12 @@
 
 
 def labelled(name: str, label: str, counts: Mapping[str, float]) -> list[Metric]:
-    """A figure of one name for each value of a label."""
+    """Return one sample per label value of a metric."""
     return [Metric(name, count, (label, value)) for value, count in counts.items()]
 
 
 def exposition(metrics: Iterable[Metric]) -> bytes:
-    """The figures as text, a line each."""
+    """Return the metrics in the text format, one line per sample."""
     lines = []
     for metric in metrics:
         label = f'{{{metric.label[0]}="{metric.label[1]}"}}' if metric.label else ""
@@ -43,7 +43,7 @@
 
 
 async def serve_metrics(ip: str, collect: Callable[[], Iterable[Metric]]) -> None:
-    """Serves the figures; where the port is taken, that is logged and the process goes without."""
+    """Serve the metrics; if the port is in use, log that and continue without."""
     endpoint = Endpoint({PATH: lambda: Page(200, exposition(collect()))})
     try:
         await endpoint.listen(ip, PORT)
--- a/umbermoor/gateway/server/peer_messages.py
+++ b/umbermoor/gateway/server/peer_messages.py
@@ -1,7 +1,7 @@
-"""Messages of other processes to a controller, by kind: who may send what, and who takes it.
+"""Dispatches messages that a controller receives: who may send each kind, and what handles it.
 
-Anybody may open a connection. Members of the replica set are known by their address; what others
-send is validated where it is used, and dropped where it is malformed.
+Anyone may open a connection. Members of the replica set are recognized by their address; messages
+from other senders are validated where they are used, and dropped if they are malformed.
 """
 
 from collections.abc import Callable
@@ -29,7 +29,7 @@
 
 
 class PeerMessages:
-    """Hands each message to the part of the controller that it is for."""
+    """Passes each message to the part of the controller that handles its kind."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         }
 
     def receive(self, connection: PeerConnection, message: Message) -> None:
-        """Takes a message; one of no known kind, or of one that may not send it, is dropped."""
+        """Dispatch a message; drop it if its kind is unknown or its sender may not send it."""
         kind = message.get("kind")
         if not isinstance(kind, str):
             return
@@ -70,7 +70,7 @@
             handler(connection, message)
 
     def connection_lost(self, connection: PeerConnection) -> None:
-        """A connection to or from a peer closed, or could not be opened."""
+        """Clean up after a connection that closed or could not be opened."""
         self._host.channel.connection_lost(connection.peer)
         self._publisher.pulls.drop(connection)
         self._subscriber.pull_failed(self._clock(), connection.peer)
@@ -93,7 +93,10 @@
         self._sweep.compare(connection.peer, message)
 
     def _receive_reports(self, connection: PeerConnection, message: Message) -> None:
-        """A proxy's outcomes under rollouts; only a controller in touch with a majority counts."""
+        """Count attempt outcomes that a proxy reports for rollouts.
+
+        Ignored unless this controller is in contact with a majority.
+        """
         reports = message.get("reports")
         if not isinstance(reports, list) or not self._host.is_connected():
             return
@@ -108,6 +111,8 @@
 
     def _observe(self, records: list[InstanceRecord]) -> None:
         now = self._clock()
-        changed = [self._registry.observe(now, record) for record in records]  # each is to be taken
+        changed = [
+            self._registry.observe(now, record) for record in records
+        ]  # a list: any() must not stop early
         if any(changed):
             self._publisher.publish_soon()
--- a/umbermoor/gateway/server/peer_transport.py
+++ b/umbermoor/gateway/server/peer_transport.py
@@ -1,11 +1,12 @@
-"""Messages between processes of the system: frames of JSON over TCP, best effort.
+"""Best-effort messages between the processes of the system, as JSON frames over TCP.
 
-A frame is a length of four bytes, with its highest bit set where the body is compressed by zlib,
-and the body, a JSON table. Connections are opened when there is something to send, and are kept.
+A frame is a four-byte big-endian length, whose highest bit is set if the body is compressed with
+zlib, followed by the body, a JSON object. Connections are opened on the first message to a peer and
+are kept open.
 
-Anybody may connect. So the partly read bytes of all connections, the length of a frame and the
-number of connections are bounded; where there are too many, one on which nothing was said is
-dropped first.
+Anyone may connect. Therefore the buffered bytes of all connections, the length of a frame and the
+number of connections are bounded. When there are too many connections, one on which no frame has
+arrived is dropped.
 """
 
 import asyncio
@@ -17,12 +18,12 @@
 
 MAX_FRAME_BYTES = 8 << 20
 MAX_CONNECTIONS = 400
-MAX_BUFFERED_BYTES = 32 << 20  # partly read, of all connections
-MAX_WRITE_BACKLOG_BYTES = 4 << 20  # that wait for a peer that does not read
-MAX_WAITING_MESSAGES = 100  # for a connection that is being opened
+MAX_BUFFERED_BYTES = 32 << 20  # of partly read frames, over all connections
+MAX_WRITE_BACKLOG_BYTES = 4 << 20  # unsent, per connection, for a peer that does not read
+MAX_WAITING_MESSAGES = 100  # queued for a connection that is being opened
 CONNECT_TIMEOUT_S = 0.6
-TCP_CLOSE_WAIT = 8  # its state once the other side has ended (linux/tcp_states.h)
-TCP_USER_TIMEOUT_MS = 1500  # without an acknowledgement until a connection is broken
+TCP_CLOSE_WAIT = 8  # TCP state after a FIN was received (linux/tcp_states.h)
+TCP_USER_TIMEOUT_MS = 1500  # unacknowledged data breaks the connection after this time
 COMPRESS_FROM_BYTES = 4096
 COMPRESSION_LEVEL = 1
 COMPRESSED_FLAG = 1 << 31
@@ -32,7 +33,7 @@
 
 
 def encode_frame(message: Message) -> bytes:
-    """The frame of a message."""
+    """Return a message encoded as a frame."""
     body = json.dumps(message, separators=(",", ":")).encode()
     flag = 0
     if len(body) > COMPRESS_FROM_BYTES:
@@ -41,7 +42,7 @@
 
 
 def decode_body(body: bytes, compressed: bool) -> Message | None:
-    """The message in a frame's body; None where it is malformed or too large."""
+    """Return the message in a frame's body; None if it is malformed or too large."""
     try:
         if compressed:
             decompressor = zlib.decompressobj()
@@ -55,23 +56,23 @@
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection, whichever side opened it.
+    """One connection to a peer, opened by either side.
 
     Attributes:
         peer: The IP address of the other side.
-        spoke: Whether a whole frame came.
+        has_received: Whether a complete frame has been received.
     """
 
     def __init__(self, owner: "PeerTransport", peer: str | None) -> None:
-        """`peer`: None where the other side opened the connection."""
+        """Create a connection; `peer` is None if the other side opened it."""
         self._owner = owner
         self.peer = peer
         self.transport: asyncio.Transport | None = None
-        self.spoke = False
+        self.has_received = False
         self._buffer = bytearray()
 
     def connection_made(self, transport) -> None:
-        """Takes over an opened connection, unless there are too many."""
+        """Register an opened connection, or abort it if there are too many."""
         self.transport = transport
         tune_socket(transport)
         if self.peer is None:
@@ -80,7 +81,7 @@
                 transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Hands on the frames that are complete; a malformed one ends the connection."""
+        """Pass on complete frames; abort the connection on a malformed one."""
         self._buffer += data
         self._owner.buffered_bytes += len(data)
         if self._owner.buffered_bytes > MAX_BUFFERED_BYTES:
@@ -102,12 +103,14 @@
             if message is None:
                 self.transport.abort()
                 return
-            self.spoke = True
+            self.has_received = True
             self._owner.received(self, message)
 
     def send(self, frame: bytes) -> None:
-        """Sends a frame. To a peer that does not read, the connection is broken instead: what is
-        lost is sent again by whoever needs it."""
+        """Send a frame, or abort the connection if the peer has stopped reading.
+
+        Lost frames are repeated by the parts that need them.
+        """
         if self.transport is None or self.transport.is_closing():
             return
         if self.transport.get_write_buffer_size() > MAX_WRITE_BACKLOG_BYTES:
@@ -116,23 +119,23 @@
             self.transport.write(frame)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Gives back what was partly read, and reports the end."""
+        """Release the buffered bytes and report the end of the connection."""
         self._owner.buffered_bytes -= len(self._buffer)
         self._buffer = bytearray()
         self._owner.closed(self)
 
 
 def tune_socket(transport: asyncio.BaseTransport) -> None:
-    """Has small writes sent at once, and a peer that vanished noticed."""
+    """Disable Nagle's algorithm, and detect a vanished peer by TCP_USER_TIMEOUT."""
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
-def peer_has_ended(transport: asyncio.BaseTransport) -> bool:
-    """Whether the other side has ended its sending, also where nothing is read of the connection.
+def peer_has_sent_fin(transport: asyncio.BaseTransport) -> bool:
+    """Whether the peer has sent a FIN, even if this side is not reading from the connection.
 
-    False where the system does not tell (tcp(7), TCP_INFO).
+    False if the system does not provide this (tcp(7), TCP_INFO).
     """
     sock = transport.get_extra_info("socket")
     try:
@@ -142,13 +145,13 @@
 
 
 class PeerTransport:
-    """The connections to and from other processes, by IP address; all listen on the same port.
+    """Connections to and from other processes, by IP address.
 
     Attributes:
-        incoming: The connections that others opened.
-        outgoing: By address, the connection opened to it, or the frames that wait for one.
-        buffered_bytes: Partly read, of all connections.
-        ip, port: Where this process listens; the others listen on the same port.
+        incoming: Connections that peers opened.
+        outgoing: For each address, the connection to it, or frames queued until it is open.
+        buffered_bytes: Bytes of partly read frames, over all connections.
+        ip, port: The address on which this process listens; all peers listen on the same port.
     """
 
     def __init__(
@@ -158,30 +161,39 @@
         on_message: Callable[[PeerConnection, Message], None],
         on_lost: Callable[[PeerConnection], None] = lambda connection: None,
     ) -> None:
-        """`on_lost` is also called for a connection that could not be opened."""
+        """Create a transport that does not listen yet.
+
+        Args:
+            ip: The IP address of this process.
+            port: The port of this process and of all peers.
+            on_message: Called for each message received.
+            on_lost: Called for each lost connection, and for one that could not be opened.
+        """
         self.ip, self.port = ip, port
         self._on_message, self._on_lost = on_message, on_lost
         self.incoming: set[PeerConnection] = set()
         self.outgoing: dict[str, PeerConnection | list[bytes]] = {}
         self.buffered_bytes = 0
-        self._opening: set[asyncio.Task[None]] = set()
+        self._open_tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self) -> asyncio.Server:
-        """Accepts connections until the server that is returned is closed."""
+        """Accept connections until the returned server is closed."""
         return await asyncio.get_running_loop().create_server(
             lambda: PeerConnection(self, None), self.ip, self.port
         )
 
     def admit(self, connection: PeerConnection) -> bool:
-        """Whether there is room for a connection that another side opened."""
+        """Add a connection that a peer opened, if there is room; return whether it was added."""
         if len(self.incoming) >= MAX_CONNECTIONS and not self._evict():
             return False
         self.incoming.add(connection)
         return True
 
     def _evict(self) -> bool:
-        """Drops a connection on which nothing was said; whether there was one."""
-        silent = next((one for one in self.incoming if not one.spoke), None)
+        """Drop a connection on which no frame has arrived; return whether there was one."""
+        silent = next(
+            (connection for connection in self.incoming if not connection.has_received), None
+        )
         if silent is None:
             return False
         self.incoming.discard(silent)
@@ -189,18 +201,18 @@
         return True
 
     def received(self, connection: PeerConnection, message: Message) -> None:
-        """A connection read a message."""
+        """Pass on a message that a connection received."""
         self._on_message(connection, message)
 
     def closed(self, connection: PeerConnection) -> None:
-        """A connection ended."""
+        """Remove a closed connection and report it as lost."""
         self.incoming.discard(connection)
         if self.outgoing.get(connection.peer) is connection:
             del self.outgoing[connection.peer]
         self._on_lost(connection)
 
     def send(self, address: str, message: Message) -> None:
-        """Sends a message to the process at that address, over a connection opened where needed."""
+        """Send a message to the process at an address, opening a connection if needed."""
         frame = encode_frame(message)
         current = self.outgoing.get(address)
         if isinstance(current, PeerConnection):
@@ -210,14 +222,14 @@
                 current.append(frame)
         else:
             self.outgoing[address] = [frame]
-            opening = asyncio.get_running_loop().create_task(self._open(address))
-            self._opening.add(opening)
-            opening.add_done_callback(self._opened)
-
-    def _opened(self, opening: asyncio.Task[None]) -> None:
-        self._opening.discard(opening)
-        if not opening.cancelled() and (error := opening.exception()) is not None:
-            context = {"message": "opening a connection", "exception": error}
+            task = asyncio.get_running_loop().create_task(self._open(address))
+            self._open_tasks.add(task)
+            task.add_done_callback(self._opened)
+
+    def _opened(self, task: asyncio.Task[None]) -> None:
+        self._open_tasks.discard(task)
+        if not task.cancelled() and (error := task.exception()) is not None:
+            context = {"message": "cannot open a peer connection", "exception": error}
             asyncio.get_running_loop().call_exception_handler(context)
 
     async def _open(self, address: str) -> None:
@@ -233,7 +245,7 @@
             connection.send(frame)
 
     async def _connect(self, address: str) -> PeerConnection:
-        # Members know each other by address; on loopback all would call from the same one.
+        # Members are recognized by their source address; on loopback all would share 127.0.0.1.
         local_address = (self.ip, 0) if self.ip.startswith("127.") else None
         _, connection = await asyncio.get_running_loop().create_connection(
             lambda: PeerConnection(self, address), address, self.port, local_addr=local_address
--- a/umbermoor/gateway/server/pending_request.py
+++ b/umbermoor/gateway/server/pending_request.py
@@ -1,4 +1,4 @@
-"""A request of a client's connection whose response has not left."""
+"""A request of a client connection whose response has not been written yet."""
 
 from typing import TYPE_CHECKING
 
@@ -11,17 +11,17 @@
 
 
 class PendingRequest:
-    """A request of a connection whose response has not left.
+    """A request of a client connection whose response has not been written yet.
 
     Attributes:
-        request: The request; None where it was malformed.
-        response: Its response, once there is one.
-        started: Whether it was handed to the request handler.
-        active: Its state there, as long as it is worked at.
-        first_byte_at: When its first bytes came, in seconds of the clock of its connection.
-        read_at: When it was read whole.
-        ahead: How many requests of its connection had no response then.
-        left_at: When its client left, in seconds of that clock; None as long as it waits.
+        request: The request; None if it was malformed.
+        response: The response, once it is known.
+        started: Whether it was passed to the request handler or answered without it.
+        active: Its state in the request handler while it is in progress; otherwise None.
+        first_byte_at: Time of its first bytes, in seconds of the connection's clock.
+        read_at: Time when it was completely read.
+        ahead: Number of pending requests before it on its connection at that time.
+        left_at: Time when its client left, in seconds of that clock; None while it waits.
     """
 
     __slots__ = (
--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -1,15 +1,16 @@
-"""A proxy's process: it builds the parts, listens, drives them by its clock, and drains at its end.
+"""The proxy process: builds its parts, listens, runs their ticks, and drains before it ends.
 
-Who owns what:
+Responsibilities of the parts:
 
-    `ClientConnections`   connections of clients, and requests that wait for their turn there
-    `RequestHandler`      requests that are worked at; open this one first
+    `ClientConnections`   client connections and the requests queued on them
+    `RequestHandler`      requests in progress; read this one first
     `ConnectionPool`      connections to instances
-    `Instances`, `RolloutObserver` which instance and which version a request goes to
-    `RetryBudgets`        how many retries may be sent to each service
-    `ControllerLink`      what the controllers tell, and the configuration in force
-    `FailureDetector`     which other proxies run
-    `Proxy`               sockets that listen, the settings file, ticks, readiness, draining
+    `Instances`, `RolloutObserver`
+                          the instance and the version that a request goes to
+    `RetryBudgets`        limits on the retries to each service
+    `ControllerLink`      updates from the controllers, and the active configuration
+    `FailureDetector`     which other proxies are running
+    `Proxy`               listening sockets, the settings file, ticks, readiness, draining
 """
 
 import asyncio
@@ -42,65 +43,65 @@
 
 TICK_INTERVAL_S = 0.05
 SWEEP_INTERVAL_S = 1
-CLIENT_BACKLOG = 512  # connections that the kernel may hold until they are accepted
-# Ready without any instance known, where no update brought one in this time.
+CLIENT_BACKLOG = 512  # connections queued in the kernel until they are accepted
+# A proxy without any instance becomes ready after this time.
 NO_INSTANCES_GRACE_US = 3 * SECOND
 DRAIN_CHECK_S = 0.05
 DEFAULT_RETRY_RATIO = 0.2
 DEFAULT_RETRY_WINDOW_S = 10
 DEFAULT_RETRY_SLACK = 0.0
 DEFAULT_GRACE_S = 6.0  # from SIGTERM to the end of the process
-SLOW_READERS_MEMORY_SHIFT = 17  # MiB to bytes, and an eighth of them
+SLOW_READERS_MEMORY_SHIFT = 17  # an eighth of the memory limit: MiB to bytes is 20, minus 3
 
 READY_PATH = "/ready"
 NO_FILE = (0, 0)
 
 
 class Proxy:
-    """One proxy.
+    """One proxy process.
 
     Attributes:
-        settings: The start settings; margins and seeds are taken over when the file changes.
-        instances: Instances that requests may go to.
-        rollouts: This proxy's part in rollouts.
-        retry_budgets: How many retries may be sent.
-        requests: Carries requests.
-        clients: Connections of clients.
+        settings: The settings; only margins and seeds follow later changes of the file.
+        instances: Instances to which requests may be sent.
+        rollouts: Applies rollouts and reports on them.
+        retry_budgets: Limits on retries.
+        requests: Processes requests.
+        clients: Client connections.
         pool: Connections to instances.
         controllers: The link to the controllers.
-        detector: Finds out which other proxies run.
-        invariants: Counts what should have held and did not.
-        is_ready: Whether clients may come, until it drains.
+        detector: Detects which other proxies are running.
+        invariants: Counts violated invariants.
+        is_ready: Whether clients may connect; not reset by a drain.
     """
 
     def __init__(
         self,
         settings: NodeSettings,
-        chance: random.Random,
+        rng: random.Random,
         settings_path: str = "",
         pool: ConnectionPool | None = None,
         clock: Callable[[], float] | None = None,
     ) -> None:
-        """Builds the parts; `serve` runs them.
+        """Build the parts; `serve` runs them.
 
         Args:
-            settings: The start settings.
-            chance: Draws random numbers.
-            settings_path: Of their file, to be read again when it changes; "" never.
-            pool: Stands in for connections to instances, in a simulation.
-            clock: Seconds of a steady clock, the system's where none is given.
+            settings: The settings at the start.
+            rng: Random number generator.
+            settings_path: Path of the settings file, reloaded when it changes; "" for none.
+            pool: Replaces the connection pool in a simulation.
+            clock: Returns seconds of a monotonic clock; None for the system's clock.
         """
         self.settings = settings
         self.settings_path = settings_path
         self.clock = clock or time.monotonic
-        self.detector = FailureDetector(settings.ip, time.time_ns() // 1000, chance)
-        salt = chance.getrandbits(32)
+        self.detector = FailureDetector(settings.ip, time.time_ns() // 1000, rng)
+        salt = rng.getrandbits(32)
         self.buffers = Buffers(round(settings.memory_mb) << 20)
         self.instances = Instances(settings.zone)
         self.rollouts = RolloutObserver()
         self.retry_budgets = RetryBudgets(*_retry_bounds(settings))
         self.invariants = Invariants()
-        self.requests = self._make_request_handler(chance)
+        self.requests = self._make_request_handler(rng)
         self.pool = pool or ConnectionPool(self.buffers, self.clock, self.requests.may_send)
         self.requests.pool = self.pool
         self.clients = ClientConnections(self.buffers, self.clock, self.requests, self.invariants)
@@ -121,24 +122,24 @@
         self._swept_at = 0.0
         self._stop_requested = asyncio.Event()
 
-    def _make_request_handler(self, chance: random.Random) -> RequestHandler:
+    def _make_request_handler(self, rng: random.Random) -> RequestHandler:
         return RequestHandler(
             self.instances,
             self.rollouts,
             self.retry_budgets,
             self.invariants,
             self.clock,
-            chance,
+            rng,
         )
 
     def now(self) -> int:
-        """Microseconds of the steady clock."""
+        """Return the time of the monotonic clock, in microseconds."""
         return round(self.clock() * SECOND)
 
     # Running
 
     async def serve(self) -> None:
-        """Serves until SIGTERM; raises what a broken invariant raised."""
+        """Serve until SIGTERM and drain; raise the error if a tick fails."""
         loop = asyncio.get_running_loop()
         watch(loop)
         loop.add_signal_handler(signal.SIGTERM, self.drain)
@@ -148,37 +149,38 @@
             self.detector, self.settings.ip, self.settings.port_range[0], self.now
         )
         server = await self._listen()
-        # What is there by now stays: the collector need not look at it again.
+        # Objects created so far are permanent: exclude them from garbage collection.
         gc.collect()
         gc.freeze()
-        ticking = loop.create_task(self.run_ticks())
-        ending = loop.create_task(self._stop_requested.wait())
-        await asyncio.wait((ending, ticking), return_when=asyncio.FIRST_COMPLETED)
-        if ticking.done():
-            # A broken invariant: it ends with status 1, and is started again in a clean state.
-            ending.cancel()
-            ticking.result()
+        tick_task = loop.create_task(self.run_ticks())
+        stop_task = loop.create_task(self._stop_requested.wait())
+        await asyncio.wait((stop_task, tick_task), return_when=asyncio.FIRST_COMPLETED)
+        if tick_task.done():
+            # An error such as a broken invariant: the process exits with status 1 and is
+            # restarted in a clean state.
+            stop_task.cancel()
+            tick_task.result()
         detection.leave()
         await self._finish_requests(server)
-        ticking.cancel()
+        tick_task.cancel()
         detection.close()
         self.clients.report_unanswered()
         event("stopped", **self.requests.counts(), **self._audit_counts())
 
     async def _listen(self) -> asyncio.Server:
-        """Listens for the platform and for clients; returns the clients' server."""
+        """Listen for the platform and for clients; return the server for clients."""
         loop = asyncio.get_running_loop()
         host, port = self.settings.listen["ready"]
-        await Endpoint({READY_PATH: readiness(self._takes_clients)}).listen(host, port)
+        await Endpoint({READY_PATH: readiness(self._accepts_clients)}).listen(host, port)
         await serve_metrics(self.settings.ip, self.metrics)
         host, port = self.settings.listen["front"]
         return await loop.create_server(self.clients.accept, host, port, backlog=CLIENT_BACKLOG)
 
-    def _takes_clients(self) -> bool:
+    def _accepts_clients(self) -> bool:
         return self.is_ready and not self.clients.drain.began
 
     async def run_ticks(self) -> None:
-        """Drives the parts by the clock, for ever."""
+        """Run the periodic work of all parts until cancelled."""
         while True:
             now = self.now()
             self.controllers.tick(now)
@@ -191,12 +193,12 @@
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def metrics(self) -> list[Metric]:
-        """This proxy's own figures."""
+        """Return the metrics of this proxy."""
         requests, clients = self.requests, self.clients
         outcomes = {outcome.value: count for outcome, count in requests.outcome_counts.items()}
         statuses = {str(status): count for status, count in requests.status_counts.items()}
         return [
-            Metric("ready", self._takes_clients()),
+            Metric("ready", self._accepts_clients()),
             Metric("draining", clients.drain.began),
             Metric("client_connections", len(clients.connections)),
             Metric("requests_active", len(requests.active)),
@@ -209,18 +211,18 @@
         ]
 
     def _audit_counts(self) -> dict[str, float]:
-        """Requests that were begun late, that got no answer, and whose clients left."""
+        """Return counts of requests started late, never answered, or whose clients left."""
         return self.clients.audit.counts() | self.requests.departures.counts()
 
     def _check_ready(self, now: int) -> None:
-        known = bool(self.instances.by_id) or now - self.started_at > NO_INSTANCES_GRACE_US
+        has_instances = bool(self.instances.by_id) or now - self.started_at > NO_INSTANCES_GRACE_US
         routes = self.requests.routes
-        if routes is not None and known and self.controllers.is_current():
+        if routes is not None and has_instances and self.controllers.is_current():
             self.is_ready = True
             event("ready", instances=len(self.instances.by_id), revision=routes.revision_text)
 
     def _sweep(self, now: int) -> None:
-        """What is done once a second."""
+        """Run the work that is due once a second."""
         self.pool.sweep()
         self.controllers.forget_instances(now)
         if _file_version(self.settings_path) != self._settings_version:
@@ -231,13 +233,13 @@
         max_bytes = round(self.settings.memory_mb) << SLOW_READERS_MEMORY_SHIFT
         if aborted := abort_slow_readers(self.clients.connections, max_bytes):
             event("slow_readers_aborted", count=aborted)
-        if counts := self.requests.departures.news():
+        if counts := self.requests.departures.counts_if_changed():
             event("clients_left", **counts)
 
     def reload_settings(self) -> None:
-        """Takes over margins and seeds of a settings file that changed.
+        """Apply the margins and seeds of a changed settings file.
 
-        What is wrong with it is logged, and the settings before stay in force.
+        If the file is invalid, the error is logged and the previous settings stay in effect.
         """
         self._settings_version = _file_version(self.settings_path)
         settings = read_node_settings(self.settings_path)
@@ -252,20 +254,24 @@
     # Draining
 
     def drain(self) -> None:
-        """Ends: not ready from now on, and nothing new behind the requests that are under way."""
+        """Begin the drain.
+
+        The proxy is no longer ready, and connections with a request in progress accept no more.
+        """
         drain = self.clients.drain
         if drain.began:
             return
         event("draining", requests=len(self.requests.active))
         deadline = drain.begin(self.settings.margin("graceS", DEFAULT_GRACE_S))
-        self.clients.refuse_more()
+        self.clients.refuse_new_requests()
         self.requests.begin_drain(deadline)
         self._stop_requested.set()
 
     async def _finish_requests(self, server: asyncio.Server) -> None:
-        """Takes new connections until the platform has seen that it is not ready; then waits.
+        """Finish the requests of a drain.
 
-        Returns when every connection is closed, or the time for that is over.
+        New connections are accepted until the platform has noticed that the proxy is not ready.
+        Returns when every connection is closed or the time for the drain is over.
         """
         drain, clients = self.clients.drain, self.clients
         await asyncio.sleep(max(0.0, drain.lame_duck_s - drain.elapsed_s))
@@ -281,13 +287,13 @@
 
 
 def _retry_bounds(settings: NodeSettings) -> tuple[float, int]:
-    """Retries to requests, and the window in microseconds within which that holds."""
+    """Return the ratio of retries to requests, and its window in microseconds."""
     ratio = settings.margin("retryRatio", DEFAULT_RETRY_RATIO)
     return ratio, settings.margin_us("retryWindowS", DEFAULT_RETRY_WINDOW_S)
 
 
 def _file_version(path: str) -> tuple[int, int]:
-    """What tells one state of a file from another: time and size."""
+    """Return the modification time and size of a file, which change with its contents."""
     try:
         status = os.stat(path)
     except OSError:
@@ -296,5 +302,5 @@
 
 
 async def serve(settings: NodeSettings, path: str = "") -> None:
-    """Runs a proxy until SIGTERM."""
+    """Run a proxy until SIGTERM."""
     await Proxy(settings, random.Random(), path).serve()
--- a/umbermoor/gateway/server/replica_host.py
+++ b/umbermoor/gateway/server/replica_host.py
@@ -1,8 +1,8 @@
-"""Hosts the replica of a controller: carries out its effects and passes calls into it.
+"""Hosts the replica of a controller: carries out its effects and passes calls to it.
 
-The replica is a state machine without I/O. Its messages go through the peer transport, with long
-texts as deltas; its writes go to the store in a thread of their own, one after another; the results
-of its calls resolve the futures that callers wait on. Effects are carried out in their order.
+The replica is a state machine without I/O. Its messages are sent over the peer transport, with long
+texts as deltas. Its writes go to the store one after another, in a thread of their own. Results of
+its calls resolve the futures on which callers wait. Effects are carried out in order.
 """
 
 import asyncio
@@ -20,18 +20,18 @@
 from umbermoor.gateway.server.invariants import Invariant, Invariants
 from umbermoor.gateway.server.peer_transport import PeerTransport
 
-CALL_TIMEOUT_S = 0.9  # of a call to the replica set
+CALL_TIMEOUT_S = 0.9  # for a call to the replica set
 
-StartCall = Callable[[int, int], list[Effect]]  # from the time and the number of the call
+StartCall = Callable[[int, int], list[Effect]]  # takes the time and the call number
 
 
 class ReplicaHost:
-    """The replica, its store and its calls in flight.
+    """Runs a replica with its store, and tracks its calls in flight.
 
     Attributes:
         replica: The state machine.
-        store: Where it keeps its records.
-        disk: The thread in which the store is used.
+        store: The store for its records.
+        disk: Executor with the one thread that accesses the store.
         channel: Sends and receives the replica's messages with long texts as deltas.
     """
 
@@ -47,18 +47,19 @@
         on_store_lost: Callable[[], None],
         invariants: Invariants,
     ) -> None:
-        """Takes over the replica.
+        """Create the host of a replica.
 
         Args:
             replica: The state machine.
-            store: An open store; it is closed by its owner.
-            transport: To the other controllers.
-            clock: In microseconds.
-            last_call_number: Random, so that results for an earlier process's calls match none.
-            on_commit: Called when the committed version changed.
+            store: An open store, which its owner closes.
+            transport: Transport to the other controllers.
+            clock: Returns microseconds.
+            last_call_number: Random start value, so that results of calls of an earlier process
+                match no call of this one.
+            on_commit: Called when the committed version has changed.
             on_effects: Called after effects were carried out.
-            on_store_lost: Called once the store can no longer be written nor read.
-            invariants: Counts violations.
+            on_store_lost: Called when the store can neither be read nor written any more.
+            invariants: Counts violated invariants.
         """
         self.replica, self.store, self._transport, self._clock = replica, store, transport, clock
         self.disk = ThreadPoolExecutor(1)
@@ -74,28 +75,28 @@
         self._invariants = invariants
 
     def is_connected(self) -> bool:
-        """Whether a majority of the members proved contact within the lease."""
+        """Whether a majority of the members has confirmed contact within the lease."""
         return self.replica.connected_at(self._clock())
 
     def head(self) -> str:
-        """The member that orders writes, as far as it is known here; "" if none is."""
+        """Return the member that orders writes, as known here; "" if unknown."""
         return self.replica.head_name
 
     def leads(self) -> bool:
-        """Whether this member orders writes, and is in touch with a majority."""
+        """Whether this member orders writes and is in contact with a majority."""
         return self.head() == self.replica.name and self.replica.connected
 
     def calls_in_flight(self) -> int:
-        """Calls that wait for their result."""
+        """Return the number of calls that wait for their result."""
         return len(self._calls)
 
     def next_call_number(self) -> int:
-        """A number for a call whose result nobody waits for."""
+        """Return a new call number."""
         self._last_call_number += 1
         return self._last_call_number
 
     async def call(self, start: StartCall, timeout_s: float = CALL_TIMEOUT_S) -> CallResult:
-        """Passes a call to the replica and waits for its result; UNAVAILABLE after the time-out."""
+        """Pass a call to the replica and wait for its result; UNAVAILABLE after the time-out."""
         number = self.next_call_number()
         future = asyncio.get_running_loop().create_future()
         self._calls[number] = future
@@ -109,11 +110,11 @@
             self._calls.pop(number, None)
 
     def put(self, key: str, value: Any) -> None:
-        """Starts a write whose result nobody waits for."""
+        """Start a write without waiting for its result."""
         self.carry_out(self.replica.put(self._clock(), self.next_call_number(), key, value))
 
     def receive(self, sender: str, frame: dict[str, Any]) -> None:
-        """Takes a frame of a peer's delta channel, and the replica's message in it, if any."""
+        """Handle a delta channel frame, and pass the message in it, if any, to the replica."""
         accepted = self.replica.accepts_from(sender)
         message, answers = self.channel.receive(sender, accepted, frame)
         for answer in answers:
@@ -122,7 +123,7 @@
             self.carry_out(self.replica.receive(self._clock(), sender, message))
 
     def carry_out(self, effects: list[Effect]) -> None:
-        """Carries out what the replica returned, and tells the observers."""
+        """Carry out effects that the replica returned, and call the observers."""
         for effect in effects:
             if isinstance(effect, Send):
                 for frame in self.channel.send(effect.to, effect.message):
@@ -149,12 +150,14 @@
             future.set_result(result)
 
     def _write(self, write: Write) -> None:
-        if self._closed:  # a message came behind the end; nothing is told that is not written
+        if self._closed:  # a late message: drop the write, which is then never acknowledged
             return
-        writing = asyncio.get_running_loop().run_in_executor(
+        write_future = asyncio.get_running_loop().run_in_executor(
             self.disk, self.store.write, write.puts
         )
-        writing.add_done_callback(lambda written: self._write_ended(write.token, written.result()))
+        write_future.add_done_callback(
+            lambda written: self._write_ended(write.token, written.result())
+        )
 
     def _write_ended(self, token: int, synced: bool) -> None:
         if synced:
@@ -168,6 +171,6 @@
         self.carry_out(self.replica.write_failed(self._clock(), token))
 
     def close(self) -> None:
-        """Waits for the write in progress, and ends the disk's thread; later writes are dropped."""
+        """Wait for the write in progress and end the disk thread; later writes are dropped."""
         self._closed = True
         self.disk.shutdown()
--- a/umbermoor/gateway/server/rollout_calls.py
+++ b/umbermoor/gateway/server/rollout_calls.py
@@ -1,4 +1,4 @@
-"""The operator's calls on rollouts: /Rollouts.Begin and /Rollouts.Read."""
+"""The operator API for rollouts: /Rollouts.Begin and /Rollouts.Read."""
 
 from typing import Any, NamedTuple
 
@@ -17,7 +17,7 @@
 from umbermoor.gateway.server.call_results import (
     HTTP_STATUS,
     RETRY_LATER,
-    outcome_pairs,
+    outcome_fields,
     write_response,
 )
 from umbermoor.gateway.server.replica_host import ReplicaHost
@@ -27,16 +27,16 @@
 
 
 class BeginRequest(NamedTuple):
-    """A valid body of /Rollouts.Begin."""
+    """A valid request body of /Rollouts.Begin."""
 
     service: str
-    target: str  # the version to move to
+    target: str  # the version to roll out
     ramp_s: float
-    key: str  # tells this order from an earlier one of the same target
+    key: str  # distinguishes this order from an earlier one with the same target
 
     @classmethod
     def decode(cls, request: ApiRequest) -> "BeginRequest | ApiResponse":
-        """The request in a call's body, or the answer that says what is wrong with it."""
+        """Return the decoded request, or an error response if its body is invalid."""
         try:
             body = request.json()
             service, target, ramp_s = body["service"], body["target"], body["rampS"]
@@ -60,33 +60,36 @@
 
 
 class RolloutCalls:
-    """Handlers of the calls on rollouts."""
+    """HTTP handlers for rollouts."""
 
     def __init__(self, registry: InstanceRegistry, host: ReplicaHost) -> None:
         self._registry, self._host = registry, host
 
     @api_call("POST", "/Rollouts.Begin")
     async def begin(self, request: ApiRequest) -> ApiResponse:
-        """Starts the move of a service to another version of its instances."""
-        wanted = BeginRequest.decode(request)
-        if isinstance(wanted, ApiResponse):
-            return wanted
-        replica, key = self._host.replica, ROLLOUT_KEY_PREFIX + wanted.service
+        """Start the rollout of another version of a service."""
+        begin_request = BeginRequest.decode(request)
+        if isinstance(begin_request, ApiResponse):
+            return begin_request
+        replica, key = self._host.replica, ROLLOUT_KEY_PREFIX + begin_request.service
         order = order_request(
-            wanted.target, wanted.ramp_s, self._present_versions(wanted.service), wanted.key
+            begin_request.target,
+            begin_request.ramp_s,
+            self._present_versions(begin_request.service),
+            begin_request.key,
         )
-        # A head of an earlier revision does not decide on `begin`: it takes the record beside it
-        # where that is newer than what it holds. So the record is what this member's copy makes of
-        # the order, or the one that it holds, where the order changes nothing.
-        held = replica.committed.get(key)
-        decision = decide_begin(held, order, lambda: True)
+        # A head that runs an earlier release does not evaluate `begin`: it accepts the record sent
+        # with it if that is newer than its own. Therefore the record sent is the result of applying
+        # the order to this member's copy, or the copy itself if the order changes nothing.
+        current = replica.committed.get(key)
+        decision = decide_begin(current, order, lambda: True)
         if decision.outcome is Outcome.CONFLICT and not replica.head_decides:
             if not self._host.is_connected():
                 return RETRY_LATER
             return error_response(HTTP_STATUS[Status.CONFLICT], decision.reason)
-        value = (decision.value or held) | {"begin": order}
+        value = (decision.value or current) | {"begin": order}
         result = await self._host.call(lambda now, number: replica.put(now, number, key, value))
-        self._log(wanted, result)
+        self._log(begin_request, result)
         return write_response(result)
 
     def _present_versions(self, service: str) -> list[str]:
@@ -98,19 +101,19 @@
         return sorted(versions)
 
     @staticmethod
-    def _log(wanted: BeginRequest, result: CallResult) -> None:
+    def _log(begin_request: BeginRequest, result: CallResult) -> None:
         events.event(
             "rollout_requested",
-            service=wanted.service,
-            target=wanted.target,
-            ramp_s=wanted.ramp_s,
+            service=begin_request.service,
+            target=begin_request.target,
+            ramp_s=begin_request.ramp_s,
             status=result.status.value,
-            **outcome_pairs(result),
+            **outcome_fields(result),
         )
 
     @api_call("GET", "/Rollouts.Read/")
     async def read(self, request: ApiRequest) -> ApiResponse:
-        """Where the rollout of a service stands."""
+        """Return the state and target of the rollout of a service."""
         result = await self._host.call(self._host.replica.read)
         if result.status is not Status.OK:
             return RETRY_LATER
--- a/umbermoor/gateway/server/shutdown.py
+++ b/umbermoor/gateway/server/shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a controller's process: it hands over first, so that writes go on without it."""
+"""Shutdown of a controller: hands over first, so that writes continue without it."""
 
 import asyncio
 
@@ -10,27 +10,32 @@
 
 
 class Shutdown:
-    """Ends the process: at once, or after handing over.
+    """Ends the process, at once or after handing over.
 
     Attributes:
-        requested: Set once the process is to end.
+        requested: Set once the process should end.
     """
 
     def __init__(self, host: ReplicaHost, grace_us: int) -> None:
-        """`grace_us`: how long the platform waits after SIGTERM until it kills the process."""
+        """Create the shutdown of a controller.
+
+        Args:
+            host: The host of the replica.
+            grace_us: Time between SIGTERM and the platform killing the process.
+        """
         self._host = host
         self._hand_over_us = round(min(MAX_HAND_OVER_S, grace_us / 3e6) * SECOND)
         self._hand_over_until: int | None = None
         self.requested = asyncio.Event()
 
     def hand_over(self, now: int) -> None:
-        """Has the chain go on without this member, if the others can; the set stays as it is."""
+        """Leave the chain, if the other members can continue; the replica set does not change."""
         if self._hand_over_until is None:
             self._hand_over_until = now + self._hand_over_us
             self._host.carry_out(self._host.replica.hand_over(now))
 
     def tick(self, now: int) -> None:
-        """Ends the process once it has handed over, or could not in time."""
+        """End the process once it has handed over or the time for that is over."""
         if self._hand_over_until is None or self.requested.is_set():
             return
         replica = self._host.replica
@@ -41,5 +46,5 @@
             self.requested.set()
 
     def request(self) -> None:
-        """Ends the process without handing over."""
+        """End the process without handing over."""
         self.requested.set()
--- a/umbermoor/gateway/server/slow_readers.py
+++ b/umbermoor/gateway/server/slow_readers.py
@@ -1,4 +1,4 @@
-"""Bounds the memory that responses hold which their clients do not read."""
+"""Bounds the memory used by responses that clients do not read."""
 
 from collections.abc import Iterable
 
@@ -6,12 +6,12 @@
 
 
 def abort_slow_readers(connections: Iterable[ClientConnection], max_bytes: int) -> int:
-    """Aborts connections whose clients do not read, until they hold `max_bytes` at most together.
+    """Abort connections whose clients do not read, until the rest buffer at most `max_bytes`.
 
-    Threat: many clients that do not read. Those that hold most go first.
+    Guards against many clients that do not read. The largest buffers are dropped first.
 
     Returns:
-        How many were aborted.
+        The number of aborted connections.
     """
     unread = sorted(
         (
--- a/umbermoor/gateway/server/status_calls.py
+++ b/umbermoor/gateway/server/status_calls.py
@@ -1,6 +1,6 @@
-"""What a controller says of itself to operators: /Status and /Instances. No call of the protocol.
+"""Status of a controller for operators: /Status and /Instances. Not part of the protocol.
 
-Their earlier names, /Story and /Machines, answer for one more release, with their earlier keys.
+Their deprecated names, /Story and /Machines, remain for one more release with their earlier keys.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class StatusCalls:
-    """Handlers of the calls that only look."""
+    """HTTP handlers for read-only status."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
 
     @api_call("GET", "/Status")
     async def status(self, request: ApiRequest) -> ApiResponse:
-        """Its view of the chain, its place in it, what it holds."""
+        """Return the controller's view of the chain, its role in it, and what it stores."""
         replica, store, sweep = self._host.replica, self._host.store, self._sweep
         status = replica.status()
         return json_response(
@@ -68,7 +68,7 @@
 
     @api_call("GET", "/Story")
     async def story(self, request: ApiRequest) -> ApiResponse:
-        """Deprecated: the earlier form of /Status."""
+        """Return the status in the earlier form; deprecated in favor of /Status."""
         replica, store, sweep = self._host.replica, self._host.store, self._sweep
         return json_response(
             200,
@@ -94,12 +94,12 @@
 
     @api_call("GET", "/Instances")
     async def instances(self, request: ApiRequest) -> ApiResponse:
-        """What it knows of the instances, by id."""
+        """Return the known instances by id."""
         return json_response(200, {"instances": self._instances()})
 
     @api_call("GET", "/Machines")
     async def machines(self, request: ApiRequest) -> ApiResponse:
-        """Deprecated: the earlier form of /Instances."""
+        """Return the instances in the earlier form; deprecated in favor of /Instances."""
         return json_response(200, {"machines": self._instances()})
 
     def _instances(self) -> dict[str, dict[str, Any]]:
@@ -107,7 +107,7 @@
         return {id: self._instance(now, record) for id, record in records.items()}
 
     def _instance(self, now: int, record: InstanceRecord) -> dict[str, Any]:
-        """`heardS`: how long since it last changed here."""
+        """Return one instance as JSON; `heardS` is the time since its record last changed here."""
         age = now - self._registry.last_changed_at(record.id)
         return {
             "service": record.service,
--- a/umbermoor/gateway/server/status_log.py
+++ b/umbermoor/gateway/server/status_log.py
@@ -1,4 +1,4 @@
-"""Logs each change of the replica set and of the view, and successions, as seen here."""
+"""Logs changes of the replica set and the view, and successions, as seen by this replica."""
 
 from umbermoor.gateway.replication.reconfiguration import RefusedSuccession
 from umbermoor.gateway.replication.replica import Replica
@@ -8,7 +8,7 @@
 
 
 class StatusLog:
-    """Remembers what was logged last."""
+    """Logs changes by comparing the status with the last one logged."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
@@ -18,7 +18,7 @@
         self._logged_refused: RefusedSuccession | None = None
 
     def tick(self) -> None:
-        """Logs what changed since the last call."""
+        """Log what has changed since the last call."""
         status = self._replica.status()
         self._log_set(status)
         self._log_view(status)
--- a/umbermoor/gateway/server/store_sweep.py
+++ b/umbermoor/gateway/server/store_sweep.py
@@ -1,9 +1,9 @@
-"""Keeps what a controller stores sound: sweeps of the disk, and digests compared with the peers.
+"""Checks the integrity of a controller's store, by sweeps and by digests compared with the peers.
 
-A sweep (a scrub, as file systems call it) reads what was written; a record that is no longer what
-was written is written again from memory. After each sweep the members compare digests of their
-committed records (anti-entropy): a difference is reported, not repaired, since two cannot say which
-of them is wrong.
+A sweep (called a scrub in file systems) reads all records back; a record that differs from what was
+written is rewritten from memory. After each sweep the members compare digests of their committed
+records (anti-entropy). A difference is reported but not repaired, since two members cannot tell
+which of them is wrong.
 """
 
 import asyncio
@@ -26,9 +26,9 @@
 
     Attributes:
         running: Whether a sweep is in progress.
-        completed: How many sweeps ended.
-        repaired: How many records were written again.
-        comparison: What the members' digests came to.
+        completed: Number of completed sweeps.
+        repaired: Number of records that were rewritten.
+        comparison: Results of comparing digests with the other members.
     """
 
     def __init__(
@@ -46,28 +46,32 @@
         self._ended_at = clock()
 
     def tick(self, now: int) -> None:
-        """Starts a sweep if it is time for one."""
+        """Start a sweep if one is due."""
         if self.running or now - self._ended_at < SWEEP_INTERVAL or not self._host.store.open:
             return
         self.running = True
-        sweeping = asyncio.get_running_loop().run_in_executor(
+        sweep_future = asyncio.get_running_loop().run_in_executor(
             self._host.disk, self._host.store.sweep
         )
-        sweeping.add_done_callback(lambda done: self._ended(done.result()))
+        sweep_future.add_done_callback(lambda done: self._sweep_ended(done.result()))
 
     def compare(self, sender: str, message: dict[str, Any]) -> None:
-        """Compares a member's digest with the records held here."""
+        """Compare a member's digest with the records of this one."""
         replica = self._host.replica
         if self.comparison.differs(sender, message, replica.version, replica.committed):
             events.event("digest_mismatch", peer=sender, version=message["version"])
 
-    def _ended(self, damaged: list[str] | None) -> None:
-        """`damaged`: the records that are not what was written; None: the store's pages are not."""
+    def _sweep_ended(self, damaged: list[str] | None) -> None:
+        """Handle the end of a sweep.
+
+        Args:
+            damaged: Keys of the damaged records; None if the pages of the store are damaged.
+        """
         self.running, self._ended_at = False, self._clock()
         self.completed += 1
         self._send_digest()
         if damaged is None:
-            self._give_up("pages")
+            self._declare_store_lost("pages")
         elif damaged:
             self._repair(damaged)
 
@@ -83,7 +87,7 @@
         records = [record for record in damaged if record != INSTANCES_KEY]
         effects = self._host.replica.repair(self._clock(), records)
         if effects is None:
-            self._give_up(",".join(damaged))
+            self._declare_store_lost(",".join(damaged))
             return
         if INSTANCES_KEY in damaged:
             self._snapshot.write_again()
@@ -91,7 +95,7 @@
         events.event("records_repaired", records=",".join(damaged))
         self._host.carry_out(effects)
 
-    def _give_up(self, what: str) -> None:
-        """The process ends; its next start finds the same, and the other members fill its store."""
-        events.event("disk_lost", reason=f"a sweep found it rotten: {what}")
+    def _declare_store_lost(self, damage: str) -> None:
+        """Have the process end: after its restart the other members refill its store."""
+        events.event("disk_lost", reason=f"a sweep found damage: {damage}")
         self._on_store_lost()
--- a/umbermoor/gateway/server/update_publisher.py
+++ b/umbermoor/gateway/server/update_publisher.py
@@ -1,7 +1,7 @@
-"""Publishes a controller's state to the proxies and the other controllers that pull it.
+"""Publishes a controller's state to the proxies and controllers that pull it.
 
-The one place that turns the registry of instances, the committed records and the configuration into
-answers to pulls. Changes that come within BATCH_DELAY_S are answered together.
+This is the only module that turns the registry of instances, the committed records and the
+configuration into responses to pulls. Changes within BATCH_DELAY_S are sent together.
 """
 
 import asyncio
@@ -19,11 +19,11 @@
 from umbermoor.gateway.server.replica_host import ReplicaHost
 
 BATCH_DELAY_S = 0.01
-MAX_PROXIES_NAMED = 6  # other proxies named in an answer: enough to meet the rest by
+MAX_PROXIES_NAMED = 6  # proxies named in an update: enough to discover the others through them
 
 
 class ConfigurationFrames:
-    """The frames of the newest configuration, by the text that their delta is based on."""
+    """Caches frames of the newest configuration by the base text of their delta."""
 
     def __init__(self, codec: DeltaCodec) -> None:
         self._codec = codec
@@ -31,7 +31,7 @@
         self._frames: dict[str, bytes] = {}
 
     def frame(self, revision: int, text: str, base_digest: Any) -> bytes:
-        """The configuration as a delta to the base, if that is known here and it is worth it."""
+        """Return the configuration, as a delta if the base is known here and the delta is small."""
         if self._revision != revision:
             self._revision, self._frames = revision, {}
         if self._codec.texts.get(base_digest) is None:
@@ -49,7 +49,7 @@
 
 
 class UpdatePublisher:
-    """Answers the pulls of one controller."""
+    """Answers the pulls that one controller receives."""
 
     def __init__(
         self, registry: InstanceRegistry, host: ReplicaHost, rng: random.Random, clock: Clock
@@ -65,21 +65,24 @@
         return self._host.replica
 
     def add_pull(self, connection: PeerConnection, message: dict[str, Any]) -> None:
-        """Notes a pull, to be answered when there is something new."""
+        """Add a pull, which is answered when there is something new."""
         self.pulls.add_pull(self._clock(), connection, message)
         self.publish_soon()
 
     def records_committed(self, records: dict[str, Any]) -> None:
-        """Notes which of the committed records changed; without the configuration."""
+        """Record which committed records changed; `records` excludes the configuration."""
         self.history.update(self._replica.version, records)
 
     def tick(self, now: int) -> None:
-        """Answers the pulls that have waited as long as they may."""
+        """Schedule responses if a pull has waited for the maximum time."""
         if self.pulls.has_expired(now):
             self.publish_soon()
 
     def publish_soon(self) -> None:
-        """Has the pulls answered that lack something, together with changes that come at once."""
+        """Schedule responses to pulls that lack something.
+
+        The delay of BATCH_DELAY_S batches changes that follow at once.
+        """
         if not self._scheduled:
             self._scheduled = True
             asyncio.get_running_loop().call_later(BATCH_DELAY_S, self._publish)
