--- a/umbermoor/gateway/server/client_connection.py
+++ b/umbermoor/gateway/server/client_connection.py
@@ -85,9 +85,8 @@
     def data_received(self, data: bytes) -> None:
         """Parse requests and start those that may start now."""
         if self.closing:
-            self.lingers = (
-                True  # last_activity stays: discarded data does not extend the time limit
-            )
+            # last_activity is not updated: discarded data does not extend the time limit.
+            self.lingers = True
             return
         now = self.last_activity = self.clients.clock()
         first_byte_at = now if self.request_began_at is None else self.request_began_at
--- a/umbermoor/gateway/server/client_connections.py
+++ b/umbermoor/gateway/server/client_connections.py
@@ -14,9 +14,7 @@
 if TYPE_CHECKING:
     from umbermoor.gateway.server.request_handler import RequestHandler
 
-MAX_BODY_BYTES = (
-    8 << 20
-)  # of a request, which is buffered completely before it is sent to an instance
+MAX_BODY_BYTES = 8 << 20  # of a request, which is buffered completely before it is forwarded
 MAX_CONNECTIONS = 2500  # bounds what untrusted peers can open
 # A connection is closed this long after the idle time announced to the client.
 IDLE_GRACE_S = 1.0
