--- a/tests/gateway/features/steps/departures_steps.py
+++ b/tests/gateway/features/steps/departures_steps.py
@@ -8,7 +8,7 @@
 from umbermoor.gateway.balancing.attempt_outcomes import AttemptOutcome
 from umbermoor.gateway.server.departures import Departure
 
-# For the requests here; a hedge is sent after 45 % of it.
+# For the requests here; a hedge is sent after 45 % of it, on a machine of any speed.
 TIME_REMAINING_MS = 800
 WAIT_HEADER = f"X-Time-Remaining: {TIME_REMAINING_MS}"
 # An aborted attempt ends at once; any other ends 0.1 s after the 5 s timeout of its route.
--- a/umbermoor/gateway/server/metrics.py
+++ b/umbermoor/gateway/server/metrics.py
@@ -1,6 +1,6 @@
 """Metrics of a process, in the Prometheus text exposition format (version 0.0.4).
 
-They are served on `PORT` at the path `PATH`; `deploy/system.toml` names both.
+They are served on `PORT` of the machine's address at `PATH`; `deploy/system.toml` names both.
 """
 
 from collections.abc import Callable, Iterable, Mapping
