--- a/umbermoor/gateway/replication/replica.py
+++ b/umbermoor/gateway/replication/replica.py
@@ -39,9 +39,9 @@
 from umbermoor.gateway.replication.view_triggers import ViewTriggers
 
 # Messages accepted from any sender, as a replica may not know the members yet.
-FROM_ANYBODY = (messages.Heartbeat, messages.Found, messages.Settled)
+ACCEPTED_FROM_ANYONE = (messages.Heartbeat, messages.Found, messages.Settled)
 # Messages that members also accept from learners.
-FROM_LEARNERS = (messages.PromiseQuery, messages.Fetch)
+ACCEPTED_FROM_LEARNERS = (messages.PromiseQuery, messages.Fetch)
 
 
 class Replica:
@@ -241,10 +241,10 @@
             self._handlers[type(message)](sender, message)
 
     def _accepts(self, sender: str, message: Message) -> bool:
-        if isinstance(message, FROM_ANYBODY) or self.accepts_from(sender):
+        if isinstance(message, ACCEPTED_FROM_ANYONE) or self.accepts_from(sender):
             return True
         is_learner = self.context.learners.get(sender) is not None
-        return isinstance(message, FROM_LEARNERS) and is_learner
+        return isinstance(message, ACCEPTED_FROM_LEARNERS) and is_learner
 
     # state for the host
 
--- a/umbermoor/gateway/replication/view_triggers.py
+++ b/umbermoor/gateway/replication/view_triggers.py
@@ -39,10 +39,10 @@
 
 
 class Trigger(NamedTuple):
-    """A cause, and what follows from it."""
+    """A cause for a view, how long it must hold, and which replicas to leave out."""
 
     cause: Cause
-    delay: int = 0  # how long the cause must hold; us
+    delay: int = 0  # microseconds
     excluded: frozenset[str] = frozenset()  # replicas to leave out of the chain
 
 
