--- a/umbermoor/lab/fleet.py
+++ b/umbermoor/lab/fleet.py
@@ -15,7 +15,7 @@
 from umbermoor.lab.backend import Backend
 from umbermoor.lab.chance import Chance
 from umbermoor.lab.day import Day, FaultInjection, micros
-from umbermoor.lab.demand import Wish, wishes
+from umbermoor.lab.demand import Arrival, generate_arrivals
 from umbermoor.lab.machine import Done, Machine
 from umbermoor.lab.measure import Measure
 from umbermoor.lab.release import ListEntry
@@ -44,7 +44,7 @@
     def __init__(
         self,
         day: Day,
-        replay: Iterator[Wish] | None = None,
+        replay: Iterator[Arrival] | None = None,
         on_progress: Callable[[float], None] | None = None,
         make_recorder: Callable[[VirtualFront], Recorder | None] | None = None,
     ) -> None:
@@ -54,7 +54,7 @@
         self.chance = Chance(day.seed)
         self.backend = Backend(day, self, START)
         self.ledger, self.measure = Ledger(day), Measure(day)
-        arrivals = replay if replay is not None else wishes(day, self.chance)
+        arrivals = replay if replay is not None else generate_arrivals(day, self.chance)
         self.clients = VirtualClients(self, arrivals)
         self.network = VirtualNetwork(self)
         self.control_plane = VirtualControlPlane(self)
@@ -186,7 +186,7 @@
 def play(
     day: Day,
     on_progress: Callable[[float], None] | None = None,
-    replay: Iterator[Wish] | None = None,
+    replay: Iterator[Arrival] | None = None,
 ) -> dict[str, Any]:
     """Play a day and return its outcome as plain data."""
     return Fleet(day, replay, on_progress).play().outcome()
--- a/umbermoor/lab/measure.py
+++ b/umbermoor/lab/measure.py
@@ -30,7 +30,7 @@
 
     def count(self, journey: Journey) -> None:
         """Count a query that is over, with all its retries."""
-        profile, due = journey.wish.profile, journey.wish.at
+        profile, due = journey.arrival.profile, journey.arrival.at
         aim = micros(journey.row.aim_ms / 1000)
         is_in_time = bool(journey.served) and journey.served - due <= aim
         ending = _ending(journey, is_in_time)
--- a/umbermoor/lab/sockets/runner.py
+++ b/umbermoor/lab/sockets/runner.py
@@ -20,7 +20,7 @@
 from umbermoor.lab.audit import Ledger, by_rule
 from umbermoor.lab.chance import Chance
 from umbermoor.lab.day import SECOND, Day
-from umbermoor.lab.demand import Wish
+from umbermoor.lab.demand import Arrival
 from umbermoor.lab.sockets.common import LOOPBACK, now
 from umbermoor.lab.terms import seed_of, settings_of
 
@@ -147,7 +147,7 @@
 def play_on_sockets(
     day: Day,
     watch: Callable[[float], None] | None = None,
-    given: list[Wish] | None = None,
+    given: list[Arrival] | None = None,
     root: str | None = None,
     sheet: str | None = None,
 ) -> dict[str, Any]:
--- a/umbermoor/lab/virtual/clients.py
+++ b/umbermoor/lab/virtual/clients.py
@@ -7,7 +7,7 @@
 
 from umbermoor.front.facade import Asked
 from umbermoor.lab.day import SECOND
-from umbermoor.lab.demand import Journey, Kind, Wish
+from umbermoor.lab.demand import Arrival, Journey, Kind
 from umbermoor.lab.virtual.clock import START
 
 if TYPE_CHECKING:
@@ -35,7 +35,7 @@
         arrivals: the first queries, in order of their time.
     """
 
-    def __init__(self, fleet: Fleet, arrivals: Iterator[Wish]) -> None:
+    def __init__(self, fleet: Fleet, arrivals: Iterator[Arrival]) -> None:
         self.pending: dict[str, PendingQuery] = {}
         self._fleet, self._arrivals = fleet, arrivals
 
@@ -45,12 +45,12 @@
         if arrival is not None:
             self._fleet.at(START + arrival.at, self._arrive, arrival)
 
-    def _arrive(self, arrival: Wish) -> None:
+    def _arrive(self, arrival: Arrival) -> None:
         self.schedule_next()
         self._ask(Journey(arrival, self._fleet.day.profile[arrival.profile]))
 
     def _ask(self, journey: Journey) -> None:
-        fleet, arrival, clients = self._fleet, journey.wish, self._fleet.day.clients
+        fleet, arrival, clients = self._fleet, journey.arrival, self._fleet.day.clients
         journey.tries += 1
         query = f"{arrival.number:x}.{journey.tries}"
         front = self._choose_front(arrival.number, journey.tries)
--- a/umbermoor/lab/virtual/network.py
+++ b/umbermoor/lab/virtual/network.py
@@ -61,7 +61,7 @@
         fleet.backend.advance(machine)
         pending = fleet.clients.pending.get(job.key[0])
         if pending is not None:
-            job = job._replace(profile=pending.journey.wish.profile)
+            job = job._replace(profile=pending.journey.arrival.profile)
         had_collapsed = machine.collapsed
         done = machine.offer(fleet.now, job)
         if machine.collapsed and not had_collapsed:
--- a/umbermoor/planner/questions.py
+++ b/umbermoor/planner/questions.py
@@ -10,7 +10,7 @@
 from umbermoor.front.capture.frames import Row
 from umbermoor.lab.chance import Chance, drawn
 from umbermoor.lab.day import SECOND, Burst, Day, FaultInjection, Group, Load, ProfileRow
-from umbermoor.lab.demand import Wish
+from umbermoor.lab.demand import Arrival
 from umbermoor.lab.statistics import Interval, mean_interval
 from umbermoor.planner.fit import Demand
 from umbermoor.planner.sheets import Fleet
@@ -123,7 +123,7 @@
     )
 
 
-def replayed(day: Day, demand: Demand, arrivals: list[tuple[int, int]]) -> Iterator[Wish] | None:
+def replayed(day: Day, demand: Demand, arrivals: list[tuple[int, int]]) -> Iterator[Arrival] | None:
     """The capture's own arrivals (time and profile), at the day's rate: their bursts stay as they
     were, and each seed begins elsewhere in them. None where the capture is shorter than the play
     needs, or the day has bursts of its own."""
@@ -153,13 +153,13 @@
     return _wishes(day, merged, chance)
 
 
-def _wishes(day: Day, merged: list[tuple[int, int]], chance: Chance) -> Iterator[Wish]:
+def _wishes(day: Day, merged: list[tuple[int, int]], chance: Chance) -> Iterator[Arrival]:
     sources = [chance.stream("work", row.name) for row in day.profile]
     for number, (at, profile) in enumerate(merged):
         row, source = day.profile[profile], sources[profile]
         work = drawn(source, row.work_ms * 1000, row.spread, row.cv)
         hint = drawn(source, work, "lognormal", row.hint_cv) if row.hint_cv else work
-        yield Wish(at, number, profile, work, max(1, round(hint)))
+        yield Arrival(at, number, profile, work, max(1, round(hint)))
 
 
 def arrivals_of(rows: list[Row], marked: bool) -> list[tuple[int, int]]:
