--- a/benchmarks/http2_faults.py
+++ b/benchmarks/http2_faults.py
@@ -196,10 +196,13 @@
 
     def listen(self) -> tuple[str, int]:
         from umbermoor.lab.sockets.common import LOOPBACK, listen
-        from umbermoor.lab.sockets.h2stand import Either
+        from umbermoor.lab.sockets.h2stand import DualProtocolConnection
 
         self.port = listen(
-            self.reactor, self.told, self.lines.append, lambda told: Either(told, self.stopped)
+            self.reactor,
+            self.told,
+            self.lines.append,
+            lambda told: DualProtocolConnection(told, self.stopped),
         )
         return LOOPBACK, self.port.getHost().port
 
--- a/umbermoor/lab/sockets/h2stand.py
+++ b/umbermoor/lab/sockets/h2stand.py
@@ -22,7 +22,7 @@
 class Stream:
     """One request's place; it takes the model's answers as a connection in HTTP/1.1 does."""
 
-    def __init__(self, line: "Either", number: int) -> None:
+    def __init__(self, line: "DualProtocolConnection", number: int) -> None:
         self.line, self.number = line, number
         self.headers: dict[str, str] = {}
         self.body = b""
@@ -41,7 +41,7 @@
         self.line.reset(self.number, h2.errors.ErrorCodes.INTERNAL_ERROR)
 
 
-class Either(Served):
+class DualProtocolConnection(Served):
     """A connection that speaks what its caller speaks."""
 
     def __init__(
--- a/umbermoor/lab/sockets/stand_ins.py
+++ b/umbermoor/lab/sockets/stand_ins.py
@@ -25,7 +25,7 @@
 from umbermoor.lab.release import ListEntry
 from umbermoor.lab.sockets.common import Events, Served, listen, now
 from umbermoor.lab.sockets.front_endpoints import FrontEndpoints
-from umbermoor.lab.sockets.h2stand import Either, Stream
+from umbermoor.lab.sockets.h2stand import DualProtocolConnection, Stream
 
 reactor: Any = installed_reactor
 COMPLAINT_S = 2.0  # until a wrong answer is reported
@@ -124,10 +124,12 @@
             self.backend.advance(machine)
             waiting = machine.waiting()
             for connection in list(self._connections.get(machine.id, ())):
-                if isinstance(connection, Either):
+                if isinstance(connection, DualProtocolConnection):
                     self._go_away(machine, connection, waiting)
 
-    def _go_away(self, machine: Machine, connection: Either, waiting: set[tuple[str, int]]) -> None:
+    def _go_away(
+        self, machine: Machine, connection: DualProtocolConnection, waiting: set[tuple[str, int]]
+    ) -> None:
         keys = {
             id(responder): key
             for key, responder in self._responders.items()
@@ -178,7 +180,9 @@
             reactor,
             lambda responder, request: self._requested(name, responder, request),
             lambda connection: self._connected(name, connection),
-            lambda told: Either(told, lambda stream: self._stream_reset(name, stream)),
+            lambda told: DualProtocolConnection(
+                told, lambda stream: self._stream_reset(name, stream)
+            ),
         )
         self._listening[name], self.ports[name] = port, port.getHost().port
         self._connections[name] = []
