--- a/umbermoor/lab/chance.py
+++ b/umbermoor/lab/chance.py
@@ -32,7 +32,7 @@
         return random.Random(f"{self._key.hex()}/{'/'.join(map(str, names))}")
 
 
-def drawn(source: random.Random, mean: float, spread: str, cv: float) -> float:
+def draw_sample(source: random.Random, mean: float, spread: str, cv: float) -> float:
     """Draw an amount of work; `cv` is the coefficient of variation, for the lognormal spread."""
     if spread == "exp":
         return source.expovariate(1 / mean)
--- a/umbermoor/lab/demand.py
+++ b/umbermoor/lab/demand.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from umbermoor.lab.chance import Chance, drawn, thinned
+from umbermoor.lab.chance import Chance, draw_sample, thinned
 from umbermoor.lab.day import Clients, Day, ProfileRow, micros
 
 
@@ -53,8 +53,8 @@
             place for place, share in enumerate(shares) if pick < share or place == len(rows) - 1
         )
         row, source = rows[profile], sources[profile]
-        work = drawn(source, row.work_ms * 1000, row.spread, row.cv)
-        hint = drawn(source, work, "lognormal", row.hint_cv) if row.hint_cv else work
+        work = draw_sample(source, row.work_ms * 1000, row.spread, row.cv)
+        hint = draw_sample(source, work, "lognormal", row.hint_cv) if row.hint_cv else work
         yield Arrival(micros(at), number, profile, work, max(1, round(hint)))
 
 
--- a/umbermoor/lab/placement.py
+++ b/umbermoor/lab/placement.py
@@ -1,6 +1,6 @@
 """The places of a fleet by group, the machines made for them, and what injected faults affect."""
 
-from umbermoor.lab.chance import Chance, drawn
+from umbermoor.lab.chance import Chance, draw_sample
 from umbermoor.lab.day import Day, FaultInjection, Group
 from umbermoor.lab.machine import Machine
 from umbermoor.lab.release import interleaved_places
@@ -28,7 +28,7 @@
         self.groups: list[Group] = [group for group in day.group for _ in range(group.machines)]
         self.rollout_order = interleaved_places([group.machines for group in day.group])
         self._speeds = [
-            drawn(chance.stream("speed", place), group.speed, "lognormal", group.speed_cv)
+            draw_sample(chance.stream("speed", place), group.speed, "lognormal", group.speed_cv)
             for place, group in enumerate(self.groups)
         ]
         self._builds = {build.number: build for build in day.build}
--- a/umbermoor/planner/questions.py
+++ b/umbermoor/planner/questions.py
@@ -8,7 +8,7 @@
 from msgspec import structs
 
 from umbermoor.front.capture.frames import Row
-from umbermoor.lab.chance import Chance, drawn
+from umbermoor.lab.chance import Chance, draw_sample
 from umbermoor.lab.day import SECOND, Burst, Day, FaultInjection, Group, Load, ProfileRow
 from umbermoor.lab.demand import Arrival
 from umbermoor.lab.statistics import Interval, mean_interval
@@ -157,8 +157,8 @@
     sources = [chance.stream("work", row.name) for row in day.profile]
     for number, (at, profile) in enumerate(merged):
         row, source = day.profile[profile], sources[profile]
-        work = drawn(source, row.work_ms * 1000, row.spread, row.cv)
-        hint = drawn(source, work, "lognormal", row.hint_cv) if row.hint_cv else work
+        work = draw_sample(source, row.work_ms * 1000, row.spread, row.cv)
+        hint = draw_sample(source, work, "lognormal", row.hint_cv) if row.hint_cv else work
         yield Arrival(at, number, profile, work, max(1, round(hint)))
 
 
