--- a/umbermoor/lab/demand.py
+++ b/umbermoor/lab/demand.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from umbermoor.lab.chance import Chance, draw_sample, thinned
+from umbermoor.lab.chance import Chance, draw_sample, poisson_times
 from umbermoor.lab.day import Clients, Day, ProfileRow, micros
 
 
@@ -43,7 +43,7 @@
         total += row.share
         shares.append(total)
     for number, at in enumerate(
-        thinned(
+        poisson_times(
             times,
             day.load.max_rate(),
             lambda second: day.load.rate_at(second, day.length_s),
--- a/umbermoor/lab/sockets/__init__.py
+++ b/umbermoor/lab/sockets/__init__.py
@@ -1,2 +1,5 @@
-"""Body two: the same models as stand-ins on loopback, real fronts started as operators start them,
-and load."""
+"""Days on loopback, in real time.
+
+The models run as stand-in servers; fronts are real processes, started as operators start them, and
+a process of its own generates the load.
+"""
--- a/umbermoor/lab/virtual/outcome.py
+++ b/umbermoor/lab/virtual/outcome.py
@@ -18,7 +18,7 @@
 
 
 def fleet_outcome(fleet: Fleet) -> dict[str, Any]:
-    """Return the figures of a run; keys and their order are those of the file."""
+    """Return the figures of a run, with the keys of the JSON output in their order there."""
     machines = fleet.backend.machines
     work = sum(machine.work_done for machine in machines.values()) / SECOND
     return {
