--- a/umbermoor/lab/sockets/front_endpoints.py
+++ b/umbermoor/lab/sockets/front_endpoints.py
@@ -72,7 +72,7 @@
         self._platform_port = listen(reactor, self._platform_requested)
 
     def description(self) -> dict[str, Any]:
-        """Return the ports and the initial list and release state that a front is configured with."""
+        """Return the ports, list and release state that the front is configured with."""
         return {
             "discovery": self._list_port.getHost().port,
             "platform": self._platform_port.getHost().port,
