--- a/umbermoor/lab/sockets/callers.py
+++ b/umbermoor/lab/sockets/callers.py
@@ -20,11 +20,11 @@
 from umbermoor.http1.writer import write_request
 from umbermoor.lab.chance import Chance
 from umbermoor.lab.day import SECOND, Day
-from umbermoor.lab.demand import Arrival, Journey, Kind, generate_arrivals
+from umbermoor.lab.demand import Arrival, AttemptResult, Journey, generate_arrivals
 from umbermoor.lab.measure import Measure
 from umbermoor.lab.sockets.common import BUFFERS, LOOPBACK, Events, now
 
-KINDS = {200: Kind.DONE, 429: Kind.DENIED, 503: Kind.DENIED}
+KINDS = {200: AttemptResult.DONE, 429: AttemptResult.DENIED, 503: AttemptResult.DENIED}
 # The 99th percentile of how late queries may be sent; above it, the result is not valid.
 MAX_P99_LAG_US = 20_000
 MAX_IDLE_US = 3 * SECOND  # a connection that was idle for longer is not reused
@@ -111,10 +111,14 @@
         """Take the response; None: the connection was lost or could not be opened."""
         if self.is_over:
             return
-        kind = Kind.LOST if response is None else KINDS.get(response.status, Kind.ABANDONED)
+        kind = (
+            AttemptResult.LOST
+            if response is None
+            else KINDS.get(response.status, AttemptResult.ABANDONED)
+        )
         wrong, wait = False, 0
         if response is not None:
-            wrong = kind is Kind.DONE and response.body != b"done " + self.query.encode()
+            wrong = kind is AttemptResult.DONE and response.body != b"done " + self.query.encode()
             wait = round(float(response.headers.get("retry-after", "0") or 0) * SECOND)
             self.generator.events.note("answered", self.query, kind.value)
         else:
@@ -126,9 +130,9 @@
         """End the attempt at the client's timeout, if it is still open."""
         if not self.is_over:
             self.generator.events.note("gave_up", self.query)
-            self._end(Kind.GAVE_UP, 0, False, False)
+            self._end(AttemptResult.GAVE_UP, 0, False, False)
 
-    def _end(self, kind: Kind, wait: int, wrong: bool, keep: bool) -> None:
+    def _end(self, kind: AttemptResult, wait: int, wrong: bool, keep: bool) -> None:
         self.is_over = True
         if self.timer.active():
             self.timer.cancel()
@@ -221,7 +225,7 @@
         else:
             attempt.send(connection)
 
-    def ended(self, attempt: Attempt, kind: Kind, wait: int, wrong: bool) -> None:
+    def ended(self, attempt: Attempt, kind: AttemptResult, wait: int, wrong: bool) -> None:
         """Count the query if it is over, or schedule its next attempt."""
         journey = attempt.journey
         retry_at = journey.over(now() - self._begin, kind, wait, self.day.clients, self.chance)
--- a/umbermoor/lab/virtual/clients.py
+++ b/umbermoor/lab/virtual/clients.py
@@ -7,7 +7,7 @@
 
 from umbermoor.front.facade import Asked
 from umbermoor.lab.day import SECOND
-from umbermoor.lab.demand import Arrival, Journey, Kind
+from umbermoor.lab.demand import Arrival, AttemptResult, Journey
 from umbermoor.lab.virtual.clock import START
 
 if TYPE_CHECKING:
@@ -81,13 +81,15 @@
         if query in self.pending:
             self._fleet.ledger.gave_up(self._fleet.now, query)
             self.pending[query].front.client_left(query)
-            self._end(query, Kind.GAVE_UP, 0, False)
+            self._end(query, AttemptResult.GAVE_UP, 0, False)
 
     def lost(self, query: str) -> None:
         """End an attempt whose connection was lost without an answer."""
-        self._end(query, Kind.LOST, 0, False)
+        self._end(query, AttemptResult.LOST, 0, False)
 
-    def answer(self, front: VirtualFront, query: str, kind: Kind, wait: int, wrong: bool) -> None:
+    def answer(
+        self, front: VirtualFront, query: str, kind: AttemptResult, wait: int, wrong: bool
+    ) -> None:
         """Send a front's answer on its way to the client.
 
         Args:
@@ -100,11 +102,11 @@
         arrives_at = self._fleet.now + self._fleet.delay(query)
         self._fleet.at(arrives_at, self._answered, query, kind, wait, wrong)
 
-    def _answered(self, query: str, kind: Kind, wait: int, wrong: bool) -> None:
+    def _answered(self, query: str, kind: AttemptResult, wait: int, wrong: bool) -> None:
         self._fleet.ledger.answered(self._fleet.now, query, kind.value)
         self._end(query, kind, wait, wrong)
 
-    def _end(self, query: str, kind: Kind, wait: int, wrong: bool) -> None:
+    def _end(self, query: str, kind: AttemptResult, wait: int, wrong: bool) -> None:
         pending = self.pending.pop(query, None)
         if pending is None:
             return
--- a/umbermoor/lab/virtual/front.py
+++ b/umbermoor/lab/virtual/front.py
@@ -25,7 +25,7 @@
 from umbermoor.front.interface import Ending, Listing
 from umbermoor.front.start_settings import read_start_settings
 from umbermoor.lab.day import SECOND
-from umbermoor.lab.demand import Kind
+from umbermoor.lab.demand import AttemptResult
 from umbermoor.lab.machine import Reply
 from umbermoor.lab.terms import IDLE_MS, front_seed
 
@@ -131,7 +131,7 @@
         if query not in self.fleet.clients.pending:
             return
         if len(self.open_queries) >= self._max_client_connections:
-            self.fleet.clients.answer(self, query, Kind.DENIED, SECOND, False)
+            self.fleet.clients.answer(self, query, AttemptResult.DENIED, SECOND, False)
             return
         self.open_queries.add(query)
         if self.recorder is not None:
@@ -139,7 +139,7 @@
         self.client_connections = max(self.client_connections, len(self.open_queries))
         self._carry_out([self.decisions.pick(asked)])
 
-    def _answer(self, query: str, kind: Kind, wait: int, wrong: bool = False) -> None:
+    def _answer(self, query: str, kind: AttemptResult, wait: int, wrong: bool = False) -> None:
         if query in self.open_queries:
             self.open_queries.discard(query)
             if self.recorder is not None:
@@ -178,9 +178,9 @@
                 case Go():
                     self._start_attempt(step)
                 case Denied(query, wait):
-                    self._answer(query, Kind.DENIED, wait)
+                    self._answer(query, AttemptResult.DENIED, wait)
                 case Abandoned(query):
-                    self._answer(query, Kind.ABANDONED, 0)
+                    self._answer(query, AttemptResult.ABANDONED, 0)
                 case Stop(query, number):
                     self._cancel((query, number))
                 case Vote():
@@ -295,7 +295,7 @@
         if self.recorder is not None:  # before the answer, which completes the query's record
             took = self.fleet.now - attempt.began_at
             self.recorder.ended(key[0], attempt.go.machine, Ending.OK, took)
-        self._answer(key[0], Kind.DONE, 0, reply is Reply.WRONG)
+        self._answer(key[0], AttemptResult.DONE, 0, reply is Reply.WRONG)
         self._end_attempt(key, attempt, Ending.OK, False)
 
     def _end_attempt(
