--- a/umbermoor/planner/check.py
+++ b/umbermoor/planner/check.py
@@ -141,7 +141,7 @@
             front=structs.replace(day.front, cpu_us=0),
         )
         some = replayed(day, demand, arrivals)
-        outcome = play_on_sockets(day, given=None if some is None else list(some))
+        outcome = play_on_sockets(day, arrivals=None if some is None else list(some))
         told(
             f"{name}: {questions[name].load:.1f} queries/s, {questions[name].machines} machines: in time "
             f"{outcome['in_time']:.4f}{'' if outcome['honest'] else ' (the load fell behind its pace)'}"
