--- a/umbermoor/lab/backend.py
+++ b/umbermoor/lab/backend.py
@@ -11,7 +11,7 @@
 from umbermoor.front.interface import Ending, Readiness, Verdict
 from umbermoor.lab.chance import Chance
 from umbermoor.lab.day import SECOND, Day, FaultInjection, micros
-from umbermoor.lab.machine import Done, Machine, shared_contention
+from umbermoor.lab.machine import EndedJob, Machine, shared_contention
 from umbermoor.lab.placement import Placement, fault_fields
 from umbermoor.lab.release import ListEntry, MachineList, Order, Release, StartMachines
 
@@ -39,7 +39,7 @@
     def release_changed(self) -> None:
         """Handle a change of the release's state."""
 
-    def jobs_ended(self, machine: Machine, done: list[Done]) -> None:
+    def jobs_ended(self, machine: Machine, done: list[EndedJob]) -> None:
         """Handle jobs that ended at a machine."""
 
     def machine_down(self, machine: Machine) -> None:
@@ -58,18 +58,18 @@
     Args:
         day: fleet, builds and faults.
         host: the environment it runs in.
-        begun: time of the day's start, in microseconds.
+        day_start: time of the day's start, in microseconds.
     """
 
-    def __init__(self, day: Day, host: Host, begun: int) -> None:
-        self._day, self._host, self._begun = day, host, begun
+    def __init__(self, day: Day, host: Host, day_start: int) -> None:
+        self._day, self._host, self._day_start = day, host, day_start
         self.chance = Chance(day.seed)
         self.machines: dict[str, Machine] = {}
         self.machine_list = MachineList()
         self.silent_until = {LIST_SILENT: 0, PLATFORM_SILENT: 0}
         self._placement = Placement(day, self.chance)
         self.release = Release(
-            day.platform, day.build, len(self._placement), self._placement.rollout_order, begun
+            day.platform, day.build, len(self._placement), self._placement.rollout_order, day_start
         )
         self._place: dict[str, int] = {}  # by machine
         self._wake_times: dict[str, int] = {}  # by machine
@@ -83,10 +83,10 @@
         for place in range(len(self._placement)):
             self._add_machine(place, FIRST_BUILD, 0)
         for fault in self._day.trouble:
-            self._host.at(self._begun + micros(fault.at_s), self._inject, fault)
+            self._host.at(self._day_start + micros(fault.at_s), self._inject, fault)
         self._schedule_release()
         if any(build.fault_kind == "drags" for build in self._day.build):
-            self._host.at(self._begun, self._update_contention)
+            self._host.at(self._day_start, self._update_contention)
 
     def is_silent(self, source: str) -> bool:
         """Whether the list or the platform (`LIST_SILENT`, `PLATFORM_SILENT`) is silenced."""
@@ -187,7 +187,7 @@
             self._take_down(name, machine)
 
     def _take_down(self, name: str, machine: Machine) -> None:
-        ended = machine.change(self._host.now, down=True)
+        ended = machine.set_faults(self._host.now, down=True)
         self._host.machine_down(machine)
         self._report_ended(machine, ended)
         self._list(name, Readiness.GONE)
@@ -198,7 +198,7 @@
         for machine in machines:
             if machine.contention != factor:
                 machine.contention = factor
-                self._report_ended(machine, machine.change(self._host.now))
+                self._report_ended(machine, machine.set_faults(self._host.now))
         self._host.at(self._host.now + CONTENTION_PERIOD, self._update_contention)
 
     # Faults.
@@ -226,7 +226,7 @@
     def _inject_into(self, name: str, fault: FaultInjection, until: int) -> None:
         machine = self.machines[name]
         if fields := fault_fields(fault, begins=True):
-            self._report_ended(machine, machine.change(self._host.now, **fields))
+            self._report_ended(machine, machine.set_faults(self._host.now, **fields))
             self._host.at(until, self._recover, machine, fault)
         elif fault.kind == "drain":
             self._drain(name)
@@ -245,7 +245,7 @@
 
     def _recover(self, machine: Machine, fault: FaultInjection) -> None:
         fields = fault_fields(fault, begins=False)
-        self._report_ended(machine, machine.change(self._host.now, **fields))
+        self._report_ended(machine, machine.set_faults(self._host.now, **fields))
 
     def _restart(self, name: str, machine: Machine) -> None:
         if self._is_wanted(machine.build) and name not in self.machine_list.entries:
@@ -278,7 +278,7 @@
             del self._wake_times[machine.id]
             self._report_ended(machine, machine.advance(self._host.now))
 
-    def _report_ended(self, machine: Machine, ended: list[Done]) -> None:
+    def _report_ended(self, machine: Machine, ended: list[EndedJob]) -> None:
         if ended:
             self._host.jobs_ended(machine, ended)
         self.wake(machine)
--- a/umbermoor/lab/command.py
+++ b/umbermoor/lab/command.py
@@ -232,7 +232,7 @@
                 fleet.read(path.name.partition(".")[0], lines)
     except OSError as error:
         raise SheetError(f"{error.filename or folder}:0: {error.strerror}") from None
-    if not fleet.begun:
+    if not fleet.first_at:
         raise SheetError(
             f"{folder}:0: expected logs of fronts, found no line of ours in {len(paths)} files"
         )
--- a/umbermoor/lab/demand.py
+++ b/umbermoor/lab/demand.py
@@ -67,9 +67,9 @@
     arrival: Arrival
     row: ProfileRow
     tries: int = 0
-    served: int = 0  # time of the successful answer; 0: none
-    wrong: bool = False  # the answer had wrong content
-    ended: int = 0  # time at which no further attempt followed; 0: it is open
+    served_at: int = 0  # time of the successful answer; 0: none
+    is_wrong: bool = False  # the answer had wrong content
+    ended_at: int = 0  # time at which no further attempt followed; 0: it is open
     endings: list[AttemptResult] = field(default_factory=list)
 
     @property
@@ -84,7 +84,7 @@
         )
         return micros(share * self.row.patience_ms / 1000)
 
-    def leaves(self, clients: Clients, chance: Chance) -> int | None:
+    def leaves_after(self, clients: Clients, chance: Chance) -> int | None:
         """Return after how many microseconds the client leaves early, or None if it does not."""
         if (
             not clients.leave
@@ -95,7 +95,7 @@
             chance.at("left after", self.arrival.number, self.tries) * self.row.aim_ms * 1000
         )
 
-    def over(
+    def attempt_ended(
         self, now: int, kind: AttemptResult, wait: int, clients: Clients, chance: Chance
     ) -> int | None:
         """Record the result of an attempt; return when the next one begins, or None after the last.
@@ -109,22 +109,22 @@
         """
         self.endings.append(kind)
         if kind is AttemptResult.DONE:
-            self.served = self.ended = now
+            self.served_at = self.ended_at = now
             return None
         is_retry_safe = (
             kind in (AttemptResult.DENIED, AttemptResult.LOST) or self.row.repeat == "repeatable"
         )
         if self.tries > clients.retries or not is_retry_safe:
-            self.ended = now
+            self.ended_at = now
             return None
         pause = micros(clients.wait_ms / 1000)
         if wait and chance.at("heeds", self.arrival.number, self.tries) < clients.heed:
             pause = max(pause, wait)
         return now + max(1, pause)
 
-    def worth(self) -> float:
+    def achieved_value(self) -> float:
         """Return the part of the query's value that was achieved, from 0 to 1."""
-        if not self.served or self.wrong:
+        if not self.served_at or self.is_wrong:
             return 0.0
-        is_late = self.served - self.arrival.at > micros(self.row.aim_ms / 1000)
+        is_late = self.served_at - self.arrival.at > micros(self.row.aim_ms / 1000)
         return self.row.late_value if is_late else 1.0
--- a/umbermoor/lab/fleet.py
+++ b/umbermoor/lab/fleet.py
@@ -16,7 +16,7 @@
 from umbermoor.lab.chance import Chance
 from umbermoor.lab.day import Day, FaultInjection, micros
 from umbermoor.lab.demand import Arrival, generate_arrivals
-from umbermoor.lab.machine import Done, Machine
+from umbermoor.lab.machine import EndedJob, Machine
 from umbermoor.lab.measure import Measure
 from umbermoor.lab.release import ListEntry
 from umbermoor.lab.terms import start_settings
@@ -138,7 +138,7 @@
         """Send the changed state of the release to the fronts."""
         self.control_plane.stage_changed()
 
-    def jobs_ended(self, machine: Machine, done: list[Done]) -> None:
+    def jobs_ended(self, machine: Machine, done: list[EndedJob]) -> None:
         """Send the replies of jobs that ended at a machine."""
         self.network.jobs_ended(machine, done)
 
--- a/umbermoor/lab/fleetlog.py
+++ b/umbermoor/lab/fleetlog.py
@@ -15,7 +15,7 @@
 CHANGES = {
     "stage": ("build", "stage", "phase"),
     "list": ("version",),
-}  # events about changes that every front is informed of, with the fields that identify the change
+}  # events that report a change to every front, with the fields that identify the change
 COUNTED_EVENTS = (
     "machine lost",
     "vote not counted",
@@ -68,7 +68,7 @@
         self.lost: Counter[str] = Counter()  # by machine
         self.by_front: dict[str, Counter[str]] = defaultdict(Counter)
         self._changes: dict[tuple[str, ...], dict[str, float]] = defaultdict(dict)
-        self.begun = self.ended = 0.0
+        self.first_at = self.last_at = 0.0
 
     def read(self, front: str, lines: Iterable[str]) -> None:
         """Add the log lines of a front."""
@@ -84,7 +84,7 @@
 
     def _count(self, front: str, at: float, fields: dict[str, str]) -> None:
         what = fields["what"]
-        self.begun, self.ended = min(self.begun or at, at), max(self.ended, at)
+        self.first_at, self.last_at = min(self.first_at or at, at), max(self.last_at, at)
         if what == "counts":
             for name, value in fields.items():
                 if name not in ("at", "level", "in", "what"):
@@ -116,10 +116,10 @@
 
     def figures(self) -> dict[str, Any]:
         """Return all figures as plain data; seconds count from the first line of any front."""
-        since = self.begun
+        since = self.first_at
         return {
             "fronts": len(self.fronts),
-            "seconds": round(self.ended - since, 3),
+            "seconds": round(self.last_at - since, 3),
             "unread": self.unread,
             "counts": dict(sorted(self.counts.items())),
             "events": dict(self.events.most_common()),
--- a/umbermoor/lab/measure.py
+++ b/umbermoor/lab/measure.py
@@ -32,18 +32,18 @@
         """Count a query that has ended, with all its retries."""
         profile, due = journey.arrival.profile, journey.arrival.at
         aim = micros(journey.row.aim_ms / 1000)
-        is_in_time = bool(journey.served) and journey.served - due <= aim
+        is_in_time = bool(journey.served_at) and journey.served_at - due <= aim
         ending = _ending(journey, is_in_time)
         self._seconds.setdefault(due // SECOND, Counter())[ending] += 1
         if due < micros(self._day.settle_s):
             return
         self._asked[profile] += 1
-        self._worth[profile] += journey.worth()
-        self._in_time[profile] += is_in_time and not journey.wrong
+        self._worth[profile] += journey.achieved_value()
+        self._in_time[profile] += is_in_time and not journey.is_wrong
         self._endings[profile][ending] += 1
         self._tries += journey.tries
-        if journey.served:
-            self._times[profile].record_value(min(LONGEST, max(1, journey.served - due)))
+        if journey.served_at:
+            self._times[profile].record_value(min(LONGEST, max(1, journey.served_at - due)))
 
     def figures(self) -> dict[str, Any]:
         """Return the figures of all queries and of each profile, with the keys of the JSON."""
@@ -87,11 +87,11 @@
 
 
 def _ending(journey: Journey, is_in_time: bool) -> str:
-    if journey.wrong:
+    if journey.is_wrong:
         return "wrong"
     if is_in_time:
         return "in time"
-    if journey.served:
+    if journey.served_at:
         return "late"
     return journey.endings[-1].value if journey.endings else NEVER_ASKED
 
--- a/umbermoor/lab/release.py
+++ b/umbermoor/lab/release.py
@@ -73,7 +73,7 @@
         builds: the builds that are offered during the day.
         places: number of places of the fleet.
         rollout_order: places in the order in which stages cover them.
-        begun: time of the day's start, in microseconds.
+        day_start: time of the day's start, in microseconds.
     """
 
     def __init__(
@@ -82,17 +82,17 @@
         builds: tuple[Build, ...],
         places: int,
         rollout_order: list[int],
-        begun: int,
+        day_start: int,
     ) -> None:
         self._platform, self._places, self._rollout_order = platform, places, rollout_order
         self._builds = [FIRST_BUILD, *(build.number for build in builds)]
         self._scheduled: list[_Scheduled] = []
         for build in builds:
-            self._schedule(begun + micros(build.at_s), _Step.OFFER, build.number)
+            self._schedule(day_start + micros(build.at_s), _Step.OFFER, build.number)
         self.serving_build = FIRST_BUILD  # the build that runs beside one on trial
         last_stage = len(platform.stages) - 1
-        self.state = ReleaseState(FIRST_BUILD, last_stage, Phase.RELEASED, 1.0, begun)
-        self.history: list[tuple[int, ReleaseState]] = [(begun, self.state)]
+        self.state = ReleaseState(FIRST_BUILD, last_stage, Phase.RELEASED, 1.0, day_start)
+        self.history: list[tuple[int, ReleaseState]] = [(day_start, self.state)]
         self._votes: dict[str, _Vote] = {}  # by front
         self._vote_second, self._votes_in_second = 0, 0
 
--- a/umbermoor/lab/virtual/network.py
+++ b/umbermoor/lab/virtual/network.py
@@ -6,7 +6,7 @@
 
 from umbermoor.front.facade import Complaint, Go
 from umbermoor.lab.day import SECOND
-from umbermoor.lab.machine import Done, Job, Machine, Reply
+from umbermoor.lab.machine import EndedJob, Job, Machine, Reply
 from umbermoor.lab.terms import CONNECT_MS
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
         machine = fleet.backend.machines.get(go.machine)
         if machine is not None:
             fleet.backend.advance(machine)
-            stopped = machine.stop(fleet.now, (go.query, go.number))
+            stopped = machine.cancel(fleet.now, (go.query, go.number))
             if stopped is not None and stopped.ran:
                 fleet.ledger.ran(fleet.now, go.query, go.machine)
             self._senders.pop((go.query, go.number), None)
@@ -94,7 +94,7 @@
         """Discard the reply to an attempt whose front was killed."""
         self._senders.pop(key, None)
 
-    def jobs_ended(self, machine: Machine, ended: list[Done]) -> None:
+    def jobs_ended(self, machine: Machine, ended: list[EndedJob]) -> None:
         """Send the replies of attempts that ended at a machine."""
         fleet = self._fleet
         for done in ended:
@@ -111,7 +111,7 @@
                 arrives_at = fleet.now + fleet.delay("reply", *key)
                 fleet.at(arrives_at, front.replied, key, machine.id, done.reply)
 
-    def _complain(self, front: VirtualFront, machine: Machine, done: Done) -> None:
+    def _complain(self, front: VirtualFront, machine: Machine, done: EndedJob) -> None:
         """Report a share of the wrong answers to the front that forwarded them."""
         fleet, job = self._fleet, done.job
         if fleet.chance.at("complaint", *job.key) < fleet.day.platform.complaint_share:
--- a/umbermoor/lab/virtual/outcome.py
+++ b/umbermoor/lab/virtual/outcome.py
@@ -51,7 +51,7 @@
         "breaches": len(breaches),
         "by_rule": {str(rule): count for rule, count in by_rule(breaches).items()},
         "first": [
-            [breach.rule, breach.what, breach.query, breach.machine, _seconds(breach.at)]
+            [breach.rule, breach.description, breach.query, breach.machine, _seconds(breach.at)]
             for breach in breaches[:MAX_BREACHES_SHOWN]
         ],
         "counts": dict(sorted(ledger.counts.items())),
