--- a/umbermoor/lab/backend.py
+++ b/umbermoor/lab/backend.py
@@ -73,7 +73,7 @@
         )
         self._place: dict[str, int] = {}  # by machine
         self._wake_times: dict[str, int] = {}  # by machine
-        self._machines_made = 0
+        self._machine_count = 0
         self._release_times: set[int] = set()  # at which `Release.advance` is scheduled
         self._handled_history = 1
         self._booting: set[tuple[int, int]] = set()  # (place, build)
@@ -134,15 +134,15 @@
 
     def _add_machine(self, place: int, build: int, born: int, name: str | None = None) -> None:
         if name is None:
-            self._machines_made += 1
-            name = f"m{self._machines_made}"
+            self._machine_count += 1
+            name = f"m{self._machine_count}"
         self.machines[name] = self._placement.make_machine(name, place, build, born)
         self._place[name] = place
         self._wake_times.pop(name, None)
-        self._list(name, Readiness.READY)
+        self._update_list(name, Readiness.READY)
         self.wake(self.machines[name])
 
-    def _list(self, name: str, readiness: Readiness) -> None:
+    def _update_list(self, name: str, readiness: Readiness) -> None:
         machine = self.machines[name]
         entry = ListEntry(name, machine.build, readiness, machine.born, self._place[name])
         self.machine_list.put(entry)
@@ -178,7 +178,7 @@
         if machine.draining or machine.faults.down:
             return
         machine.draining = True
-        self._list(name, Readiness.DRAINING)
+        self._update_list(name, Readiness.DRAINING)
         drained_at = self._host.now + micros(self._day.platform.drain_s)
         self._host.at(drained_at, self._end_drain, name, machine)
 
@@ -190,7 +190,7 @@
         ended = machine.set_faults(self._host.now, down=True)
         self._host.machine_down(machine)
         self._report_ended(machine, ended)
-        self._list(name, Readiness.GONE)
+        self._update_list(name, Readiness.GONE)
 
     def _update_contention(self) -> None:
         machines = [self.machines[name] for name in self.machine_list.entries]
@@ -271,9 +271,9 @@
         at = machine.next_at()
         if at is not None and self._wake_times.get(machine.id) != at:
             self._wake_times[machine.id] = at
-            self._host.at(max(at, self._host.now), self._woken, machine, at)
+            self._host.at(max(at, self._host.now), self._wake_up, machine, at)
 
-    def _woken(self, machine: Machine, at: int) -> None:
+    def _wake_up(self, machine: Machine, at: int) -> None:
         if self._wake_times.get(machine.id) == at and self.machines.get(machine.id) is machine:
             del self._wake_times[machine.id]
             self._report_ended(machine, machine.advance(self._host.now))
--- a/umbermoor/lab/measure.py
+++ b/umbermoor/lab/measure.py
@@ -21,7 +21,7 @@
         self._day = day
         count = len(day.profile)
         self._asked = [0] * count  # this and the following: by profile
-        self._worth = [0.0] * count
+        self._achieved_values = [0.0] * count
         self._in_time = [0] * count
         self._times = [HdrHistogram(1, LONGEST, SIGNIFICANT_DIGITS) for _ in range(count)]
         self._endings: list[Counter[str]] = [Counter() for _ in range(count)]
@@ -38,7 +38,7 @@
         if due < micros(self._day.settle_s):
             return
         self._asked[profile] += 1
-        self._worth[profile] += journey.achieved_value()
+        self._achieved_values[profile] += journey.achieved_value()
         self._in_time[profile] += is_in_time and not journey.is_wrong
         self._endings[profile][ending] += 1
         self._tries += journey.tries
@@ -47,15 +47,15 @@
 
     def figures(self) -> dict[str, Any]:
         """Return the figures of all queries and of each profile, with the keys of the JSON."""
-        asked = worth = 0.0
+        possible = achieved = 0.0
         for profile, row in enumerate(self._day.profile):
-            asked += self._asked[profile] * row.value
-            worth += self._worth[profile] * row.value
+            possible += self._asked[profile] * row.value
+            achieved += self._achieved_values[profile] * row.value
         total = sum(self._asked)
         return {
             "asked": total,
             "tries_a_query": _share(self._tries, total),
-            "service": _share(worth, asked),
+            "service": _share(achieved, possible),
             "in_time": _share(sum(self._in_time), total),
             "profiles": {
                 row.name: self._profile_figures(profile)
@@ -73,7 +73,7 @@
         return {
             "asked": asked,
             "in_time": _share(self._in_time[profile], asked),
-            "service": _share(self._worth[profile], asked),
+            "service": _share(self._achieved_values[profile], asked),
             "endings": dict(sorted(self._endings[profile].items())),
             "ms": percentiles,
         }
@@ -93,7 +93,7 @@
         return "in time"
     if journey.served_at:
         return "late"
-    return journey.endings[-1].value if journey.endings else NEVER_ASKED
+    return journey.results[-1].value if journey.results else NEVER_ASKED
 
 
 def _share(part: float, whole: float) -> float:
