--- a/umbermoor/planner/__init__.py
+++ b/umbermoor/planner/__init__.py
@@ -1,2 +1,5 @@
-"""The capacity planner: what breaks first, how many machines hold the goal, what losing a group
-does. docs/planner.md."""
+"""Capacity planner.
+
+Reports which resource limit a fleet reaches first, how many machines the latency goal needs and
+what the loss of a machine group does to it. See docs/planner.md.
+"""
--- a/umbermoor/planner/check.py
+++ b/umbermoor/planner/check.py
@@ -1,5 +1,8 @@
-"""Predicted against measured: the plan's figures in virtual time, and the same days on loopback
-with stand-ins."""
+"""Compares the planner's predictions with measurements.
+
+Predictions come from simulated runs in virtual time; measurements from the same days run in real
+time on loopback, with stand-ins for the machines.
+"""
 
 from concurrent.futures import ThreadPoolExecutor
 from math import ceil
@@ -20,12 +23,16 @@
 from umbermoor.planner.search import Edge, falling, gather
 from umbermoor.planner.sheets import Fleet
 
-AT = (0.7, 0.85, 1.0, 1.15, 1.3)  # times the predicted load, that are played
+# The loads that are measured, as multiples of the predicted load.
+AT = (0.7, 0.85, 1.0, 1.15, 1.3)
+# Tolerated deviations: relative for loads and machine counts, absolute for shares in time.
 WITHIN, SHARE_WITHIN = 0.15, 0.02
-SIDE_BY_SIDE = 2
+SIDE_BY_SIDE = 2  # loopback runs at the same time
 
 
 class Row(NamedTuple):
+    """One line of the comparison; the field names are the keys of the JSON output."""
+
     what: str
     predicted: float | None
     measured: float | None
@@ -41,6 +48,10 @@
     out: str | None,
     quiet: bool,
 ) -> int:
+    """Print the comparison and write it as JSON to ``out``, if given.
+
+    Returns the exit code: 0 if every measurement is within its tolerance, otherwise 1.
+    """
     console = Console(stderr=True, quiet=quiet)
     rows = measure(demand, fleet, arrivals, seconds, lambda text: console.print(text))
     shown = Table(
@@ -64,6 +75,10 @@
 def measure(
     demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]], seconds: float, told
 ) -> list[Row]:
+    """Predict the fleet's limits, measure them on loopback and return the comparison.
+
+    ``told`` is called with a line of text for each step of progress.
+    """
     planner = Planner(demand, fleet)
     players = Players(demand, fleet, arrivals)
     try:
@@ -75,7 +90,7 @@
         edge: Edge | None = found.get("load")
         if (
             lost and edge is not None and edge.mid
-        ):  # near the limit of what is left, where a share tells something
+        ):  # at the limit of the remaining groups, where the share in time is informative
             left = 1 - _capacity(fleet.group[0]) / fleet.capacity
             loss = Question(
                 "loss", float(f"{max(planner.now, edge.mid * left):.4g}"), fleet.machines, 1, lost
@@ -134,6 +149,8 @@
     seconds: float,
     told,
 ) -> dict[str, dict[str, Any]]:
+    """Run every scenario on loopback, ``SIDE_BY_SIDE`` at a time, and return outcomes by name."""
+
     def one(name: str) -> tuple[str, dict[str, Any]]:
         day = day_for(questions[name], demand, fleet)
         day = day.changed(
@@ -153,7 +170,7 @@
 
 
 def _worst(outcome: dict[str, Any], planner: Planner) -> float:
-    """How far the worst profile lies above its goal."""
+    """Return the least margin of any profile's share in time above its goal."""
     return min(
         row["in_time"] - goal
         for row, goal in zip(outcome["profiles"].values(), planner.goals)
@@ -189,7 +206,7 @@
 
 
 def crossing(curve: list[tuple[float, float]]) -> float | None:
-    """Where a falling curve goes through 0, between its points; None if it does not."""
+    """Return where a falling curve crosses 0, by linear interpolation, or None if it does not."""
     for (at, value), (after, following) in zip(curve, curve[1:]):
         if value >= 0 > following:
             return at + (after - at) * value / (value - following)
@@ -208,7 +225,9 @@
         f"{questions['fewer'].machines} {'held' if fewer else 'did not hold'}, {questions['more'].machines} "
         f"{'held' if more else 'did not hold'}"
     )
-    if questions["fewer"].machines >= count:  # there is no smaller fleet
+    if (
+        questions["fewer"].machines >= count
+    ):  # a smaller fleet than the predicted one does not exist
         fewer, words = (
             False,
             f"{questions['more'].machines} {'held' if more else 'did not hold'}; fewer there are none",
--- a/umbermoor/planner/command.py
+++ b/umbermoor/planner/command.py
@@ -46,7 +46,7 @@
 
 
 class Refused(Exception):
-    """What was asked cannot be done: one line."""
+    """The request cannot be carried out; the message is one line for the user."""
 
 
 def main(words: list[str]) -> int:
@@ -96,8 +96,8 @@
             fleet = structs.replace(fleet, growth=growth)
     except ValueError:
         raise Refused(
-            "--goal: expected a percentage between 0 and 100; --growth: numbers above 0, comma "
-            "between"
+            "--goal: expected a percentage between 0 and 100; --growth: expected numbers above 0, "
+            "separated by commas"
         ) from None
     return fleet
 
--- a/umbermoor/planner/fit.py
+++ b/umbermoor/planner/fit.py
@@ -1,10 +1,12 @@
-"""What a capture tells of the demand: load, bursts, work, retries; each with an interval, and what
-it cannot tell.
+"""Estimates the demand from a capture: load, bursts, work per query and retries.
 
-Without I/O. The work of a query is told apart from its wait: of the answers of machines that held
-nothing else of this front's, and that were neither cold nor sick, the wait behind other fronts'
-queries is taken off by Erlang's formula, with
-the load that the work itself comes to (a fixed point).
+Each estimate carries a confidence interval; what the capture cannot show is listed as an
+assumption. The module does no I/O.
+
+Service times include queueing, so the work of a query is separated from its wait. Only answers are
+used from machines that were neither cold nor unhealthy and that held no other query of this front.
+The wait behind other fronts' queries is then subtracted with Erlang's formula; since that wait
+depends on the load that the work causes, both are solved as a fixed point.
 """
 
 from collections.abc import Sequence
@@ -18,31 +20,39 @@
 from umbermoor.lab.statistics import Interval, bootstrap, share_interval
 from umbermoor.planner.queueing import mean_wait
 
-BLOCK = 5 * SECOND  # what lies so near in time is drawn together for intervals
-LEAST_ROWS, LEAST_SPAN = 200, 10 * SECOND  # below these a capture is too short
-SICK = 2.0  # a machine that takes so many times as long as the middle one is sick
-SICK_LEAST = 8  # outcomes of a machine below which it is not judged
-OVERHEAD_US = 1_000  # of an answer's time, what is not work: both ways, and the front's own
+# Block length of the block bootstrap: rows so near in time are correlated and resampled together.
+BLOCK = 5 * SECOND
+LEAST_ROWS, LEAST_SPAN = 200, 10 * SECOND  # below either of these a capture is reported as short
+SICK = 2.0  # a machine is unhealthy if its median time exceeds the median machine's by this factor
+SICK_LEAST = 8  # a machine with fewer outcomes is not judged
+OVERHEAD_US = 1_000  # part of an answer's time that is not work: network both ways and the front
 
 
 class ProfileDemand(NamedTuple):
+    """The estimated demand of one request profile.
+
+    The class and field names are part of the signature of kept answers (``Players``).
+    """
+
     name: str
-    rate: Interval  # queries asked anew in a second
+    rate: Interval  # queries per second, without retries
     work_ms: Interval
     work_cv: float
-    hint_cv: float  # how far hints lie from the work
+    hint_cv: float  # coefficient of variation of the hints' error about the work
     repeat: str
     aim_ms: float
     patience_ms: float
 
 
 class Demand(NamedTuple):
+    """The estimated demand of the whole fleet."""
+
     profiles: tuple[ProfileDemand, ...]
     seconds: float
     rows: int
-    peak: float  # the highest rate of a tenth of the capture over the mean
-    burstiness: Interval  # variance over mean of the queries in a second; 1: as chance has it
-    retry_share: Interval  # of the queries, those that were asked again
+    peak: float  # the highest rate of any tenth of the capture, relative to the mean
+    burstiness: Interval  # variance over mean of the queries per second; 1 for a Poisson process
+    retry_share: Interval  # share of the queries that are retries
     denied_share: Interval
     sick: tuple[str, ...]
     cold_rows: int
@@ -55,13 +65,13 @@
 
     @property
     def work_ms(self) -> float:
-        """Of a mean query."""
+        """The mean work of a query over all profiles."""
         total = self.rate.mid or 1.0
         return sum(one.rate.mid * one.work_ms.mid for one in self.profiles) / total
 
     @property
     def work_error(self) -> float:
-        """The relative half-width of the work's interval, of all profiles together."""
+        """The relative half-width of the interval of the work, over all profiles."""
         total = sum(one.rate.mid * one.work_ms.mid for one in self.profiles) or 1.0
         return (
             sum(one.rate.mid * (one.work_ms.high - one.work_ms.low) / 2 for one in self.profiles)
@@ -78,9 +88,22 @@
     marked: bool = True,
     given_work: dict[str, float] | None = None,
 ) -> Demand:
-    """The demand of the whole fleet, from one front's rows of ``fronts`` that are asked alike.
-    ``warm`` is the time in microseconds within which a machine counts as cold; ``given_work`` what
-    the fleet's sheet says of the work, in ms."""
+    """Estimate the demand of the whole fleet from the capture of one front.
+
+    The other fronts are assumed to receive the same load.
+
+    Args:
+        header_profiles: The profiles in the header of the capture.
+        rows: The queries of the capture, in order of arrival.
+        fronts: Number of fronts in the fleet.
+        fleet_workers: Number of workers of all machines.
+        warm: Time after its start for which a machine counts as cold, in microseconds.
+        marked: Whether clients mark their retries.
+        given_work: Work by profile from the fleet file, in ms; takes precedence over the capture.
+
+    Raises:
+        ValueError: The capture has no queries, no load or too few answers of a profile.
+    """
     given_work = given_work or {}
     assumptions: list[str] = []
     if not rows:
@@ -161,8 +184,7 @@
 
 
 def _sick(rows: list[Row]) -> set[str]:
-    """Machines whose answers take far longer than the middle machine's, or that fail where the
-    others do not."""
+    """Return the machines that are far slower than the median machine or fail far more often."""
     times: dict[str, list[int]] = {}
     tried: dict[str, list[bool]] = {}
     for row in rows:
@@ -184,12 +206,15 @@
 
 class _Sample(NamedTuple):
     came: int
-    took: float  # without the overhead
+    took: float  # service time in microseconds, without the overhead
     hint: int | None
 
 
 def _samples(rows: list[Row], sick: set[str]) -> list[_Sample]:
-    """Answers of machines that held nothing else of this front's when they were asked."""
+    """Return the answers of machines that held no other query of this front at hand-off.
+
+    With fewer than 20 of these, all answers to queries with a single hand-off are used.
+    """
     done = [
         row
         for row in rows
@@ -208,8 +233,10 @@
     machines: int,
     fleet_workers: int,
 ) -> float:
-    """The mean wait behind other fronts' work, in microseconds, of a query that finds none of this
-    front's."""
+    """Return the mean wait behind other fronts' queries, in microseconds.
+
+    It applies to a query that finds no other query of its own front at the machine.
+    """
     if fronts < 2 or not fleet_workers:
         return 0.0
     counts = {
@@ -229,7 +256,7 @@
         counts[place] or 1 for place in means
     )
     wait = 0.0
-    for _ in range(30):  # the work is what is left of the time; its load makes the wait
+    for _ in range(30):  # fixed point: work is time less wait, and the wait follows from the work
         work = max(taken * 0.2, taken - wait)
         wait = min(0.8 * taken, mean_wait(others, work, workers, 1.0))
     return wait
@@ -243,7 +270,11 @@
     given: dict[str, float],
     assumptions: list[str],
 ) -> tuple[Interval, float, float]:
-    """Mean work in ms, its coefficient of variation, and that of the hints about it."""
+    """Return the mean work in ms, its coefficient of variation and that of the hints.
+
+    Raises:
+        ValueError: There are too few samples, and the fleet file does not give the work.
+    """
     if name in given:
         assumptions.append(f"work of {name}: {given[name]:g} ms, as the fleet's sheet says")
         return (
@@ -253,7 +284,7 @@
         )
     if len(samples) < 5:
         raise ValueError(
-            f"the capture holds {len(samples)} answers to {name}, which tell nothing of its work: give "
+            f"the capture holds {len(samples)} answers to {name}, too few to estimate its work: give "
             f"profile {name!r} a work-ms in the fleet's sheet"
         )
     blocks: dict[int, list[float]] = {}
@@ -270,7 +301,10 @@
 
 
 def _cv(samples: list[_Sample]) -> float:
-    """By the spread of logarithms: long waits of a few weigh less there."""
+    """Return the coefficient of variation, from the variance of the logarithms.
+
+    On the logarithmic scale a few long waits have less weight.
+    """
     logs = [log(one.took) for one in samples]
     mean = sum(logs) / len(logs)
     s2 = sum((one - mean) ** 2 for one in logs) / max(1, len(logs) - 1)
@@ -278,6 +312,10 @@
 
 
 def _hint_cv(samples: list[_Sample]) -> float:
+    """Return the spread of hint over work: the scaled median absolute deviation of its logarithm.
+
+    The factor 1.4826 makes it agree with the standard deviation of a normal distribution.
+    """
     hinted = [log(one.hint / one.took) for one in samples if one.hint]
     if len(hinted) < 5:
         return 0.3
@@ -286,7 +324,10 @@
 
 
 def _rate(rows: list[Row], first: int, last: int, fronts: int, chance: Chance) -> Interval:
-    """Queries a second of the whole fleet, by blocks of time."""
+    """Return the queries per second of the whole fleet, with an interval over blocks of time.
+
+    If there are too few blocks for the bootstrap, the interval is that of a Poisson count.
+    """
     count = max(1, (last - first) // BLOCK)
     blocks = [0] * count
     width = (last - first) / count or 1
@@ -301,6 +342,7 @@
 
 
 def _peak(rows: list[Row], first: int, last: int) -> float:
+    """Return the rate of the busiest tenth of the capture, relative to the mean rate."""
     tenths = [0] * 10
     for row in rows:
         tenths[min(9, int(10 * (row.came - first) / max(1, last - first)))] += 1
@@ -308,7 +350,11 @@
 
 
 def _burstiness(rows: list[Row], first: int, last: int, chance: Chance) -> Interval:
-    """Index of dispersion by second, within blocks: a slow wave is no burst."""
+    """Return the index of dispersion of the queries per second.
+
+    It is computed within blocks of 5 seconds, so that slow changes of the load do not count as
+    bursts.
+    """
     seconds = [0] * max(1, (last - first) // SECOND)
     for row in rows:
         at = (row.came - first) // SECOND
--- a/umbermoor/planner/limits.py
+++ b/umbermoor/planner/limits.py
@@ -1,9 +1,8 @@
-"""Every limit of a fleet as a row: what it holds, and the load at which it is reached; in closed
-form, without I/O.
+"""Computes every resource limit of a fleet and the load at which it is reached, in closed form.
 
-These rows bracket what is then played out in virtual time (``search``), and stand for the limits
-that a short play cannot
-reach. All loads are queries asked anew in a second, by the whole fleet, in the capture's mix.
+The results bracket the searches by simulation in virtual time (``search``) and are the only
+estimate of limits that a short run cannot reach. All loads are queries per second of the whole
+fleet, without retries, in the capture's mix of profiles. The module does no I/O.
 """
 
 from collections.abc import Callable
@@ -15,21 +14,24 @@
 from umbermoor.planner.queueing import erlang_c, highest_rate, late_share
 from umbermoor.planner.sheets import Fleet
 
-RESERVE = 32  # descriptors that a front keeps for other things
-CLIENTS_PART = 3  # clients hold at most one in so many of a front's descriptors
-TELLING = 10  # outcomes of a trial below which a stage is judged by the clock alone
-LIST_EVERY = 2.0  # seconds between a front's calls of the list
+RESERVE = 32  # descriptors that a front keeps for purposes other than connections
+CLIENTS_PART = 3  # clients use at most 1/CLIENTS_PART of a front's descriptors
+TELLING = 10  # with fewer outcomes of a trial, a stage is judged by its duration alone
+LIST_EVERY = 2.0  # seconds between a front's requests for the list of machines
 
 
 class Limit(NamedTuple):
+    """A limit of the fleet and the load at which it is reached."""
+
     name: str
-    reached: Interval  # the load; inf: at no load; 0: at any
+    reached: Interval  # the load; inf if no load reaches the limit, 0 if every load does
     why: str
-    below: bool = False  # reached when the load is lower, not higher
-    case: str = ""  # reached only then
+    below: bool = False  # whether the limit is reached by loads below ``reached``, not above it
+    case: str = ""  # the event that the limit presumes, or empty if it always applies
 
 
 def limits(demand: Demand, fleet: Fleet) -> list[Limit]:
+    """Return all limits in the order in which a growing load reaches them."""
     rows = [
         _work(demand, fleet),
         *_goals(demand, fleet),
@@ -49,7 +51,7 @@
 
 
 def mixed_work(demand: Demand) -> tuple[float, float]:
-    """Mean work in seconds of a query of the mix, and its coefficient of variation."""
+    """Return the mean work of a query of the mix in seconds and its coefficient of variation."""
     total = demand.rate.mid or 1.0
     mean = sum(one.rate.mid * one.work_ms.mid for one in demand.profiles) / total / 1000
     square = (
@@ -63,12 +65,12 @@
 
 
 def widened(value: float, error: float) -> Interval:
-    """By the relative error of the work."""
+    """Return the value with bounds at the given relative error."""
     return Interval(value, value * max(0.0, 1 - error), value * (1 + error))
 
 
 def highest(fits: Callable[[float], bool], top: float) -> float:
-    """The highest load up to ``top`` that fits, by bisection; inf if the top does."""
+    """Return the highest load up to ``top`` that fits, by bisection, or inf if ``top`` fits."""
     if fits(top):
         return inf
     low, high = 0.0, top
@@ -79,12 +81,17 @@
 
 
 def saturation(demand: Demand, fleet: Fleet) -> float:
+    """Return the load at which all workers are busy all the time."""
     return fleet.capacity / mixed_work(demand)[0]
 
 
 def goal_bracket(demand: Demand, fleet: Fleet) -> tuple[float, float]:
-    """Loads between which the goal breaks: as if each machine were asked alike by chance, and as if
-    all workers stood at one queue. 0 and 0 where the work alone forbids the goal."""
+    """Return a lower and an upper bound of the load at which the goal is missed.
+
+    The lower bound takes random assignment of queries to machines, each with a queue of its own;
+    the upper bound takes all workers as one pool with a single queue. Both are 0 if the work alone
+    exceeds the target time too often.
+    """
     lows, highs = [], []
     work, cv = mixed_work(demand)
     for one in demand.profiles:
@@ -94,7 +101,7 @@
         slowest = min(group.speed for group in fleet.group)
         if late_share(1e-9, mean / max(group.speed for group in fleet.group), 1, own, aim) > late:
             return 0.0, 0.0
-        factor = work / mean  # loads of the mix for loads of this profile's work
+        factor = work / mean  # converts loads of this profile's work into loads of the mix
         workers = max(1, round(fleet.capacity))
         pooled = highest_rate(mean, workers, max(own, cv), aim, late)
         lone = sum(
@@ -151,7 +158,7 @@
 
 
 def _queue(demand: Demand, fleet: Fleet) -> Limit:
-    """More are turned away by full queues than the goal allows; a lone queue a machine."""
+    """Full queues reject more queries than the goal allows; each machine has its own queue."""
     work, _ = mixed_work(demand)
     most = 1 - max(fleet.goal_of(one.name) for one in demand.profiles)
 
@@ -174,7 +181,10 @@
 
 
 def _held(load: float, demand: Demand, fleet: Fleet) -> float:
-    """Queries that are in hand at once in the whole fleet, with waits by the pooled formula."""
+    """Return the mean number of concurrent queries in the whole fleet (Little's law).
+
+    The wait is that of one pool of all workers.
+    """
     work, cv = mixed_work(demand)
     workers = max(1, round(fleet.capacity))
     from umbermoor.planner.queueing import mean_wait
@@ -188,7 +198,7 @@
     def fits(load: float) -> bool:
         each = (
             _held(load, demand, fleet) / fleet.machines / fleet.front.count
-        )  # a front's at one machine
+        )  # queries of one front at one machine
         lines = fleet.front.count * (each + 3 * sqrt(each) + 1)
         return lines <= min(group.connections for group in fleet.group)
 
@@ -266,7 +276,7 @@
 
 
 def _cold(demand: Demand, fleet: Fleet) -> Limit:
-    """The largest group comes back cold: the rest and what the cold may be sent must carry all."""
+    """The largest group returns cold: the rest, and its reduced capacity, must carry the load."""
     work, _ = mixed_work(demand)
     largest = max(fleet.group, key=lambda one: one.machines * one.workers * one.speed)
     lost = largest.machines * largest.workers * largest.speed
@@ -280,8 +290,11 @@
 
 
 def _retries(demand: Demand, fleet: Fleet) -> Limit:
-    """In closed form only a bracket: all tries of a lost query cost machine work, or none beyond
-    the first."""
+    """Bracket the load above which retries keep an overload going.
+
+    The lower bound assumes that every try of a failed query costs machine work, the upper bound
+    that only the first does.
+    """
     work, _ = mixed_work(demand)
     top = fleet.capacity / work
     cost = fleet.front.cpu_us or fleet.limits.front_cpu_us
@@ -299,7 +312,7 @@
 
 
 def _evidence(demand: Demand, fleet: Fleet) -> Limit:
-    """Too little load to judge the first stage by its own outcomes."""
+    """The load is too low to judge the first stage of a rollout by its own outcomes."""
     first = fleet.platform.stages[0]
     safe = sum(
         one.rate.mid
@@ -318,8 +331,11 @@
 
 
 def _guarded(demand: Demand, fleet: Fleet) -> Limit:
-    """The cap on the trial, by its machines' share: hand-offs that it may have for those that its
-    machines could take."""
+    """The cap on the trial build's hand-offs is below its share of the machines.
+
+    Above the returned load the hand-offs that are exempt from the cap do not make up for the
+    difference.
+    """
     first = fleet.platform.stages[0]
     machines = max(1, round(first * fleet.machines)) / (
         fleet.machines + max(1, round(first * fleet.machines))
--- a/umbermoor/planner/page.py
+++ b/umbermoor/planner/page.py
@@ -1,4 +1,4 @@
-"""The plan as one page, with its curves in it."""
+"""Renders the plan as an HTML page with its charts embedded."""
 
 from html import escape
 from typing import Any
@@ -8,6 +8,7 @@
 
 
 def plan_page(answer: dict[str, Any]) -> str:
+    """Return the HTML page of a plan as ``Planner.answer`` returns it."""
     parts = []
     if answer["partial"]:
         parts.append("<p class=bad>A partial answer: it was ended before all was played.</p>")
--- a/umbermoor/planner/plan.py
+++ b/umbermoor/planner/plan.py
@@ -1,5 +1,8 @@
-"""The plan: limits in closed form, and searches over plays where these only bracket. Without I/O:
-plays are asked for."""
+"""Builds the plan from limits in closed form and from searches over simulated runs.
+
+The searches are used where the closed form only gives bounds. The module does no I/O: the caller
+supplies the function that runs the simulations.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -19,14 +22,20 @@
 )
 from umbermoor.planner.sheets import Fleet
 
-STEP = 0.03  # relative, to which a load is searched
+STEP = 0.03  # relative resolution of the search for a load
 SEEDS = 3
-MACHINES_MOST = 20  # times as many as there are, beyond which the number is not looked for
-FLOOR_PART = 0.02  # of saturation; below that a load is called none
+MACHINES_MOST = 20  # the search for machines stops at this multiple of the present number
+FLOOR_PART = 0.02  # the search for a load stops at this fraction of saturation
 
 
 class Planner:
-    """All searches of one plan. ``play`` answers questions; ``told`` hears how many were played."""
+    """Defines the searches of one plan, runs them and assembles the result.
+
+    Args:
+        demand: The demand estimated from the capture.
+        fleet: The fleet to plan for.
+        seeds: Number of runs of each scenario, each with its own seed.
+    """
 
     def __init__(self, demand: Demand, fleet: Fleet, seeds: int = SEEDS) -> None:
         self.demand, self.fleet, self.seeds = demand, fleet, seeds
@@ -38,6 +47,10 @@
         self.played: dict[Question, Answer] = {}
 
     def searches(self) -> dict[str, Search]:
+        """Return all searches of the plan by name.
+
+        Searches for the goal are left out if the closed form shows that no fleet can meet it.
+        """
         fleet, found = self.fleet, {}
         if self.high > 0:
             found["load"] = self._load("steady")
@@ -114,8 +127,11 @@
     def run(
         self, play: Callable[[list[Question]], Answers], found: dict[str, Any] | None = None
     ) -> dict[str, Any]:
-        """What each search found, put into ``found`` as it is: who ends the run early has what is
-        there by then."""
+        """Run all searches and return their results by name.
+
+        Results are stored in ``found`` as soon as they are there, so that a caller that interrupts
+        the run has those found by then.
+        """
 
         def noted(questions: list[Question]) -> Answers:
             answers = play(questions)
@@ -125,7 +141,7 @@
         return gather(self.searches(), noted, found)
 
     def curve(self) -> dict[str, list[tuple[float, float]]]:
-        """Share in time of the worst profile against load, as played, and never rising."""
+        """Return the worst profile's share in time by load, fitted by a curve that never rises."""
         found: dict[str, dict[float, list[Answer]]] = {}
         for question, answer in self.played.items():
             if question.kind in ("steady", "loss") and question.machines == self.fleet.machines:
@@ -144,9 +160,13 @@
             for name, loads in sorted(found.items())
         }
 
-    # What the answer says.
-
     def answer(self, found: dict[str, Any], partial: bool = False) -> dict[str, Any]:
+        """Return the plan as the JSON output has it.
+
+        Args:
+            found: Results of the searches by name.
+            partial: Whether the run was interrupted, so that results may be missing.
+        """
         fleet, demand = self.fleet, self.demand
         names = [one.name for one in demand.profiles]
 
@@ -227,8 +247,11 @@
         }
 
     def _rows(self, found: dict[str, Any]) -> list[dict[str, Any]]:
-        """The limits in the order in which load reaches them; those that the plays decided stand
-        with what they found."""
+        """Return the limits in the order in which a growing load reaches them.
+
+        A limit that a search has found by simulation carries that result in place of the closed
+        form.
+        """
         rows = []
         for one in self.rows:
             if one.below:
@@ -293,7 +316,7 @@
 
 
 def situations(answer: dict[str, Any]) -> list[tuple[str, dict[str, Any]]]:
-    """The shares in time at the present load, by what has happened; those that were played."""
+    """Return the shares in time at the present load for each simulated situation, by its name."""
     shown = [("now", answer["now"]), ("rolling replacement", answer["replacement"])]
     shown += [(f"without {name}", one["share"]) for name, one in answer["loss"].items()]
     shown += [(f"{name} returns cold", one) for name, one in answer["cold_return"].items()]
@@ -302,7 +325,7 @@
 
 
 def _clipped(one: Interval) -> Interval:
-    """A share lies between 0 and 1."""
+    """Return the interval of a share, limited to between 0 and 1."""
     return Interval(*(min(1.0, max(0.0, value)) for value in one))
 
 
--- a/umbermoor/planner/players.py
+++ b/umbermoor/planner/players.py
@@ -1,4 +1,7 @@
-"""Plays questions on all cores, and keeps the answers so that a plan that was ended goes on."""
+"""Runs scenarios on a pool of processes and stores their results.
+
+With the stored results an interrupted plan can be resumed.
+"""
 
 import os
 from collections.abc import Callable
@@ -20,7 +23,7 @@
 
 def _tell(demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]]) -> None:
     global _told
-    os.nice(5)  # plays give way to what is measured in real time beside them
+    os.nice(5)  # yield the CPU to measurements in real time on the same machine
     _told = demand, fleet, arrivals
 
 
@@ -31,7 +34,17 @@
 
 
 class Players:
-    """A pool for one plan. ``kept`` is a file of answers, or None."""
+    """A process pool that runs the scenarios of one plan.
+
+    Args:
+        demand: The demand estimated from the capture.
+        fleet: The fleet to plan for.
+        arrivals: Time and profile of each captured query.
+        kept: File to which results are appended and from which they are reused, or None. Each line
+            carries a signature of the plan's inputs; lines of other plans are ignored.
+        told: Called with the numbers of completed and of requested runs after each run.
+        workers: Number of processes; all cores if None.
+    """
 
     def __init__(
         self,
@@ -61,7 +74,7 @@
         )
 
     def _read(self) -> dict[Question, Answer]:
-        """What an earlier run of the same plan left; a torn line is passed over."""
+        """Read the results of an earlier run of the same plan, skipping truncated lines."""
         known = {}
         if self._kept is not None and self._kept.exists():
             for line in self._kept.read_bytes().splitlines():
@@ -76,6 +89,7 @@
         return known
 
     def ask(self, questions: list[Question]) -> Answers:
+        """Return the results of all scenarios, running those that have none yet."""
         found = {one: self._known[one] for one in questions if one in self._known}
         todo = [one for one in questions if one not in found]
         self._asked += len(todo)
--- a/umbermoor/planner/questions.py
+++ b/umbermoor/planner/questions.py
@@ -1,5 +1,7 @@
-"""A question to the virtual fleet, as a day to play; and what is read out of the answer. Without
-I/O."""
+"""Scenarios to simulate: their translation into a day of the laboratory, and their results.
+
+The module does no I/O.
+"""
 
 from collections.abc import Iterator
 from math import ceil
@@ -15,39 +17,46 @@
 from umbermoor.planner.fit import Demand
 from umbermoor.planner.sheets import Fleet
 
-QUERIES = 5000  # that a play aims at
-SHORTEST, LONGEST = 8.0, 60.0  # seconds of a play
-SETTLE = 2.0
-LEAST_PART = 0.2  # of a play's queries that a capture must hold to be replayed
+QUERIES = 5000  # queries that the length of a run is chosen for
+SHORTEST, LONGEST = 8.0, 60.0  # bounds of the length of a run, in seconds
+SETTLE = 2.0  # seconds at the start of a run before its load is evaluated
+LEAST_PART = 0.2  # a capture with a smaller part of a run's queries is not replayed
+# A burst: its factor on the load, its seconds, and the seconds within which it should have drained.
 BURST_TIMES, BURST_FOR, DRAINED = (
     3.0,
     4.0,
     8.0,
-)  # a burst, and seconds after it in which it should have drained
+)
 
 
 class Question(NamedTuple):
+    """A scenario to simulate: a load, a number of machines and an event."""
+
     kind: str  # steady, loss, replace, cold, build, burst
     load: float
-    machines: int  # of the whole fleet
+    machines: int  # in the whole fleet
     seed: int
-    what: str = ""  # the group that is lost or returns, or the place of the build
+    what: str = ""  # the group that is lost or returns, or the index of the build
 
 
 class Answer(NamedTuple):
-    in_time: tuple[float, ...]  # by profile
-    asked: tuple[int, ...]
+    """The result of one run."""
+
+    in_time: tuple[float, ...]  # share of queries within the target time, by profile
+    asked: tuple[int, ...]  # number of queries, by profile
     service: float
     tries: float
     breaches: int
     stages: tuple[tuple[float, int, int, str], ...]
-    tail_in_time: float  # of the last seconds alone
-    by_second: tuple[tuple[int, int], ...]  # asked, in time
+    tail_in_time: float  # share in time over the last seconds of the run
+    by_second: tuple[tuple[int, int], ...]  # queries and queries in time, for each second
 
 
 def sized(groups: tuple[Group, ...], machines: int) -> tuple[Group, ...]:
-    """The groups with so many machines in all, in step with what they have; the largest remainders
-    get what is left. A group that would have none is left out."""
+    """Scale the groups to the given total of machines, in proportion to their sizes.
+
+    Uses the largest remainder method; a group left with no machines is dropped.
+    """
     total = sum(one.machines for one in groups)
     exact = [one.machines * machines / total for one in groups]
     counts = [int(one) for one in exact]
@@ -60,6 +69,7 @@
 
 
 def day_for(question: Question, demand: Demand, fleet: Fleet) -> Day:
+    """Translate a scenario into a day that the laboratory can run."""
     length = max(SHORTEST, min(LONGEST, QUERIES / question.load)) + SETTLE
     groups = sized(fleet.group, question.machines)
     troubles, builds, burst = (), (), ()
@@ -124,9 +134,15 @@
 
 
 def replayed(day: Day, demand: Demand, arrivals: list[tuple[int, int]]) -> Iterator[Wish] | None:
-    """The capture's own arrivals (time and profile), at the day's rate: their bursts stay as they
-    were, and each seed begins elsewhere in them. None where the capture is shorter than the play
-    needs, or the day has bursts of its own."""
+    """Replay the captured arrivals (time and profile) at the rate of the day.
+
+    Time is scaled, so that the bursts of the capture are preserved. Each seed starts at another
+    point of the capture, which repeats where the run is longer.
+
+    Returns:
+        The queries in order of arrival, or None if the capture holds too few queries for the run
+        or the day defines bursts of its own.
+    """
     if (
         day.load.burst
         or not arrivals
@@ -137,14 +153,14 @@
     first, span = arrivals[0][0], arrivals[-1][0] - arrivals[0][0] + 1
     pace = (
         len(arrivals) * demand.fronts * SECOND / span / day.load.rate
-    )  # how much slower than it was
+    )  # the factor by which time is stretched
     length = round(day.length_s * SECOND)
     merged = []
     for front in range(
         demand.fronts
-    ):  # of one front: others are asked alike, at other times of the capture
+    ):  # the capture is of one front; the others replay it with an offset of their own
         shift = round(chance.at("shift", front) * span)
-        for turn in range(ceil(length / (span * pace))):  # it begins anew where the play is longer
+        for turn in range(ceil(length / (span * pace))):  # repeat the capture if the run is longer
             for at, profile in arrivals:
                 due = round(((at - first - shift) % span + turn * span) * pace)
                 if due < length:
@@ -163,10 +179,12 @@
 
 
 def arrivals_of(rows: list[Row], marked: bool) -> list[tuple[int, int]]:
+    """Return time and profile of each captured query, without retries if these are marked."""
     return [(row.came, row.profile) for row in rows if not (marked and row.repeated)]
 
 
 def read_answer(outcome: dict[str, Any]) -> Answer:
+    """Extract the result of a run from the laboratory's report."""
     rows = list(outcome["profiles"].values())
     seconds = tuple((sum(one.values()), one.get("in time", 0)) for one in outcome["series"])
     tail = seconds[-5:-1] or seconds
@@ -184,7 +202,7 @@
 
 
 def shares(answers: list[Answer]) -> list[Interval]:
-    """In time by profile, over seeds."""
+    """Return each profile's mean share in time, with its interval over the seeds."""
     return [
         mean_interval([one.in_time[place] for one in answers])
         for place in range(len(answers[0].in_time))
@@ -202,8 +220,10 @@
 
 
 def drains(answers: list[Answer]) -> bool:
-    """Whether a burst is over some seconds after it: the last seconds are nearly as good as those
-    before it."""
+    """Whether the fleet recovers from a burst in every run.
+
+    It does if the share in time of the last seconds is at most 0.05 below that before the burst.
+    """
     worst = min(one.tail_in_time for one in answers)
     before = min(_share(one.by_second[int(SETTLE) : int(SETTLE) + 5]) for one in answers)
     return worst >= before - 0.05
@@ -215,7 +235,7 @@
 
 
 def by_stage(answer: Answer) -> list[tuple[str, float]]:
-    """Share in time while each stage stood."""
+    """Return the share in time during each stage of a rollout, by the stage's description."""
     found = []
     for (at, build, stage, phase), following in zip(answer.stages[1:], [*answer.stages[2:], None]):
         end = following[0] if following else len(answer.by_second)
--- a/umbermoor/planner/queueing.py
+++ b/umbermoor/planner/queueing.py
@@ -1,22 +1,27 @@
-"""Waiting in a station of several workers, in closed form; the bounds that bracket what is played
-out.
+"""Closed-form queueing formulas for a station of several workers.
+
+They bracket the searches by simulation.
 
 Sources: Erlang (1917) for the probability of waiting; Allen (1978) and Cunneen for general work and
-arrivals. Times are in any one unit; load is arrivals in that unit.
+arrivals. All times are in the same unit, and rates are arrivals per that unit.
 """
 
 from math import erf, erfc, exp, log, sqrt
 
 
 def erlang_c(workers: int, offered: float) -> float:
-    """The probability that an arrival waits, at an offered load in workers (Poisson arrivals,
-    exponential work)."""
+    """Return the probability that an arrival waits (Poisson arrivals, exponential work).
+
+    ``offered`` is the offered load in units of workers.
+    """
     if offered >= workers:
         return 1.0
     if offered <= 0:
         return 0.0
     blocked = 1.0
-    for count in range(1, workers + 1):  # the recursion for Erlang's B; stable at any size
+    for count in range(
+        1, workers + 1
+    ):  # the recursion for Erlang B, numerically stable for any number of workers
         blocked = offered * blocked / (count + offered * blocked)
     return blocked / (1 - offered / workers * (1 - blocked))
 
@@ -24,7 +29,7 @@
 def mean_wait(
     rate: float, work: float, workers: int, work_cv: float, arrival_cv2: float = 1.0
 ) -> float:
-    """Allen and Cunneen's approximation; infinite from full load on."""
+    """Return the mean wait by Allen and Cunneen's approximation, infinite at full load or more."""
     offered = rate * work
     if offered >= workers:
         return float("inf")
@@ -40,14 +45,17 @@
 def late_share(
     rate: float, work: float, workers: int, work_cv: float, aim: float, arrival_cv2: float = 1.0
 ) -> float:
-    """The share that takes longer than the aim: lognormal work by its quantiles, plus a wait that
-    is exponential with the probability and mean above."""
+    """Return the share of queries whose work and wait together take longer than ``aim``.
+
+    The work is lognormal, summed over its quantiles. The wait is exponential, with the probability
+    of ``erlang_c`` and the mean of ``mean_wait``.
+    """
     offered = rate * work
     if offered >= workers:
         return 1.0
     waits = erlang_c(workers, offered)
     mean = mean_wait(rate, work, workers, work_cv, arrival_cv2)
-    span = mean / waits if waits > 0 else 0.0  # of those that wait
+    span = mean / waits if waits > 0 else 0.0  # mean wait of the queries that do wait
     late = 0.0
     s2 = log(1 + work_cv * work_cv)
     middle, spread = log(work) - s2 / 2, sqrt(s2)
@@ -63,6 +71,7 @@
 
 
 def lognormal_quantile(part: float, mean: float, cv: float) -> float:
+    """Return the quantile ``part`` of a lognormal distribution."""
     if cv < 1e-6:
         return mean
     s2 = log(1 + cv * cv)
@@ -70,7 +79,7 @@
 
 
 def lognormal_above(limit: float, mean: float, cv: float) -> float:
-    """The share of lognormal amounts over a limit."""
+    """Return the probability that a lognormal variable exceeds ``limit``."""
 
     if cv < 1e-6:
         return float(mean > limit)
@@ -79,7 +88,10 @@
 
 
 def normal_quantile(part: float) -> float:
-    """By bisection on erf; exact to 1e-9."""
+    """Return a quantile of the standard normal distribution, exact to 1e-9.
+
+    It is found by bisection on erf.
+    """
 
     low, high = -9.0, 9.0
     for _ in range(60):
@@ -96,7 +108,10 @@
     late_most: float,
     arrival_cv2: float = 1.0,
 ) -> float:
-    """The load up to which no more than that share is late; 0 where the work alone forbids it."""
+    """Return the highest rate at which at most ``late_most`` of the queries are late.
+
+    The result is 0 if the work alone makes more of them late.
+    """
     if late_share(1e-9, work, workers, work_cv, aim, arrival_cv2) > late_most:
         return 0.0
     low, high = 0.0, workers / work
@@ -107,6 +122,5 @@
     return low
 
 
-_PLACES = tuple(
-    normal_quantile((step + 0.5) / 64) for step in range(64)
-)  # an even sample of normal amounts
+# 64 evenly spaced quantiles of the standard normal distribution.
+_PLACES = tuple(normal_quantile((step + 0.5) / 64) for step in range(64))
--- a/umbermoor/planner/search.py
+++ b/umbermoor/planner/search.py
@@ -1,25 +1,29 @@
-"""Searches over plays, without I/O: each is a generator that yields the questions it wants played
-and is sent the answers; ``gather`` runs many beside one another, so that a pool of processes is
-never short of work."""
+"""Searches for limits over simulated runs.
+
+Each search is a generator that yields the scenarios it needs and is sent their results. ``gather``
+advances many searches together, which keeps a pool of processes busy. The module does no I/O.
+"""
 
 from collections.abc import Callable, Generator, Hashable, Sequence
 from math import ceil, log
 from typing import Any, NamedTuple
 
 Answers = dict[Hashable, Any]
-Search = Generator[
-    list[Hashable], Answers, Any
-]  # yields questions, is sent their answers, returns what was found
+# Yields scenarios, is sent their results and returns the result of the search.
+Search = Generator[list[Hashable], Answers, Any]
 
 
 class Edge(NamedTuple):
-    """Where something stops holding: it held at ``low`` and did not at ``high``. None: beyond what
-    was tried."""
+    """The two tried values between which a condition changes.
+
+    In a search for a load the condition holds at ``low`` and fails at ``high``; in a search for
+    machines it fails at ``low`` and holds at ``high``. A bound is None if no tried value qualifies.
+    """
 
     low: float | None
     high: float | None
     plays: int
-    scan: int  # plays that a plain scan of the same step would have taken
+    scan: int  # runs that a linear scan with the same step would have taken
 
     @property
     def mid(self) -> float:
@@ -33,8 +37,11 @@
     ask: Callable[[list[Hashable]], Answers],
     found: dict[str, Any] | None = None,
 ) -> dict[str, Any]:
-    """What each search found, put into ``found`` as it is. Each round asks for all that any of them
-    wants, once."""
+    """Run the searches together and return their results by name.
+
+    In each round every scenario that any search needs is requested once. Results are stored in
+    ``found`` as soon as they are there.
+    """
     found = {} if found is None else found
     wanted: dict[str, list[Hashable]] = {}
     known: Answers = {}
@@ -53,6 +60,7 @@
 
 
 def _step(name: str, search: Search, answers: Answers | None, wanted: dict, found: dict) -> None:
+    """Advance a search, storing either the scenarios it needs next or its result."""
     try:
         wanted[name] = next(search) if answers is None else search.send(answers)
     except StopIteration as end:
@@ -68,9 +76,11 @@
     floor: float,
     ceiling: float,
 ) -> Search:
-    """The highest load that holds, to a relative step. The bracket is a guess: it is widened while
-    it does not hold, within floor and ceiling. Three loads are asked for at once, as plays run
-    beside one another."""
+    """Search for the highest load that holds, to a relative ``step``.
+
+    ``low`` and ``high`` are a first guess; the bracket is widened within ``floor`` and ``ceiling``
+    until it contains the threshold. Up to three loads are requested at once, as runs are parallel.
+    """
     plays = 0
     low, high = max(floor, low), min(ceiling, max(high, low * (1 + step)))
     held: float | None = None
@@ -91,7 +101,7 @@
         questions = {load: question(load) for load in tried}
         answers = yield [one for some in questions.values() for one in some]
         plays += len(answers)
-        for load in tried:  # it breaks where it first does: no later load holds
+        for load in tried:  # the lowest load that fails decides: a higher one that holds is ignored
             if holds({one: answers[one] for one in questions[load]}):
                 held = max(held or 0.0, load) if broke is None or load < broke else held
             else:
@@ -110,7 +120,10 @@
     holds: Callable[[Answers], bool],
     most: int,
 ) -> Search:
-    """The fewest machines that hold, exactly. None where ``most`` do not."""
+    """Search for the exact least number of machines that holds.
+
+    ``high`` of the result is None if even ``most`` machines do not.
+    """
     plays, broke, held = 0, 0, None
     low, high = max(1, low), max(1, high)
     while held is None or held - broke > 1:
@@ -131,14 +144,14 @@
             if broke >= most:
                 return Edge(float(most), None, plays, most * len(question(1)))
             low, high = broke + 1, min(most, max(broke + 2, round(broke * 1.5)))
-        elif broke >= held:  # it held with fewer than it did not: the larger number counts
+        elif broke >= held:  # a smaller number held than one that failed: the failure decides
             held = None
             low, high = broke + 1, min(most, broke + 2)
     return Edge(float(broke), float(held), plays, held * len(question(1)))
 
 
 def _between(low: float, high: float, count: int, ends: bool) -> list[float]:
-    """Loads in even ratios, rounded so that two searches ask for the same ones."""
+    """Return loads at equal ratios, rounded so that different searches request the same loads."""
     steps = count - 1 if ends else count + 1
     ratio = (high / low) ** (1 / steps) if low > 0 else 1.0
     some = [low * ratio**at for at in range(0 if ends else 1, count if ends else count + 1)]
@@ -146,6 +159,7 @@
 
 
 def _whole_between(low: int, high: int) -> list[int]:
+    """Return up to three whole numbers that divide the range evenly."""
     width = high - low
     return sorted({low + max(1, width * part // 4) for part in (1, 2, 3)} - {high, low}) or [
         low + 1
@@ -153,8 +167,10 @@
 
 
 def falling(points: Sequence[tuple[float, float, float]]) -> list[tuple[float, float]]:
-    """A curve that never rises, nearest to the points of (place, value, weight): pool adjacent
-    violators (Ayer 1955)."""
+    """Fit a curve that never rises to points of (place, value, weight), by least squares.
+
+    Uses the pool adjacent violators algorithm (Ayer 1955).
+    """
     blocks: list[list[float]] = []  # value, weight, first place, last place
     for place, value, weight in sorted(points):
         blocks.append([value, weight, place, place])
--- a/umbermoor/planner/sheets.py
+++ b/umbermoor/planner/sheets.py
@@ -1,5 +1,7 @@
-"""The fleet that a plan is for, as a KDL sheet gives it: the laboratory's words for machines and
-fronts, and the goal."""
+"""The schema of the KDL file that describes a fleet to plan for.
+
+It reuses the laboratory's records for machines and fronts and adds the goal.
+"""
 
 from typing import Annotated
 
@@ -24,33 +26,33 @@
 
 
 class ProfileWish(Record, frozen=True, kw_only=True):
-    """What the capture does not know of a profile, or should not decide."""
+    """Settings of a profile that the capture does not contain or that override it."""
 
     PLACES = ("name",)
     name: Name
     value: NonNegative = 1
-    goal: Annotated[float, Meta(gt=0, lt=1)] | None = None  # in place of the fleet's
-    work_ms: Positive | None = None  # where the capture cannot tell
+    goal: Annotated[float, Meta(gt=0, lt=1)] | None = None  # overrides the fleet's goal
+    work_ms: Positive | None = None  # replaces the estimate from the capture
 
 
 class Limits(Record, frozen=True, kw_only=True):
-    """Rates and costs that no machine has."""
+    """Rates and costs outside the machines."""
 
-    platform_calls_s: Positive = 60  # of all fronts together
+    platform_calls_s: Positive = 60  # calls per second that the platform takes from all fronts
     list_calls_s: Positive = 1000
-    front_cpu_us: Positive = (
-        1400  # of a core, for a query's whole way; measured, see docs/planner.md
-    )
+    # CPU time of a front for one query from start to end; measured, see docs/planner.md.
+    front_cpu_us: Positive = 1400
     front_base_mb: Positive = 25
-    query_kb: Positive = 24  # that an open query holds in a front
+    query_kb: Positive = 24  # memory that an open query takes in a front
 
 
 class Fleet(Record, frozen=True, kw_only=True):
+    """A fleet: its machines, fronts, surroundings and goal."""
+
     PLACES = ("name",)
     name: Name
-    goal: Annotated[float, Meta(gt=0, lt=1)] = (
-        0.995  # the share within the target time, of every profile
-    )
+    # The share of queries within the target time that every profile must reach.
+    goal: Annotated[float, Meta(gt=0, lt=1)] = 0.995
     growth: tuple[Positive, ...] = (1.0, 1.5, 2.0)
     front: Fronts = Fronts()
     network: Network = Network()
@@ -61,11 +63,12 @@
     listing: Listing = Listing()
     limits: Limits = Limits()
     profile: tuple[ProfileWish, ...] = ()
-    build: tuple[Build, ...] = ()  # what a bad build may do
-    bad_share: Share = 0.4  # of the builds
+    build: tuple[Build, ...] = ()  # faulty builds whose rollout is simulated
+    bad_share: Share = 0.4  # share of builds that are faulty
     tries: Count = 5
 
     def fault(self) -> str | None:
+        """Return what is inconsistent between fields, or None."""
         for what, names in (
             ("group", [one.name for one in self.group]),
             ("profile", [one.name for one in self.profile]),
@@ -86,10 +89,11 @@
 
     @property
     def capacity(self) -> float:
-        """Workers at speed 1."""
+        """The number of workers, weighted by speed."""
         return sum(one.machines * one.workers * one.speed for one in self.group)
 
     def goal_of(self, name: str) -> float:
+        """Return the goal of a profile: its own or the fleet's."""
         return next(
             (one.goal for one in self.profile if one.name == name and one.goal is not None),
             self.goal,
@@ -97,6 +101,11 @@
 
 
 def read_fleet(path: str) -> Fleet:
+    """Read a fleet file.
+
+    Raises:
+        SheetError: The file cannot be read or is invalid.
+    """
     return read_sheet(path, "fleet", Fleet)
 
 
