--- a/benchmarks/planner_fleets.py
+++ b/benchmarks/planner_fleets.py
@@ -20,7 +20,7 @@
 from umbermoor.planner.check import measure
 from umbermoor.planner.fit import fit
 from umbermoor.planner.plan import Planner
-from umbermoor.planner.players import Players
+from umbermoor.planner.players import RunPool
 from umbermoor.planner.questions import Question, arrivals_of, day_for, drains, read_answer
 from umbermoor.planner.search import gather
 from umbermoor.planner.sheets import Fleet
@@ -107,7 +107,7 @@
 def burst(name: str) -> dict:
     demand, arrivals, fleet = demanded(name)
     planner = Planner(demand, fleet)
-    players = Players(demand, fleet, arrivals)
+    players = RunPool(demand, fleet, arrivals)
     edge = gather({"burst": planner.searches()["burst"]}, players.ask)["burst"]
     players.close()
     row = {"fleet": name, "predicted": edge.mid}
--- a/umbermoor/planner/check.py
+++ b/umbermoor/planner/check.py
@@ -18,7 +18,7 @@
 from umbermoor.lab.sockets.runner import play_on_sockets
 from umbermoor.planner.fit import Demand
 from umbermoor.planner.plan import Planner
-from umbermoor.planner.players import Players
+from umbermoor.planner.players import RunPool
 from umbermoor.planner.questions import Question, day_for, replayed
 from umbermoor.planner.search import Edge, falling, gather
 from umbermoor.planner.sheets import Fleet
@@ -80,7 +80,7 @@
     ``told`` is called with a line of text for each step of progress.
     """
     planner = Planner(demand, fleet)
-    players = Players(demand, fleet, arrivals)
+    players = RunPool(demand, fleet, arrivals)
     try:
         searches = planner.searches()
         growth = f"{fleet.growth[-1]:g}"
--- a/umbermoor/planner/command.py
+++ b/umbermoor/planner/command.py
@@ -40,7 +40,7 @@
 from umbermoor.lab.day import micros
 from umbermoor.planner.fit import Demand, fit
 from umbermoor.planner.plan import Planner, situations
-from umbermoor.planner.players import Players
+from umbermoor.planner.players import RunPool
 from umbermoor.planner.questions import arrivals_of
 from umbermoor.planner.sheets import Fleet, SheetError, read_fleet
 
@@ -139,7 +139,7 @@
     with Progress(console=Console(stderr=True), disable=quiet, transient=True) as progress:
         bar = progress.add_task("plays", total=None)
         workers = _number(given["--workers"], "--workers") if given["--workers"] else None
-        players = Players(
+        players = RunPool(
             demand,
             fleet,
             arrivals,
--- a/umbermoor/planner/fit.py
+++ b/umbermoor/planner/fit.py
@@ -31,7 +31,7 @@
 class ProfileDemand(NamedTuple):
     """The estimated demand of one request profile.
 
-    The class and field names are part of the signature of kept answers (``Players``).
+    The class and field names are part of the signature of kept answers (``RunPool``).
     """
 
     name: str
--- a/umbermoor/planner/players.py
+++ b/umbermoor/planner/players.py
@@ -33,7 +33,7 @@
     return read_answer(play(day, replay=replayed(day, demand, arrivals)))
 
 
-class Players:
+class RunPool:
     """A process pool that runs the scenarios of one plan.
 
     Args:
