--- a/benchmarks/planner_fleets.py
+++ b/benchmarks/planner_fleets.py
@@ -21,7 +21,7 @@
 from umbermoor.planner.fit import fit
 from umbermoor.planner.plan import Planner
 from umbermoor.planner.players import RunPool
-from umbermoor.planner.questions import Question, arrivals_of, day_for, drains, read_answer
+from umbermoor.planner.questions import Scenario, arrivals_of, day_for, drains, read_answer
 from umbermoor.planner.search import gather
 from umbermoor.planner.sheets import Fleet
 
@@ -112,7 +112,7 @@
     players.close()
     row = {"fleet": name, "predicted": edge.mid}
     for part in (0.85, 1.15):
-        day = day_for(Question("burst", edge.mid * part, fleet.machines, 1), demand, fleet)
+        day = day_for(Scenario("burst", edge.mid * part, fleet.machines, 1), demand, fleet)
         outcome = play_on_sockets(day)
         row[f"at {part:g} it"] = "drains" if drains([read_answer(outcome)]) else "does not"
     return row
--- a/umbermoor/planner/check.py
+++ b/umbermoor/planner/check.py
@@ -19,7 +19,7 @@
 from umbermoor.planner.fit import Demand
 from umbermoor.planner.plan import Planner
 from umbermoor.planner.players import RunPool
-from umbermoor.planner.questions import Question, day_for, replayed
+from umbermoor.planner.questions import Scenario, day_for, replayed
 from umbermoor.planner.search import Edge, falling, gather
 from umbermoor.planner.sheets import Fleet
 
@@ -92,7 +92,7 @@
             lost and edge is not None and edge.mid
         ):  # at the limit of the remaining groups, where the share in time is informative
             left = 1 - _capacity(fleet.group[0]) / fleet.capacity
-            loss = Question(
+            loss = Scenario(
                 "loss", float(f"{max(planner.now, edge.mid * left):.4g}"), fleet.machines, 1, lost
             )
             found["loss"] = list(
@@ -111,8 +111,8 @@
             )
         ]
     told(f"predicted: the goal breaks at {edge.mid:.1f} queries/s")
-    questions: dict[str, Question] = {
-        f"load {part:g}": Question("steady", edge.mid * part, fleet.machines, 1) for part in AT
+    questions: dict[str, Scenario] = {
+        f"load {part:g}": Scenario("steady", edge.mid * part, fleet.machines, 1) for part in AT
     }
     count = found[f"machines {growth}"].high
     if count is not None:
@@ -121,7 +121,7 @@
             ("fewer", int(count / (1 + WITHIN))),
             ("more", ceil(count * (1 + WITHIN))),
         ):
-            questions[name] = Question("steady", load, max(1, machines), 1)
+            questions[name] = Scenario("steady", load, max(1, machines), 1)
     if lost:
         questions["loss"] = loss
     outcomes = _play_all(questions, demand, fleet, arrivals, seconds, told)
@@ -142,7 +142,7 @@
 
 
 def _play_all(
-    questions: dict[str, Question],
+    questions: dict[str, Scenario],
     demand: Demand,
     fleet: Fleet,
     arrivals: list[tuple[int, int]],
@@ -216,7 +216,7 @@
 def _machines_row(
     count: float,
     growth: str,
-    questions: dict[str, Question],
+    questions: dict[str, Scenario],
     outcomes: dict[str, dict[str, Any]],
     planner: Planner,
 ) -> Row:
--- a/umbermoor/planner/plan.py
+++ b/umbermoor/planner/plan.py
@@ -10,7 +10,7 @@
 from umbermoor.lab.statistics import Interval
 from umbermoor.planner.fit import Demand
 from umbermoor.planner.limits import goal_bracket, limits, saturation
-from umbermoor.planner.questions import Answer, Question, by_stage, drains, holds, shares
+from umbermoor.planner.questions import Answer, Scenario, by_stage, drains, holds, shares
 from umbermoor.planner.search import (
     Answers,
     Edge,
@@ -44,7 +44,7 @@
         self.rows = limits(demand, fleet)
         self.low, self.high = goal_bracket(demand, fleet)
         self.top = saturation(demand, fleet)
-        self.played: dict[Question, Answer] = {}
+        self.played: dict[Scenario, Answer] = {}
 
     def searches(self) -> dict[str, Search]:
         """Return all searches of the plan by name.
@@ -59,24 +59,24 @@
             if len(fleet.group) > 1:
                 for group in fleet.group:
                     found[f"load without {group.name}"] = self._load("loss", group.name)
-        found["now"] = self._once(Question("steady", self.now, fleet.machines, 1))
+        found["now"] = self._once(Scenario("steady", self.now, fleet.machines, 1))
         for group in fleet.group:
             if len(fleet.group) > 1:
                 found[f"loss {group.name}"] = self._once(
-                    Question("loss", self.now, fleet.machines, 1, group.name)
+                    Scenario("loss", self.now, fleet.machines, 1, group.name)
                 )
             found[f"cold {group.name}"] = self._once(
-                Question("cold", self.now, fleet.machines, 1, group.name)
+                Scenario("cold", self.now, fleet.machines, 1, group.name)
             )
-        found["replace"] = self._once(Question("replace", self.now, fleet.machines, 1))
+        found["replace"] = self._once(Scenario("replace", self.now, fleet.machines, 1))
         for place in range(len(fleet.build)):
             found[f"build {place}"] = self._once(
-                Question("build", self.now, fleet.machines, 1, str(place))
+                Scenario("build", self.now, fleet.machines, 1, str(place))
             )
         found["burst"] = self._burst()
         return found
 
-    def _seeded(self, question: Question) -> list[Question]:
+    def _seeded(self, question: Scenario) -> list[Scenario]:
         return [question._replace(seed=seed) for seed in range(1, self.seeds + 1)]
 
     def _holds(self, answers: Answers) -> bool:
@@ -92,7 +92,7 @@
             low,
             high,
             STEP,
-            lambda load: self._seeded(Question(kind, load, self.fleet.machines, 1, what)),
+            lambda load: self._seeded(Scenario(kind, load, self.fleet.machines, 1, what)),
             self._holds,
             FLOOR_PART * self.top,
             1.5 * self.top,
@@ -104,7 +104,7 @@
         return fewest_machines(
             int(0.9 * per * load / max(self.high, 1e-9)),
             int(1.1 * per * load / max(self.low, 1e-9)) + 1,
-            lambda count: self._seeded(Question("steady", load, count, 1)),
+            lambda count: self._seeded(Scenario("steady", load, count, 1)),
             self._holds,
             per * MACHINES_MOST,
         )
@@ -114,18 +114,18 @@
             0.4 * self.top,
             1.05 * self.top,
             0.05,
-            lambda load: self._seeded(Question("burst", load, self.fleet.machines, 1)),
+            lambda load: self._seeded(Scenario("burst", load, self.fleet.machines, 1)),
             lambda answers: drains(list(answers.values())),
             0.2 * self.top,
             1.4 * self.top,
         )
 
-    def _once(self, question: Question) -> Search:
+    def _once(self, question: Scenario) -> Search:
         answers = yield self._seeded(question)
         return list(answers.values())
 
     def run(
-        self, play: Callable[[list[Question]], Answers], found: dict[str, Any] | None = None
+        self, play: Callable[[list[Scenario]], Answers], found: dict[str, Any] | None = None
     ) -> dict[str, Any]:
         """Run all searches and return their results by name.
 
@@ -133,7 +133,7 @@
         the run has those found by then.
         """
 
-        def noted(questions: list[Question]) -> Answers:
+        def noted(questions: list[Scenario]) -> Answers:
             answers = play(questions)
             self.played.update(answers)
             return answers
--- a/umbermoor/planner/players.py
+++ b/umbermoor/planner/players.py
@@ -14,7 +14,7 @@
 
 from umbermoor.lab.fleet import play
 from umbermoor.planner.fit import Demand
-from umbermoor.planner.questions import Answer, Question, day_for, read_answer, replayed
+from umbermoor.planner.questions import Answer, Scenario, day_for, read_answer, replayed
 from umbermoor.planner.search import Answers
 from umbermoor.planner.sheets import Fleet
 
@@ -27,7 +27,7 @@
     _told = demand, fleet, arrivals
 
 
-def _play(question: Question) -> Answer:
+def _play(question: Scenario) -> Answer:
     demand, fleet, arrivals = _told
     day = day_for(question, demand, fleet)
     return read_answer(play(day, replay=replayed(day, demand, arrivals)))
@@ -73,14 +73,14 @@
             workers or os.cpu_count() or 1, initializer=_tell, initargs=(demand, fleet, arrivals)
         )
 
-    def _read(self) -> dict[Question, Answer]:
+    def _read(self) -> dict[Scenario, Answer]:
         """Read the results of an earlier run of the same plan, skipping truncated lines."""
         known = {}
         if self._kept is not None and self._kept.exists():
             for line in self._kept.read_bytes().splitlines():
                 try:
                     sign, question, answer = msgspec.json.decode(
-                        line, type=tuple[str, Question, Answer]
+                        line, type=tuple[str, Scenario, Answer]
                     )
                 except msgspec.MsgspecError:
                     continue
@@ -88,7 +88,7 @@
                     known[question] = answer
         return known
 
-    def ask(self, questions: list[Question]) -> Answers:
+    def ask(self, questions: list[Scenario]) -> Answers:
         """Return the results of all scenarios, running those that have none yet."""
         found = {one: self._known[one] for one in questions if one in self._known}
         todo = [one for one in questions if one not in found]
--- a/umbermoor/planner/questions.py
+++ b/umbermoor/planner/questions.py
@@ -29,7 +29,7 @@
 )
 
 
-class Question(NamedTuple):
+class Scenario(NamedTuple):
     """A scenario to simulate: a load, a number of machines and an event."""
 
     kind: str  # steady, loss, replace, cold, build, burst
@@ -68,7 +68,7 @@
     )
 
 
-def day_for(question: Question, demand: Demand, fleet: Fleet) -> Day:
+def day_for(question: Scenario, demand: Demand, fleet: Fleet) -> Day:
     """Translate a scenario into a day that the laboratory can run."""
     length = max(SHORTEST, min(LONGEST, QUERIES / question.load)) + SETTLE
     groups = sized(fleet.group, question.machines)
