--- a/umbermoor/planner/plan.py
+++ b/umbermoor/planner/plan.py
@@ -10,7 +10,7 @@
 from umbermoor.lab.statistics import Interval
 from umbermoor.planner.fit import Demand
 from umbermoor.planner.limits import goal_bracket, limits, saturation
-from umbermoor.planner.questions import Answer, Scenario, by_stage, drains, holds, shares
+from umbermoor.planner.questions import RunResult, Scenario, by_stage, drains, holds, shares
 from umbermoor.planner.search import (
     Answers,
     Edge,
@@ -44,7 +44,7 @@
         self.rows = limits(demand, fleet)
         self.low, self.high = goal_bracket(demand, fleet)
         self.top = saturation(demand, fleet)
-        self.played: dict[Scenario, Answer] = {}
+        self.played: dict[Scenario, RunResult] = {}
 
     def searches(self) -> dict[str, Search]:
         """Return all searches of the plan by name.
@@ -142,7 +142,7 @@
 
     def curve(self) -> dict[str, list[tuple[float, float]]]:
         """Return the worst profile's share in time by load, fitted by a curve that never rises."""
-        found: dict[str, dict[float, list[Answer]]] = {}
+        found: dict[str, dict[float, list[RunResult]]] = {}
         for question, answer in self.played.items():
             if question.kind in ("steady", "loss") and question.machines == self.fleet.machines:
                 name = "all machines" if question.kind == "steady" else f"without {question.what}"
@@ -170,7 +170,7 @@
         fleet, demand = self.fleet, self.demand
         names = [one.name for one in demand.profiles]
 
-        def share(answers: list[Answer]) -> dict[str, Any]:
+        def share(answers: list[RunResult]) -> dict[str, Any]:
             return {name: _interval(_clipped(one)) for name, one in zip(names, shares(answers))} | {
                 "service": round(sum(one.service for one in answers) / len(answers), 4),
                 "rules_broken": sum(one.breaches for one in answers),
--- a/umbermoor/planner/players.py
+++ b/umbermoor/planner/players.py
@@ -14,7 +14,7 @@
 
 from umbermoor.lab.fleet import play
 from umbermoor.planner.fit import Demand
-from umbermoor.planner.questions import Answer, Scenario, day_for, read_answer, replayed
+from umbermoor.planner.questions import RunResult, Scenario, day_for, read_result, replayed
 from umbermoor.planner.search import Answers
 from umbermoor.planner.sheets import Fleet
 
@@ -27,10 +27,10 @@
     _told = demand, fleet, arrivals
 
 
-def _play(question: Scenario) -> Answer:
+def _play(question: Scenario) -> RunResult:
     demand, fleet, arrivals = _told
     day = day_for(question, demand, fleet)
-    return read_answer(play(day, replay=replayed(day, demand, arrivals)))
+    return read_result(play(day, replay=replayed(day, demand, arrivals)))
 
 
 class RunPool:
@@ -73,14 +73,14 @@
             workers or os.cpu_count() or 1, initializer=_tell, initargs=(demand, fleet, arrivals)
         )
 
-    def _read(self) -> dict[Scenario, Answer]:
+    def _read(self) -> dict[Scenario, RunResult]:
         """Read the results of an earlier run of the same plan, skipping truncated lines."""
         known = {}
         if self._kept is not None and self._kept.exists():
             for line in self._kept.read_bytes().splitlines():
                 try:
                     sign, question, answer = msgspec.json.decode(
-                        line, type=tuple[str, Scenario, Answer]
+                        line, type=tuple[str, Scenario, RunResult]
                     )
                 except msgspec.MsgspecError:
                     continue
--- a/umbermoor/planner/questions.py
+++ b/umbermoor/planner/questions.py
@@ -39,7 +39,7 @@
     what: str = ""  # the group that is lost or returns, or the index of the build
 
 
-class Answer(NamedTuple):
+class RunResult(NamedTuple):
     """The result of one run."""
 
     in_time: tuple[float, ...]  # share of queries within the target time, by profile
@@ -183,13 +183,13 @@
     return [(row.came, row.profile) for row in rows if not (marked and row.repeated)]
 
 
-def read_answer(outcome: dict[str, Any]) -> Answer:
+def read_result(outcome: dict[str, Any]) -> RunResult:
     """Extract the result of a run from the laboratory's report."""
     rows = list(outcome["profiles"].values())
     seconds = tuple((sum(one.values()), one.get("in time", 0)) for one in outcome["series"])
     tail = seconds[-5:-1] or seconds
     asked = sum(one[0] for one in tail)
-    return Answer(
+    return RunResult(
         tuple(one["in_time"] for one in rows),
         tuple(one["asked"] for one in rows),
         outcome["service"],
@@ -201,7 +201,7 @@
     )
 
 
-def shares(answers: list[Answer]) -> list[Interval]:
+def shares(answers: list[RunResult]) -> list[Interval]:
     """Return each profile's mean share in time, with its interval over the seeds."""
     return [
         mean_interval([one.in_time[place] for one in answers])
@@ -209,7 +209,7 @@
     ]
 
 
-def holds(answers: list[Answer], goals: list[float]) -> bool:
+def holds(answers: list[RunResult], goals: list[float]) -> bool:
     """Whether every profile's share over all seeds reaches its goal."""
     for place, goal in enumerate(goals):
         asked = sum(one.asked[place] for one in answers)
@@ -219,7 +219,7 @@
     return True
 
 
-def drains(answers: list[Answer]) -> bool:
+def drains(answers: list[RunResult]) -> bool:
     """Whether the fleet recovers from a burst in every run.
 
     It does if the share in time of the last seconds is at most 0.05 below that before the burst.
@@ -234,7 +234,7 @@
     return sum(one[1] for one in seconds) / asked if asked else 1.0
 
 
-def by_stage(answer: Answer) -> list[tuple[str, float]]:
+def by_stage(answer: RunResult) -> list[tuple[str, float]]:
     """Return the share in time during each stage of a rollout, by the stage's description."""
     found = []
     for (at, build, stage, phase), following in zip(answer.stages[1:], [*answer.stages[2:], None]):
