--- a/benchmarks/planner_fleets.py
+++ b/benchmarks/planner_fleets.py
@@ -21,7 +21,7 @@
 from umbermoor.planner.fit import fit
 from umbermoor.planner.plan import Planner
 from umbermoor.planner.players import RunPool
-from umbermoor.planner.questions import Scenario, arrivals_of, day_for, drains, read_result
+from umbermoor.planner.questions import Scenario, arrivals_of, burst_drains, day_for, read_result
 from umbermoor.planner.search import gather
 from umbermoor.planner.sheets import Fleet
 
@@ -114,7 +114,7 @@
     for part in (0.85, 1.15):
         day = day_for(Scenario("burst", edge.mid * part, fleet.machines, 1), demand, fleet)
         outcome = play_on_sockets(day)
-        row[f"at {part:g} it"] = "drains" if drains([read_result(outcome)]) else "does not"
+        row[f"at {part:g} it"] = "drains" if burst_drains([read_result(outcome)]) else "does not"
     return row
 
 
--- a/umbermoor/planner/plan.py
+++ b/umbermoor/planner/plan.py
@@ -10,7 +10,7 @@
 from umbermoor.lab.statistics import Interval
 from umbermoor.planner.fit import Demand
 from umbermoor.planner.limits import goal_bracket, limits, saturation
-from umbermoor.planner.questions import RunResult, Scenario, by_stage, drains, holds, shares
+from umbermoor.planner.questions import RunResult, Scenario, burst_drains, by_stage, holds, shares
 from umbermoor.planner.search import (
     Answers,
     Edge,
@@ -115,7 +115,7 @@
             1.05 * self.top,
             0.05,
             lambda load: self._seeded(Scenario("burst", load, self.fleet.machines, 1)),
-            lambda answers: drains(list(answers.values())),
+            lambda answers: burst_drains(list(answers.values())),
             0.2 * self.top,
             1.4 * self.top,
         )
--- a/umbermoor/planner/questions.py
+++ b/umbermoor/planner/questions.py
@@ -219,7 +219,7 @@
     return True
 
 
-def drains(answers: list[RunResult]) -> bool:
+def burst_drains(answers: list[RunResult]) -> bool:
     """Whether the fleet recovers from a burst in every run.
 
     It does if the share in time of the last seconds is at most 0.05 below that before the burst.
