--- a/umbermoor/planner/command.py
+++ b/umbermoor/planner/command.py
@@ -49,28 +49,28 @@
     """The request cannot be carried out; the message is one line for the user."""
 
 
-def main(words: list[str]) -> int:
-    given = docopt(__doc__, words)
+def main(arguments: list[str]) -> int:
+    options = docopt(__doc__, arguments)
     try:
-        fleet = _fleet(given)
-        demand, arrivals = _demand(given, fleet)
-        if given["fit"]:
+        fleet = _fleet(options)
+        demand, arrivals = _demand(options, fleet)
+        if options["fit"]:
             show_demand(demand)
             return 0
-        if given["check"]:
+        if options["check"]:
             from umbermoor.planner.check import check
 
             return check(
                 demand,
                 fleet,
                 arrivals,
-                float(_number(given["--seconds"], "--seconds")),
-                given["--json"],
-                given["--quiet"],
+                float(_number(options["--seconds"], "--seconds")),
+                options["--json"],
+                options["--quiet"],
             )
-        return _plan(given, demand, fleet, arrivals)
-    except (SheetError, Unreadable, Refused) as fault:
-        print(f"umbermoor: {fault}", file=sys.stderr)
+        return _plan(options, demand, fleet, arrivals)
+    except (SheetError, Unreadable, Refused) as error:
+        print(f"umbermoor: {error}", file=sys.stderr)
         return 2
 
 
@@ -80,17 +80,17 @@
     return int(text)
 
 
-def _fleet(given: dict[str, Any]) -> Fleet:
-    fleet = read_fleet(given["FLEET"])
+def _fleet(options: dict[str, Any]) -> Fleet:
+    fleet = read_fleet(options["FLEET"])
     try:
-        if given["--goal"]:
-            goal = float(given["--goal"]) / 100
+        if options["--goal"]:
+            goal = float(options["--goal"]) / 100
             if not 0 < goal < 1:
                 raise ValueError
-            wishes = tuple(structs.replace(one, goal=None) for one in fleet.profile)
-            fleet = structs.replace(fleet, goal=goal, profile=wishes)
-        if given["--growth"]:
-            growth = tuple(float(one) for one in given["--growth"].split(","))
+            profiles = tuple(structs.replace(profile, goal=None) for profile in fleet.profile)
+            fleet = structs.replace(fleet, goal=goal, profile=profiles)
+        if options["--growth"]:
+            growth = tuple(float(factor) for factor in options["--growth"].split(","))
             if min(growth) <= 0:
                 raise ValueError
             fleet = structs.replace(fleet, growth=growth)
@@ -102,17 +102,21 @@
     return fleet
 
 
-def _demand(given: dict[str, Any], fleet: Fleet) -> tuple[Demand, list[tuple[int, int]]]:
-    capture = read_capture(given["CAPTURE"])
+def _demand(options: dict[str, Any], fleet: Fleet) -> tuple[Demand, list[tuple[int, int]]]:
+    capture = read_capture(options["CAPTURE"])
     for damage in capture.damage:
         print(f"umbermoor: {told(damage, len(capture.rows))}", file=sys.stderr)
-    names = [one["name"] for one in capture.header.profiles]
-    if strange := next((one.name for one in fleet.profile if one.name not in names), None):
+    names = [profile["name"] for profile in capture.header.profiles]
+    if unknown := next(
+        (profile.name for profile in fleet.profile if profile.name not in names), None
+    ):
         raise Refused(
-            f"{given['FLEET']}: profile {strange!r} is not in the capture, which has {', '.join(names)}"
+            f"{options['FLEET']}: profile {unknown!r} is not in the capture, which has {', '.join(names)}"
         )
-    work = {one.name: one.work_ms for one in fleet.profile if one.work_ms is not None}
-    warm = micros(max(one.warm_s for one in fleet.group))
+    work = {
+        profile.name: profile.work_ms for profile in fleet.profile if profile.work_ms is not None
+    }
+    warm = micros(max(group.warm_s for group in fleet.group))
     try:
         demand = fit(
             capture.header.profiles,
@@ -120,58 +124,58 @@
             fleet.front.count,
             fleet.workers,
             warm,
-            not given["--unmarked"],
+            not options["--unmarked"],
             work,
         )
     except ValueError as error:
-        raise Refused(f"{given['CAPTURE']}: {error}") from None
-    return demand, arrivals_of(capture.rows, not given["--unmarked"])
+        raise Refused(f"{options['CAPTURE']}: {error}") from None
+    return demand, arrivals_of(capture.rows, not options["--unmarked"])
 
 
 def _plan(
-    given: dict[str, Any], demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]]
+    options: dict[str, Any], demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]]
 ) -> int:
-    planner = Planner(demand, fleet, _number(given["--seeds"], "--seeds"))
-    quiet = given["--quiet"] or given["--json"] == "-" or not sys.stderr.isatty()
-    kept = Path(given["--keep"]) if given["--keep"] else None
-    found: dict[str, Any] = {}
+    planner = Planner(demand, fleet, _number(options["--seeds"], "--seeds"))
+    quiet = options["--quiet"] or options["--json"] == "-" or not sys.stderr.isatty()
+    results_file = Path(options["--keep"]) if options["--keep"] else None
+    results: dict[str, Any] = {}
     partial = False
     with Progress(console=Console(stderr=True), disable=quiet, transient=True) as progress:
         bar = progress.add_task("plays", total=None)
-        workers = _number(given["--workers"], "--workers") if given["--workers"] else None
-        players = RunPool(
+        workers = _number(options["--workers"], "--workers") if options["--workers"] else None
+        pool = RunPool(
             demand,
             fleet,
             arrivals,
-            kept,
-            lambda done, asked: progress.update(bar, completed=done, total=asked),
+            results_file,
+            lambda done, requested: progress.update(bar, completed=done, total=requested),
             workers,
         )
         try:
-            found = planner.run(players.ask, found)
+            results = planner.run(pool.ask, results)
         except KeyboardInterrupt:
             partial = True
         finally:
-            players.close()
-    answer = planner.answer(found, partial)
-    data = orjson.dumps(answer, option=orjson.OPT_INDENT_2)
-    if given["--json"] == "-":
+            pool.close()
+    plan = planner.report(results, partial)
+    data = orjson.dumps(plan, option=orjson.OPT_INDENT_2)
+    if options["--json"] == "-":
         sys.stdout.buffer.write(data + b"\n")
     else:
-        if given["--json"]:
-            Path(given["--json"]).write_bytes(data + b"\n")
-        show(answer)
-    if given["--html"]:
+        if options["--json"]:
+            Path(options["--json"]).write_bytes(data + b"\n")
+        show(plan)
+    if options["--html"]:
         from umbermoor.planner.page import plan_page
 
-        Path(given["--html"]).write_text(plan_page(answer))
+        Path(options["--html"]).write_text(plan_page(plan))
     return 130 if partial else 0
 
 
-def _span(one: list[float | None] | None, digits: int = 1) -> str:
-    if one is None:
+def _span(interval: list[float | None] | None, digits: int = 1) -> str:
+    if interval is None:
         return "-"
-    mid, low, high = one
+    mid, low, high = interval
     if mid is None:
         return "at no load"
     return (
@@ -182,80 +186,88 @@
 
 def show_demand(demand: Demand) -> None:
     console, rows = Console(), Table("profile", "queries/s", "work ms", "work cv", "hint cv")
-    for one in demand.profiles:
+    for profile in demand.profiles:
         rows.add_row(
-            one.name, str(one.rate), str(one.work_ms), f"{one.work_cv:.2f}", f"{one.hint_cv:.2f}"
+            profile.name,
+            str(profile.rate),
+            str(profile.work_ms),
+            f"{profile.work_cv:.2f}",
+            f"{profile.hint_cv:.2f}",
         )
     console.print(rows)
     console.print(
         f"{demand.rows} queries in {demand.seconds:.1f} s; peak {demand.peak:.2f} times the mean, bursts "
         f"{demand.burstiness}, asked again {demand.retry_share}, cold rows {demand.cold_rows}"
     )
-    for one in demand.assumptions:
-        console.print(f"  assumed: {one}")
+    for assumption in demand.assumptions:
+        console.print(f"  assumed: {assumption}")
 
 
-def show(answer: dict[str, Any]) -> None:
+def show(plan: dict[str, Any]) -> None:
     console = Console()
-    if answer["partial"]:
+    if plan["partial"]:
         console.print("[bold red]A partial answer: it was ended before all was played.[/]")
     console.print(
-        f"fleet {answer['fleet']}: load now {_span(answer['load_now'])} queries/s; first limit reached: "
-        f"[bold]{answer['first']}[/], then {answer['runner_up']}"
+        f"fleet {plan['fleet']}: load now {_span(plan['load_now'])} queries/s; first limit reached: "
+        f"[bold]{plan['first']}[/], then {plan['runner_up']}"
     )
     rows = Table("limit", "reached at, queries/s", "times now", "by", "why", title="Limits")
-    for one in answer["limits"]:
-        if "reached_at" in one:
+    for limit in plan["limits"]:
+        if "reached_at" in limit:
             rows.add_row(
-                one["limit"],
-                _span(one["reached_at"]),
-                str(one["times_now"] or "-"),
-                f"{one['by']}; when {one['case']}" if one["case"] else one["by"],
-                one["why"],
+                limit["limit"],
+                _span(limit["reached_at"]),
+                str(limit["times_now"] or "-"),
+                f"{limit['by']}; when {limit['case']}" if limit["case"] else limit["by"],
+                limit["why"],
             )
         else:
             rows.add_row(
-                one["limit"], f"below {_span(one['reached_below'])}", "-", one["by"], one["why"]
+                limit["limit"],
+                f"below {_span(limit['reached_below'])}",
+                "-",
+                limit["by"],
+                limit["why"],
             )
     console.print(rows)
-    if answer["goal_breaks_at"]:
-        console.print(f"the goal breaks at {_span(answer['goal_breaks_at']['load'])} queries/s")
-    for growth, one in answer["machines"].items():
-        count = one["machines"]
-        said = (
+    if plan["goal_breaks_at"]:
+        console.print(f"the goal breaks at {_span(plan['goal_breaks_at']['load'])} queries/s")
+    for growth, result in plan["machines"].items():
+        count = result["machines"]
+        text = (
             "no number that was tried holds it"
             if count is None
             else f"{count} machines hold the goal"
         )
-        console.print(f"at {growth} times the load: {said}")
+        console.print(f"at {growth} times the load: {text}")
     rows = Table(
         "what",
-        *answer["goals"],
+        *plan["goals"],
         "service",
         "rules broken",
         title="Share in time at the present load",
     )
-    for name, one in situations(answer):
+    for name, shares in situations(plan):
         rows.add_row(
             name,
-            *(_span(one[profile], 4) for profile in answer["goals"]),
-            f"{one['service']:.4f}",
-            str(one["rules_broken"]),
+            *(_span(shares[profile], 4) for profile in plan["goals"]),
+            f"{shares['service']:.4f}",
+            str(shares["rules_broken"]),
         )
     console.print(rows)
-    for name, one in answer["loss"].items():
-        if one["goal_breaks_at"]:
+    for name, loss in plan["loss"].items():
+        if loss["goal_breaks_at"]:
             console.print(
-                f"without {name} the goal breaks at {_span(one['goal_breaks_at']['load'])} queries/s"
+                f"without {name} the goal breaks at {_span(loss['goal_breaks_at']['load'])} queries/s"
             )
-    if answer["burst_drains_below"]:
+    if plan["burst_drains_below"]:
         console.print(
             f"a burst of three times the load drains by itself below "
-            f"{_span(answer['burst_drains_below']['load'])} queries/s"
+            f"{_span(plan['burst_drains_below']['load'])} queries/s"
         )
-    for one in answer["assumptions"]:
-        console.print(f"  assumed: {one}")
-    plays = answer["plays"]
+    for assumption in plan["assumptions"]:
+        console.print(f"  assumed: {assumption}")
+    plays = plan["plays"]
     console.print(
         f"{plays['searches']} plays for the searches; a plain scan of the same step would take "
         f"{plays['plain_scan']}"
--- a/umbermoor/planner/fit.py
+++ b/umbermoor/planner/fit.py
@@ -22,16 +22,16 @@
 
 # Block length of the block bootstrap: rows so near in time are correlated and resampled together.
 BLOCK = 5 * SECOND
-LEAST_ROWS, LEAST_SPAN = 200, 10 * SECOND  # below either of these a capture is reported as short
-SICK = 2.0  # a machine is unhealthy if its median time exceeds the median machine's by this factor
-SICK_LEAST = 8  # a machine with fewer outcomes is not judged
+MIN_ROWS, MIN_SPAN = 200, 10 * SECOND  # below either of these a capture is reported as short
+UNHEALTHY_FACTOR = 2.0  # a machine is unhealthy if its median time exceeds the typical by this
+MIN_OUTCOMES = 8  # a machine with fewer outcomes is not judged
 OVERHEAD_US = 1_000  # part of an answer's time that is not work: network both ways and the front
 
 
 class ProfileDemand(NamedTuple):
     """The estimated demand of one request profile.
 
-    The class and field names are part of the signature of kept answers (``RunPool``).
+    The class and field names are part of the signature of stored results (``RunPool``).
     """
 
     name: str
@@ -54,27 +54,32 @@
     burstiness: Interval  # variance over mean of the queries per second; 1 for a Poisson process
     retry_share: Interval  # share of the queries that are retries
     denied_share: Interval
-    sick: tuple[str, ...]
+    unhealthy: tuple[str, ...]
     cold_rows: int
     assumptions: tuple[str, ...]
     fronts: int
 
     @property
     def rate(self) -> Interval:
-        return Interval(*(sum(one.rate[at] for one in self.profiles) for at in range(3)))
+        return Interval(
+            *(sum(profile.rate[index] for profile in self.profiles) for index in range(3))
+        )
 
     @property
     def work_ms(self) -> float:
         """The mean work of a query over all profiles."""
         total = self.rate.mid or 1.0
-        return sum(one.rate.mid * one.work_ms.mid for one in self.profiles) / total
+        return sum(profile.rate.mid * profile.work_ms.mid for profile in self.profiles) / total
 
     @property
     def work_error(self) -> float:
         """The relative half-width of the interval of the work, over all profiles."""
-        total = sum(one.rate.mid * one.work_ms.mid for one in self.profiles) or 1.0
+        total = sum(profile.rate.mid * profile.work_ms.mid for profile in self.profiles) or 1.0
         return (
-            sum(one.rate.mid * (one.work_ms.high - one.work_ms.low) / 2 for one in self.profiles)
+            sum(
+                profile.rate.mid * (profile.work_ms.high - profile.work_ms.low) / 2
+                for profile in self.profiles
+            )
             / total
         )
 
@@ -110,7 +115,7 @@
         raise ValueError("the capture holds no query")
     first, last = rows[0].came, rows[-1].came
     seconds = max(1e-3, (last - first) / SECOND)
-    if len(rows) < LEAST_ROWS or last - first < LEAST_SPAN:
+    if len(rows) < MIN_ROWS or last - first < MIN_SPAN:
         assumptions.append(
             f"the capture is short ({len(rows)} queries in {seconds:.0f} s): intervals are wide, and "
             f"bursts "
@@ -128,35 +133,35 @@
         or not row.machine.born
         or row.came + row.sent - row.machine.born >= warm
     ]
-    sick = _sick(warm_rows)
-    if sick:
+    unhealthy = _unhealthy_machines(warm_rows)
+    if unhealthy:
         assumptions.append(
-            f"machines {', '.join(sorted(sick)[:5])} were sick: their times are left out of the work"
+            f"machines {', '.join(sorted(unhealthy)[:5])} were sick: their times are left out of the work"
         )
     chance = Chance(len(rows))
     load_rows = len(rows) / seconds * fronts
     machines = max(1, len({row.machine.name for row in rows if row.machine}))
     samples = {
-        place: _samples([row for row in warm_rows if row.profile == place], sick)
-        for place in range(len(header_profiles))
+        index: _samples([row for row in warm_rows if row.profile == index], unhealthy)
+        for index in range(len(header_profiles))
     }
-    waits = _waits(samples, rows, seconds, fronts, machines, fleet_workers)
+    wait = _wait_behind_others(samples, rows, seconds, fronts, machines, fleet_workers)
     profiles = []
-    for place, head in enumerate(header_profiles):
-        asked = [row for row in fresh if row.profile == place]
+    for index, header in enumerate(header_profiles):
+        asked = [row for row in fresh if row.profile == index]
         work, cv, hint_cv = _work(
-            samples[place], waits, chance, head["name"], given_work, assumptions
+            samples[index], wait, chance, header["name"], given_work, assumptions
         )
         profiles.append(
             ProfileDemand(
-                head["name"],
+                header["name"],
                 _rate(asked, first, last, fronts, chance),
                 work,
                 cv,
                 hint_cv,
-                head["repeat"],
-                head["aim_ms"],
-                head["patience_ms"],
+                header["repeat"],
+                header["aim_ms"],
+                header["patience_ms"],
             )
         )
     denied = sum(row.ending == "denied" for row in rows)
@@ -176,41 +181,49 @@
         _burstiness(fresh, first, last, chance),
         share_interval(sum(row.repeated for row in rows), len(rows)),
         share_interval(denied, len(rows)),
-        tuple(sorted(sick)),
+        tuple(sorted(unhealthy)),
         len(rows) - len(warm_rows),
         tuple(assumptions),
         fronts,
     )
 
 
-def _sick(rows: list[Row]) -> set[str]:
+def _unhealthy_machines(rows: list[Row]) -> set[str]:
     """Return the machines that are far slower than the median machine or fail far more often."""
     times: dict[str, list[int]] = {}
-    tried: dict[str, list[bool]] = {}
+    answers: dict[str, list[bool]] = {}
     for row in rows:
         if row.machine is not None:
-            tried.setdefault(row.machine.name, []).append(bool(row.served))
+            answers.setdefault(row.machine.name, []).append(bool(row.served))
             if row.served:
                 times.setdefault(row.machine.name, []).append(row.served)
-    middles = {name: median(one) for name, one in times.items() if len(one) >= SICK_LEAST}
-    if len(middles) < 3:
+    medians = {
+        name: median(values) for name, values in times.items() if len(values) >= MIN_OUTCOMES
+    }
+    if len(medians) < 3:
         return set()
-    usual = median(middles.values())
-    slow = {name for name, one in middles.items() if one > SICK * usual}
-    missed = {
-        name: 1 - sum(one) / len(one) for name, one in tried.items() if len(one) >= SICK_LEAST
+    typical_time = median(medians.values())
+    slow = {
+        name
+        for name, median_time in medians.items()
+        if median_time > UNHEALTHY_FACTOR * typical_time
     }
-    common = median(missed.values())
-    return slow | {name for name, one in missed.items() if one > common + 0.25}
+    failure_shares = {
+        name: 1 - sum(answered) / len(answered)
+        for name, answered in answers.items()
+        if len(answered) >= MIN_OUTCOMES
+    }
+    typical_share = median(failure_shares.values())
+    return slow | {name for name, share in failure_shares.items() if share > typical_share + 0.25}
 
 
 class _Sample(NamedTuple):
-    came: int
-    took: float  # service time in microseconds, without the overhead
+    arrival: int
+    time_us: float  # service time, without the overhead
     hint: int | None
 
 
-def _samples(rows: list[Row], sick: set[str]) -> list[_Sample]:
+def _samples(rows: list[Row], unhealthy: set[str]) -> list[_Sample]:
     """Return the answers of machines that held no other query of this front at hand-off.
 
     With fewer than 20 of these, all answers to queries with a single hand-off are used.
@@ -218,14 +231,14 @@
     done = [
         row
         for row in rows
-        if row.served and row.machine and row.machine.name not in sick and row.hand_offs == 1
+        if row.served and row.machine and row.machine.name not in unhealthy and row.hand_offs == 1
     ]
     alone = [row for row in done if row.ahead == 0]
-    some = alone if len(alone) >= 20 else done
-    return [_Sample(row.came, max(1.0, row.served - OVERHEAD_US), row.hint) for row in some]
+    chosen = alone if len(alone) >= 20 else done
+    return [_Sample(row.came, max(1.0, row.served - OVERHEAD_US), row.hint) for row in chosen]
 
 
-def _waits(
+def _wait_behind_others(
     samples: dict[int, list[_Sample]],
     rows: list[Row],
     seconds: float,
@@ -240,25 +253,26 @@
     if fronts < 2 or not fleet_workers:
         return 0.0
     counts = {
-        place: sum(row.profile == place and row.hand_offs > 0 for row in rows) for place in samples
+        index: sum(row.profile == index and row.hand_offs > 0 for row in rows) for index in samples
     }
     total = sum(counts.values()) or 1
     workers = max(1, round(fleet_workers / machines))
-    others = (
-        total / seconds * (fronts - 1) / machines / SECOND
-    )  # arrivals at a machine from the other fronts
+    # The rate at which the other fronts' queries arrive at a machine.
+    other_arrivals = total / seconds * (fronts - 1) / machines / SECOND
     means = {
-        place: sum(one.took for one in some) / len(some) for place, some in samples.items() if some
+        index: sum(sample.time_us for sample in profile_samples) / len(profile_samples)
+        for index, profile_samples in samples.items()
+        if profile_samples
     }
     if not means:
         return 0.0
-    taken = sum(counts[place] * mean for place, mean in means.items()) / sum(
-        counts[place] or 1 for place in means
+    mean_time = sum(counts[index] * mean for index, mean in means.items()) / sum(
+        counts[index] or 1 for index in means
     )
     wait = 0.0
     for _ in range(30):  # fixed point: work is time less wait, and the wait follows from the work
-        work = max(taken * 0.2, taken - wait)
-        wait = min(0.8 * taken, mean_wait(others, work, workers, 1.0))
+        work = max(mean_time * 0.2, mean_time - wait)
+        wait = min(0.8 * mean_time, mean_wait(other_arrivals, work, workers, 1.0))
     return wait
 
 
@@ -267,7 +281,7 @@
     wait: float,
     chance: Chance,
     name: str,
-    given: dict[str, float],
+    given_work: dict[str, float],
     assumptions: list[str],
 ) -> tuple[Interval, float, float]:
     """Return the mean work in ms, its coefficient of variation and that of the hints.
@@ -275,10 +289,10 @@
     Raises:
         ValueError: There are too few samples, and the fleet file does not give the work.
     """
-    if name in given:
-        assumptions.append(f"work of {name}: {given[name]:g} ms, as the fleet's sheet says")
+    if name in given_work:
+        assumptions.append(f"work of {name}: {given_work[name]:g} ms, as the fleet's sheet says")
         return (
-            Interval(given[name], given[name], given[name]),
+            Interval(given_work[name], given_work[name], given_work[name]),
             _cv(samples) if len(samples) > 20 else 1.0,
             0.3,
         )
@@ -288,15 +302,15 @@
             f"profile {name!r} a work-ms in the fleet's sheet"
         )
     blocks: dict[int, list[float]] = {}
-    for one in samples:
-        blocks.setdefault(one.came // BLOCK, []).append(one.took)
-    found = bootstrap(list(blocks.values()), lambda values: sum(values) / len(values), chance)
-    scale = max(0.2, 1 - wait / found.mid)
+    for sample in samples:
+        blocks.setdefault(sample.arrival // BLOCK, []).append(sample.time_us)
+    estimate = bootstrap(list(blocks.values()), lambda values: sum(values) / len(values), chance)
+    scale = max(0.2, 1 - wait / estimate.mid)
     low, high = (
-        bound if 0 < bound < float("inf") else found.mid * factor
-        for bound, factor in ((found.low, 0.5), (found.high, 2.0))
+        bound if 0 < bound < float("inf") else estimate.mid * factor
+        for bound, factor in ((estimate.low, 0.5), (estimate.high, 2.0))
     )
-    interval = Interval(*(round(value * scale / 1000, 4) for value in (found.mid, low, high)))
+    interval = Interval(*(round(value * scale / 1000, 4) for value in (estimate.mid, low, high)))
     return interval, _cv(samples), _hint_cv(samples)
 
 
@@ -305,10 +319,10 @@
 
     On the logarithmic scale a few long waits have less weight.
     """
-    logs = [log(one.took) for one in samples]
+    logs = [log(sample.time_us) for sample in samples]
     mean = sum(logs) / len(logs)
-    s2 = sum((one - mean) ** 2 for one in logs) / max(1, len(logs) - 1)
-    return round(min(3.0, sqrt(max(0.0, 2.718281828**s2 - 1))), 4)
+    variance = sum((value - mean) ** 2 for value in logs) / max(1, len(logs) - 1)
+    return round(min(3.0, sqrt(max(0.0, 2.718281828**variance - 1))), 4)
 
 
 def _hint_cv(samples: list[_Sample]) -> float:
@@ -316,11 +330,11 @@
 
     The factor 1.4826 makes it agree with the standard deviation of a normal distribution.
     """
-    hinted = [log(one.hint / one.took) for one in samples if one.hint]
-    if len(hinted) < 5:
+    log_ratios = [log(sample.hint / sample.time_us) for sample in samples if sample.hint]
+    if len(log_ratios) < 5:
         return 0.3
-    middle = median(hinted)
-    return round(min(2.0, 1.4826 * median(abs(one - middle) for one in hinted)), 4)
+    center = median(log_ratios)
+    return round(min(2.0, 1.4826 * median(abs(log_ratio - center) for log_ratio in log_ratios)), 4)
 
 
 def _rate(rows: list[Row], first: int, last: int, fronts: int, chance: Chance) -> Interval:
@@ -333,12 +347,14 @@
     width = (last - first) / count or 1
     for row in rows:
         blocks[min(count - 1, int((row.came - first) / width))] += 1
-    rates = [one * SECOND / width * fronts for one in blocks]
-    found = bootstrap([[one] for one in rates], lambda values: sum(values) / len(values), chance)
-    if found.high == float("inf"):
+    rates = [block * SECOND / width * fronts for block in blocks]
+    estimate = bootstrap(
+        [[rate] for rate in rates], lambda values: sum(values) / len(values), chance
+    )
+    if estimate.high == float("inf"):
         half = 1.96 * sqrt(sum(blocks)) * SECOND / max(1, last - first) * fronts
-        found = Interval(found.mid, max(0.0, found.mid - half), found.mid + half)
-    return Interval(*(round(value, 4) for value in found))
+        estimate = Interval(estimate.mid, max(0.0, estimate.mid - half), estimate.mid + half)
+    return Interval(*(round(value, 4) for value in estimate))
 
 
 def _peak(rows: list[Row], first: int, last: int) -> float:
@@ -357,16 +373,16 @@
     """
     seconds = [0] * max(1, (last - first) // SECOND)
     for row in rows:
-        at = (row.came - first) // SECOND
-        if at < len(seconds):
-            seconds[at] += 1
-    blocks = [seconds[at : at + 5] for at in range(0, len(seconds) - 4, 5)]
+        index = (row.came - first) // SECOND
+        if index < len(seconds):
+            seconds[index] += 1
+    blocks = [seconds[index : index + 5] for index in range(0, len(seconds) - 4, 5)]
     ratios = []
     for block in blocks:
         mean = sum(block) / 5
         if mean:
-            ratios.append([sum((one - mean) ** 2 for one in block) / 4 / mean])
+            ratios.append([sum((count - mean) ** 2 for count in block) / 4 / mean])
     if not ratios:
         return Interval(1.0, 0.0, 10.0)
-    found = bootstrap(ratios, lambda values: sum(values) / len(values), chance)
-    return Interval(*(round(min(100.0, value), 4) for value in found))
+    estimate = bootstrap(ratios, lambda values: sum(values) / len(values), chance)
+    return Interval(*(round(min(100.0, value), 4) for value in estimate))
--- a/umbermoor/planner/limits.py
+++ b/umbermoor/planner/limits.py
@@ -14,10 +14,10 @@
 from umbermoor.planner.queueing import erlang_c, highest_rate, late_share
 from umbermoor.planner.sheets import Fleet
 
-RESERVE = 32  # descriptors that a front keeps for purposes other than connections
-CLIENTS_PART = 3  # clients use at most 1/CLIENTS_PART of a front's descriptors
-TELLING = 10  # with fewer outcomes of a trial, a stage is judged by its duration alone
-LIST_EVERY = 2.0  # seconds between a front's requests for the list of machines
+RESERVED_DESCRIPTORS = 32  # descriptors that a front keeps for purposes other than connections
+CLIENT_PART = 3  # clients use at most 1/CLIENT_PART of a front's descriptors
+MIN_TRIAL_OUTCOMES = 10  # with fewer outcomes of a trial, a stage is judged by its duration alone
+LIST_PERIOD_S = 2.0  # seconds between a front's requests for the list of machines
 
 
 class Limit(NamedTuple):
@@ -42,10 +42,10 @@
         _memory(demand, fleet),
         _platform(demand, fleet),
         _list(demand, fleet),
-        _cold(demand, fleet),
+        _cold_return(demand, fleet),
         _retries(demand, fleet),
         _evidence(demand, fleet),
-        _guarded(demand, fleet),
+        _trial_cap(demand, fleet),
     ]
     return sorted(rows, key=lambda row: (row.below, row.reached.mid, row.name))
 
@@ -53,23 +53,23 @@
 def mixed_work(demand: Demand) -> tuple[float, float]:
     """Return the mean work of a query of the mix in seconds and its coefficient of variation."""
     total = demand.rate.mid or 1.0
-    mean = sum(one.rate.mid * one.work_ms.mid for one in demand.profiles) / total / 1000
+    mean = sum(profile.rate.mid * profile.work_ms.mid for profile in demand.profiles) / total / 1000
     square = (
         sum(
-            one.rate.mid * (one.work_ms.mid / 1000) ** 2 * (1 + one.work_cv**2)
-            for one in demand.profiles
+            profile.rate.mid * (profile.work_ms.mid / 1000) ** 2 * (1 + profile.work_cv**2)
+            for profile in demand.profiles
         )
         / total
     )
     return mean, sqrt(max(0.0, square / mean**2 - 1))
 
 
-def widened(value: float, error: float) -> Interval:
+def with_error(value: float, error: float) -> Interval:
     """Return the value with bounds at the given relative error."""
     return Interval(value, value * max(0.0, 1 - error), value * (1 + error))
 
 
-def highest(fits: Callable[[float], bool], top: float) -> float:
+def highest_fitting(fits: Callable[[float], bool], top: float) -> float:
     """Return the highest load up to ``top`` that fits, by bisection, or inf if ``top`` fits."""
     if fits(top):
         return inf
@@ -88,28 +88,31 @@
 def goal_bracket(demand: Demand, fleet: Fleet) -> tuple[float, float]:
     """Return a lower and an upper bound of the load at which the goal is missed.
 
-    The lower bound takes random assignment of queries to machines, each with a queue of its own;
+    The lower bound takes random assignment of queries to machines, each with its own queue;
     the upper bound takes all workers as one pool with a single queue. Both are 0 if the work alone
     exceeds the target time too often.
     """
     lows, highs = [], []
     work, cv = mixed_work(demand)
-    for one in demand.profiles:
-        late = 1 - fleet.goal_of(one.name)
-        aim = one.aim_ms / 1000
-        mean, own = one.work_ms.mid / 1000, one.work_cv
+    for profile in demand.profiles:
+        late = 1 - fleet.goal_of(profile.name)
+        aim = profile.aim_ms / 1000
+        mean, profile_cv = profile.work_ms.mid / 1000, profile.work_cv
         slowest = min(group.speed for group in fleet.group)
-        if late_share(1e-9, mean / max(group.speed for group in fleet.group), 1, own, aim) > late:
+        if (
+            late_share(1e-9, mean / max(group.speed for group in fleet.group), 1, profile_cv, aim)
+            > late
+        ):
             return 0.0, 0.0
         factor = work / mean  # converts loads of this profile's work into loads of the mix
         workers = max(1, round(fleet.capacity))
-        pooled = highest_rate(mean, workers, max(own, cv), aim, late)
-        lone = sum(
+        pooled = highest_rate(mean, workers, max(profile_cv, cv), aim, late)
+        separate = sum(
             group.machines
-            * highest_rate(mean / group.speed, group.workers, max(own, cv), aim, late)
+            * highest_rate(mean / group.speed, group.workers, max(profile_cv, cv), aim, late)
             for group in fleet.group
         )
-        lows.append(lone / factor * min(1.0, slowest))
+        lows.append(separate / factor * min(1.0, slowest))
         highs.append(pooled / factor)
     return min(lows), min(highs)
 
@@ -118,7 +121,7 @@
     work, _ = mixed_work(demand)
     return Limit(
         "machine work",
-        widened(fleet.capacity / work, demand.work_error),
+        with_error(fleet.capacity / work, demand.work_error),
         f"{fleet.capacity:g} workers at speed 1, {work * 1000:.1f} ms of work a query",
     )
 
@@ -126,21 +129,21 @@
 def _goals(demand: Demand, fleet: Fleet) -> list[Limit]:
     rows = []
     low, high = goal_bracket(demand, fleet)
-    for one in demand.profiles:
-        goal = fleet.goal_of(one.name)
-        alone = late_share(
+    for profile in demand.profiles:
+        goal = fleet.goal_of(profile.name)
+        late_when_idle = late_share(
             1e-9,
-            one.work_ms.mid / 1000 / max(group.speed for group in fleet.group),
+            profile.work_ms.mid / 1000 / max(group.speed for group in fleet.group),
             1,
-            one.work_cv,
-            one.aim_ms / 1000,
+            profile.work_cv,
+            profile.aim_ms / 1000,
         )
-        if alone > 1 - goal:
+        if late_when_idle > 1 - goal:
             rows.append(
                 Limit(
-                    f"target time of {one.name}",
+                    f"target time of {profile.name}",
                     Interval(0.0, 0.0, 0.0),
-                    f"{alone:.2%} of it takes longer than {one.aim_ms:g} ms on an idle machine: no number of "
+                    f"{late_when_idle:.2%} of it takes longer than {profile.aim_ms:g} ms on an idle machine: no number of "
                     f"machines holds {goal:.2%}",
                 )
             )
@@ -160,27 +163,30 @@
 def _queue(demand: Demand, fleet: Fleet) -> Limit:
     """Full queues reject more queries than the goal allows; each machine has its own queue."""
     work, _ = mixed_work(demand)
-    most = 1 - max(fleet.goal_of(one.name) for one in demand.profiles)
+    allowed = 1 - max(fleet.goal_of(profile.name) for profile in demand.profiles)
 
     def fits(load: float) -> bool:
         for group in fleet.group:
             offered = load / fleet.capacity * work
             if offered >= group.workers:
                 return False
-            if erlang_c(group.workers, offered) * (offered / group.workers) ** group.queue > most:
+            if (
+                erlang_c(group.workers, offered) * (offered / group.workers) ** group.queue
+                > allowed
+            ):
                 return False
         return True
 
     top = saturation(demand, fleet)
-    found = highest(fits, top * 1.01)
+    reached = highest_fitting(fits, top * 1.01)
     return Limit(
         "machine queue",
-        widened(min(found, top), demand.work_error),
-        f"queues of {', '.join(str(group.queue) for group in fleet.group)} turn away over {most:.2%}",
+        with_error(min(reached, top), demand.work_error),
+        f"queues of {', '.join(str(group.queue) for group in fleet.group)} turn away over {allowed:.2%}",
     )
 
 
-def _held(load: float, demand: Demand, fleet: Fleet) -> float:
+def _concurrent_queries(load: float, demand: Demand, fleet: Fleet) -> float:
     """Return the mean number of concurrent queries in the whole fleet (Little's law).
 
     The wait is that of one pool of all workers.
@@ -190,22 +196,21 @@
     from umbermoor.planner.queueing import mean_wait
 
     wait = mean_wait(load, work, workers, cv)
-    longest = max(one.patience_ms for one in demand.profiles) / 1000
+    longest = max(profile.patience_ms for profile in demand.profiles) / 1000
     return load * min(longest, work + wait)
 
 
 def _connections(demand: Demand, fleet: Fleet) -> Limit:
     def fits(load: float) -> bool:
-        each = (
-            _held(load, demand, fleet) / fleet.machines / fleet.front.count
-        )  # queries of one front at one machine
-        lines = fleet.front.count * (each + 3 * sqrt(each) + 1)
-        return lines <= min(group.connections for group in fleet.group)
+        # Concurrent queries of one front at one machine.
+        per_machine = _concurrent_queries(load, demand, fleet) / fleet.machines / fleet.front.count
+        connections = fleet.front.count * (per_machine + 3 * sqrt(per_machine) + 1)
+        return connections <= min(group.connections for group in fleet.group)
 
-    found = highest(fits, saturation(demand, fleet))
+    reached = highest_fitting(fits, saturation(demand, fleet))
     return Limit(
         "machine connections",
-        widened(found, demand.work_error),
+        with_error(reached, demand.work_error),
         f"{fleet.front.count} fronts keep a line for each hand-off of their busiest moment; the least "
         f"machine takes "
         f"{min(group.connections for group in fleet.group)}",
@@ -217,37 +222,37 @@
     tries = 1 / max(0.2, 1 - demand.retry_share.mid)
     return Limit(
         "front CPU",
-        widened(fleet.front.count * 1e6 / cost / tries, 0.05),
+        with_error(fleet.front.count * 1e6 / cost / tries, 0.05),
         f"{fleet.front.count} cores, {cost:g} us a query, {tries:.2f} tries a query",
     )
 
 
 def _descriptors(demand: Demand, fleet: Fleet) -> Limit:
     def fits(load: float) -> bool:
-        each = _held(load, demand, fleet) / fleet.front.count
-        peak = each + 3 * sqrt(each)
-        budget = fleet.front.descriptors - RESERVE
-        return peak <= budget / CLIENTS_PART and 2 * peak + min(fleet.machines, peak) <= budget
+        per_front = _concurrent_queries(load, demand, fleet) / fleet.front.count
+        peak = per_front + 3 * sqrt(per_front)
+        budget = fleet.front.descriptors - RESERVED_DESCRIPTORS
+        return peak <= budget / CLIENT_PART and 2 * peak + min(fleet.machines, peak) <= budget
 
-    found = highest(fits, saturation(demand, fleet))
+    reached = highest_fitting(fits, saturation(demand, fleet))
     return Limit(
         "front descriptors",
-        widened(found, demand.work_error),
+        with_error(reached, demand.work_error),
         f"{fleet.front.descriptors} of each front, a third for clients; one for each hand-off besides",
     )
 
 
 def _memory(demand: Demand, fleet: Fleet) -> Limit:
-    room = fleet.front.memory_mb - fleet.limits.front_base_mb
+    available_mb = fleet.front.memory_mb - fleet.limits.front_base_mb
 
     def fits(load: float) -> bool:
-        each = _held(load, demand, fleet) / fleet.front.count
-        return (each + 3 * sqrt(each)) * fleet.limits.query_kb / 1024 <= room
+        per_front = _concurrent_queries(load, demand, fleet) / fleet.front.count
+        return (per_front + 3 * sqrt(per_front)) * fleet.limits.query_kb / 1024 <= available_mb
 
     return Limit(
         "front memory",
-        widened(highest(fits, saturation(demand, fleet)), demand.work_error),
-        f"{room:g} MB beside the program, {fleet.limits.query_kb:g} KB an open query",
+        with_error(highest_fitting(fits, saturation(demand, fleet)), demand.work_error),
+        f"{available_mb:g} MB beside the program, {fleet.limits.query_kb:g} KB an open query",
     )
 
 
@@ -266,7 +271,7 @@
 
 
 def _list(demand: Demand, fleet: Fleet) -> Limit:
-    calls = fleet.front.count / LIST_EVERY
+    calls = fleet.front.count / LIST_PERIOD_S
     reached = 0.0 if calls > fleet.limits.list_calls_s else inf
     return Limit(
         "list calls",
@@ -275,15 +280,15 @@
     )
 
 
-def _cold(demand: Demand, fleet: Fleet) -> Limit:
+def _cold_return(demand: Demand, fleet: Fleet) -> Limit:
     """The largest group returns cold: the rest, and its reduced capacity, must carry the load."""
     work, _ = mixed_work(demand)
-    largest = max(fleet.group, key=lambda one: one.machines * one.workers * one.speed)
+    largest = max(fleet.group, key=lambda group: group.machines * group.workers * group.speed)
     lost = largest.machines * largest.workers * largest.speed
-    carried = fleet.capacity - lost * (1 - largest.cold_from)
+    remaining = fleet.capacity - lost * (1 - largest.cold_from)
     return Limit(
         "cold return",
-        widened(carried / work, demand.work_error),
+        with_error(remaining / work, demand.work_error),
         f"while group {largest.name} is cold it has {largest.cold_from:.0%} of its capacity",
         case=f"group {largest.name} returns cold",
     )
@@ -296,11 +301,11 @@
     that only the first does.
     """
     work, _ = mixed_work(demand)
-    top = fleet.capacity / work
+    machine_load = fleet.capacity / work
     cost = fleet.front.cpu_us or fleet.limits.front_cpu_us
-    fronts = fleet.front.count * 1e6 / cost / (1 + fleet.clients.retries)
-    low = min(top / (1 + fleet.clients.retries), fronts)
-    high = min(top, max(fronts, low))
+    front_load = fleet.front.count * 1e6 / cost / (1 + fleet.clients.retries)
+    low = min(machine_load / (1 + fleet.clients.retries), front_load)
+    high = min(machine_load, max(front_load, low))
     return Limit(
         "retry amplification",
         Interval(high, low, high),
@@ -314,23 +319,23 @@
 def _evidence(demand: Demand, fleet: Fleet) -> Limit:
     """The load is too low to judge the first stage of a rollout by its own outcomes."""
     first = fleet.platform.stages[0]
-    safe = sum(
-        one.rate.mid
-        for one in demand.profiles
-        if one.repeat == "repeatable" or not fleet.platform.guarded
+    judged_rate = sum(
+        profile.rate.mid
+        for profile in demand.profiles
+        if profile.repeat == "repeatable" or not fleet.platform.guarded
     )
-    part = safe / (demand.rate.mid or 1.0) * min(1.0, first)
-    needed = TELLING * fleet.front.count / fleet.platform.least_stage_s / max(part, 1e-9)
+    part = judged_rate / (demand.rate.mid or 1.0) * min(1.0, first)
+    needed = MIN_TRIAL_OUTCOMES * fleet.front.count / fleet.platform.least_stage_s / max(part, 1e-9)
     return Limit(
         "evidence in the first stage",
-        widened(needed, 0.3),
-        f"below it a front sees fewer than {TELLING} outcomes of the trial in "
+        with_error(needed, 0.3),
+        f"below it a front sees fewer than {MIN_TRIAL_OUTCOMES} outcomes of the trial in "
         f"{fleet.platform.least_stage_s:g} s",
         below=True,
     )
 
 
-def _guarded(demand: Demand, fleet: Fleet) -> Limit:
+def _trial_cap(demand: Demand, fleet: Fleet) -> Limit:
     """The cap on the trial build's hand-offs is below its share of the machines.
 
     Above the returned load the hand-offs that are exempt from the cap do not make up for the
--- a/umbermoor/planner/plan.py
+++ b/umbermoor/planner/plan.py
@@ -10,22 +10,29 @@
 from umbermoor.lab.statistics import Interval
 from umbermoor.planner.fit import Demand
 from umbermoor.planner.limits import goal_bracket, limits, saturation
-from umbermoor.planner.questions import RunResult, Scenario, burst_drains, by_stage, holds, shares
+from umbermoor.planner.questions import (
+    RunResult,
+    Scenario,
+    burst_drains,
+    meets_goals,
+    share_by_stage,
+    shares,
+)
 from umbermoor.planner.search import (
-    Answers,
-    Edge,
+    Results,
     Search,
-    falling,
+    Threshold,
     fewest_machines,
+    fit_nonincreasing,
     gather,
     highest_load,
 )
 from umbermoor.planner.sheets import Fleet
 
 STEP = 0.03  # relative resolution of the search for a load
-SEEDS = 3
-MACHINES_MOST = 20  # the search for machines stops at this multiple of the present number
-FLOOR_PART = 0.02  # the search for a load stops at this fraction of saturation
+SEEDS = 3  # runs of each scenario
+MAX_MACHINES_FACTOR = 20  # the search for machines stops at this multiple of the present number
+LOAD_FLOOR = 0.02  # the search for a load stops at this fraction of saturation
 
 
 class Planner:
@@ -39,11 +46,11 @@
 
     def __init__(self, demand: Demand, fleet: Fleet, seeds: int = SEEDS) -> None:
         self.demand, self.fleet, self.seeds = demand, fleet, seeds
-        self.goals = [fleet.goal_of(one.name) for one in demand.profiles]
-        self.now = demand.rate.mid
-        self.rows = limits(demand, fleet)
-        self.low, self.high = goal_bracket(demand, fleet)
-        self.top = saturation(demand, fleet)
+        self.goals = [fleet.goal_of(profile.name) for profile in demand.profiles]
+        self.current_load = demand.rate.mid
+        self.limits = limits(demand, fleet)
+        self.goal_low, self.goal_high = goal_bracket(demand, fleet)
+        self.saturation = saturation(demand, fleet)
         self.played: dict[Scenario, RunResult] = {}
 
     def searches(self) -> dict[str, Search]:
@@ -51,139 +58,152 @@
 
         Searches for the goal are left out if the closed form shows that no fleet can meet it.
         """
-        fleet, found = self.fleet, {}
-        if self.high > 0:
-            found["load"] = self._load("steady")
+        fleet, searches = self.fleet, {}
+        if self.goal_high > 0:
+            searches["load"] = self._load("steady")
             for growth in fleet.growth:
-                found[f"machines {growth:g}"] = self._machines(growth)
+                searches[f"machines {growth:g}"] = self._machines(growth)
             if len(fleet.group) > 1:
                 for group in fleet.group:
-                    found[f"load without {group.name}"] = self._load("loss", group.name)
-        found["now"] = self._once(Scenario("steady", self.now, fleet.machines, 1))
+                    searches[f"load without {group.name}"] = self._load("loss", group.name)
+        searches["now"] = self._fixed(Scenario("steady", self.current_load, fleet.machines, 1))
         for group in fleet.group:
             if len(fleet.group) > 1:
-                found[f"loss {group.name}"] = self._once(
-                    Scenario("loss", self.now, fleet.machines, 1, group.name)
+                searches[f"loss {group.name}"] = self._fixed(
+                    Scenario("loss", self.current_load, fleet.machines, 1, group.name)
                 )
-            found[f"cold {group.name}"] = self._once(
-                Scenario("cold", self.now, fleet.machines, 1, group.name)
+            searches[f"cold {group.name}"] = self._fixed(
+                Scenario("cold", self.current_load, fleet.machines, 1, group.name)
             )
-        found["replace"] = self._once(Scenario("replace", self.now, fleet.machines, 1))
-        for place in range(len(fleet.build)):
-            found[f"build {place}"] = self._once(
-                Scenario("build", self.now, fleet.machines, 1, str(place))
+        searches["replace"] = self._fixed(Scenario("replace", self.current_load, fleet.machines, 1))
+        for index in range(len(fleet.build)):
+            searches[f"build {index}"] = self._fixed(
+                Scenario("build", self.current_load, fleet.machines, 1, str(index))
             )
-        found["burst"] = self._burst()
-        return found
+        searches["burst"] = self._burst()
+        return searches
 
-    def _seeded(self, question: Scenario) -> list[Scenario]:
-        return [question._replace(seed=seed) for seed in range(1, self.seeds + 1)]
+    def _seeded(self, scenario: Scenario) -> list[Scenario]:
+        return [scenario._replace(seed=seed) for seed in range(1, self.seeds + 1)]
 
-    def _holds(self, answers: Answers) -> bool:
-        return holds(list(answers.values()), self.goals)
+    def _holds(self, results: Results) -> bool:
+        return meets_goals(list(results.values()), self.goals)
 
-    def _load(self, kind: str, what: str = "") -> Search:
-        part = 1.0
+    def _load(self, kind: str, target: str = "") -> Search:
+        remaining = 1.0
         if kind == "loss":
-            group = next(one for one in self.fleet.group if one.name == what)
-            part = 1 - group.machines * group.workers * group.speed / self.fleet.capacity
-        low, high = 0.9 * self.low * part, min(self.high, self.top) * part
+            group = next(group for group in self.fleet.group if group.name == target)
+            remaining = 1 - group.machines * group.workers * group.speed / self.fleet.capacity
+        low, high = (
+            0.9 * self.goal_low * remaining,
+            min(self.goal_high, self.saturation) * remaining,
+        )
         return highest_load(
             low,
             high,
             STEP,
-            lambda load: self._seeded(Scenario(kind, load, self.fleet.machines, 1, what)),
+            lambda load: self._seeded(Scenario(kind, load, self.fleet.machines, 1, target)),
             self._holds,
-            FLOOR_PART * self.top,
-            1.5 * self.top,
+            LOAD_FLOOR * self.saturation,
+            1.5 * self.saturation,
         )
 
     def _machines(self, growth: float) -> Search:
-        load = self.now * growth
-        per = self.fleet.machines
+        load = self.current_load * growth
+        present = self.fleet.machines
         return fewest_machines(
-            int(0.9 * per * load / max(self.high, 1e-9)),
-            int(1.1 * per * load / max(self.low, 1e-9)) + 1,
+            int(0.9 * present * load / max(self.goal_high, 1e-9)),
+            int(1.1 * present * load / max(self.goal_low, 1e-9)) + 1,
             lambda count: self._seeded(Scenario("steady", load, count, 1)),
             self._holds,
-            per * MACHINES_MOST,
+            present * MAX_MACHINES_FACTOR,
         )
 
     def _burst(self) -> Search:
         return highest_load(
-            0.4 * self.top,
-            1.05 * self.top,
+            0.4 * self.saturation,
+            1.05 * self.saturation,
             0.05,
             lambda load: self._seeded(Scenario("burst", load, self.fleet.machines, 1)),
-            lambda answers: burst_drains(list(answers.values())),
-            0.2 * self.top,
-            1.4 * self.top,
+            lambda results: burst_drains(list(results.values())),
+            0.2 * self.saturation,
+            1.4 * self.saturation,
         )
 
-    def _once(self, question: Scenario) -> Search:
-        answers = yield self._seeded(question)
-        return list(answers.values())
+    def _fixed(self, scenario: Scenario) -> Search:
+        results = yield self._seeded(scenario)
+        return list(results.values())
 
     def run(
-        self, play: Callable[[list[Scenario]], Answers], found: dict[str, Any] | None = None
+        self,
+        run_scenarios: Callable[[list[Scenario]], Results],
+        results: dict[str, Any] | None = None,
     ) -> dict[str, Any]:
         """Run all searches and return their results by name.
 
-        Results are stored in ``found`` as soon as they are there, so that a caller that interrupts
-        the run has those found by then.
+        Results are stored in ``results`` as soon as they are there, so that a caller that
+        interrupts the run has what was found by then.
         """
 
-        def noted(questions: list[Scenario]) -> Answers:
-            answers = play(questions)
-            self.played.update(answers)
-            return answers
+        def run_and_record(scenarios: list[Scenario]) -> Results:
+            new_results = run_scenarios(scenarios)
+            self.played.update(new_results)
+            return new_results
 
-        return gather(self.searches(), noted, found)
+        return gather(self.searches(), run_and_record, results)
 
     def curve(self) -> dict[str, list[tuple[float, float]]]:
         """Return the worst profile's share in time by load, fitted by a curve that never rises."""
-        found: dict[str, dict[float, list[RunResult]]] = {}
-        for question, answer in self.played.items():
-            if question.kind in ("steady", "loss") and question.machines == self.fleet.machines:
-                name = "all machines" if question.kind == "steady" else f"without {question.what}"
-                found.setdefault(name, {}).setdefault(question.load, []).append(answer)
+        by_load: dict[str, dict[float, list[RunResult]]] = {}
+        for scenario, result in self.played.items():
+            if scenario.kind in ("steady", "loss") and scenario.machines == self.fleet.machines:
+                name = "all machines" if scenario.kind == "steady" else f"without {scenario.target}"
+                by_load.setdefault(name, {}).setdefault(scenario.load, []).append(result)
         return {
             name: [
                 (load, round(share, 5))
-                for load, share in falling(
+                for load, share in fit_nonincreasing(
                     [
-                        (load, min(one.mid for one in shares(answers)), len(answers))
-                        for load, answers in loads.items()
+                        (load, min(share.mid for share in shares(runs)), len(runs))
+                        for load, runs in loads.items()
                     ]
                 )
             ]
-            for name, loads in sorted(found.items())
+            for name, loads in sorted(by_load.items())
         }
 
-    def answer(self, found: dict[str, Any], partial: bool = False) -> dict[str, Any]:
+    def report(self, results: dict[str, Any], partial: bool = False) -> dict[str, Any]:
         """Return the plan as the JSON output has it.
 
         Args:
-            found: Results of the searches by name.
+            results: Results of the searches by name.
             partial: Whether the run was interrupted, so that results may be missing.
         """
         fleet, demand = self.fleet, self.demand
-        names = [one.name for one in demand.profiles]
-
-        def share(answers: list[RunResult]) -> dict[str, Any]:
-            return {name: _interval(_clipped(one)) for name, one in zip(names, shares(answers))} | {
-                "service": round(sum(one.service for one in answers) / len(answers), 4),
-                "rules_broken": sum(one.breaches for one in answers),
+        names = [profile.name for profile in demand.profiles]
+
+        def share(runs: list[RunResult]) -> dict[str, Any]:
+            return {
+                name: _interval(_clipped(interval)) for name, interval in zip(names, shares(runs))
+            } | {
+                "service": round(sum(result.service for result in runs) / len(runs), 4),
+                "rules_broken": sum(result.violations for result in runs),
             }
 
-        edges = {
-            name: self._edge(one)
-            for name, one in found.items()
-            if isinstance(one, Edge) and not name.startswith("machines")
+        thresholds = {
+            name: self._threshold(result)
+            for name, result in results.items()
+            if isinstance(result, Threshold) and not name.startswith("machines")
         }
-        plays = sum(one.plays for one in found.values() if isinstance(one, Edge))
-        scan = sum(one.scan for one in found.values() if isinstance(one, Edge))
-        rows = self._rows(found)
+        search_runs = sum(
+            threshold.runs for threshold in results.values() if isinstance(threshold, Threshold)
+        )
+        scan_runs = sum(
+            threshold.scan_runs
+            for threshold in results.values()
+            if isinstance(threshold, Threshold)
+        )
+        rows = self._limit_rows(results)
         always = [row["limit"] for row in rows if "reached_at" in row and not row["case"]]
         return {
             "fleet": fleet.name,
@@ -191,13 +211,13 @@
             "load_now": _interval(demand.rate),
             "goals": dict(zip(names, self.goals)),
             "demand": {
-                one.name: {
-                    "rate": _interval(one.rate),
-                    "work_ms": _interval(one.work_ms),
-                    "work_cv": one.work_cv,
-                    "hint_cv": one.hint_cv,
+                profile.name: {
+                    "rate": _interval(profile.rate),
+                    "work_ms": _interval(profile.work_ms),
+                    "work_cv": profile.work_cv,
+                    "hint_cv": profile.hint_cv,
                 }
-                for one in demand.profiles
+                for profile in demand.profiles
             },
             "burstiness": _interval(demand.burstiness),
             "peak": demand.peak,
@@ -206,70 +226,75 @@
             "first": always[0],
             "runner_up": always[1],
             "limits": rows,
-            "goal_breaks_at": edges.get("load"),
+            "goal_breaks_at": thresholds.get("load"),
             "machines": {
-                name.partition(" ")[2]: _count(one)
-                for name, one in found.items()
+                name.partition(" ")[2]: _machine_count(result)
+                for name, result in results.items()
                 if name.startswith("machines ")
             },
-            "now": share(found["now"]) if "now" in found else None,
+            "now": share(results["now"]) if "now" in results else None,
             "loss": {
                 group.name: {
-                    "share": share(found[f"loss {group.name}"]),
-                    "goal_breaks_at": edges.get(f"load without {group.name}"),
+                    "share": share(results[f"loss {group.name}"]),
+                    "goal_breaks_at": thresholds.get(f"load without {group.name}"),
                 }
                 for group in fleet.group
-                if f"loss {group.name}" in found
+                if f"loss {group.name}" in results
             },
             "cold_return": {
-                group.name: share(found[f"cold {group.name}"])
+                group.name: share(results[f"cold {group.name}"])
                 for group in fleet.group
-                if f"cold {group.name}" in found
+                if f"cold {group.name}" in results
             },
-            "replacement": share(found["replace"]) if "replace" in found else None,
+            "replacement": share(results["replace"]) if "replace" in results else None,
             "bad_builds": [
                 {
                     "build": f"{build.fault_kind} {build.size:g}",
-                    **share(found[f"build {place}"]),
-                    "stages": by_stage(found[f"build {place}"][0]),
+                    **share(results[f"build {index}"]),
+                    "stages": share_by_stage(results[f"build {index}"][0]),
                     "taken_back": sum(
-                        any(row[3] in ("going_back", "withdrawn") for row in one.stages)
-                        for one in found[f"build {place}"]
+                        any(row[3] in ("going_back", "withdrawn") for row in result.stages)
+                        for result in results[f"build {index}"]
                     )
-                    / len(found[f"build {place}"]),
+                    / len(results[f"build {index}"]),
                 }
-                for place, build in enumerate(fleet.build)
-                if f"build {place}" in found
+                for index, build in enumerate(fleet.build)
+                if f"build {index}" in results
             ],
-            "burst_drains_below": edges.get("burst"),
+            "burst_drains_below": thresholds.get("burst"),
             "curve": self.curve(),
-            "plays": {"searches": plays, "plain_scan": scan, "seeds": self.seeds, "step": STEP},
+            "plays": {
+                "searches": search_runs,
+                "plain_scan": scan_runs,
+                "seeds": self.seeds,
+                "step": STEP,
+            },
         }
 
-    def _rows(self, found: dict[str, Any]) -> list[dict[str, Any]]:
+    def _limit_rows(self, results: dict[str, Any]) -> list[dict[str, Any]]:
         """Return the limits in the order in which a growing load reaches them.
 
         A limit that a search has found by simulation carries that result in place of the closed
         form.
         """
         rows = []
-        for one in self.rows:
-            if one.below:
+        for limit in self.limits:
+            if limit.below:
                 continue
-            reached, by = one.reached, "closed form"
-            edge = found.get(
-                {"target time": "load", "retry amplification": "burst"}.get(one.name, "")
+            reached, by = limit.reached, "closed form"
+            threshold = results.get(
+                {"target time": "load", "retry amplification": "burst"}.get(limit.name, "")
             )
-            if isinstance(edge, Edge):
-                reached, by = self._widened(edge), "plays"
+            if isinstance(threshold, Threshold):
+                reached, by = self._widened(threshold), "plays"
             rows.append(
                 {
-                    "limit": one.name,
+                    "limit": limit.name,
                     "reached_at": _interval(reached),
-                    "times_now": _round(reached.mid / self.now),
+                    "times_now": _round(reached.mid / self.current_load),
                     "by": by,
-                    "case": one.case,
-                    "why": one.why,
+                    "case": limit.case,
+                    "why": limit.why,
                 }
             )
         rows.sort(
@@ -281,27 +306,30 @@
         )
         return rows + [
             {
-                "limit": one.name,
-                "reached_below": _interval(one.reached),
+                "limit": limit.name,
+                "reached_below": _interval(limit.reached),
                 "by": "closed form",
-                "why": one.why,
+                "why": limit.why,
             }
-            for one in self.rows
-            if one.below
+            for limit in self.limits
+            if limit.below
         ]
 
-    def _widened(self, edge: Edge) -> Interval:
+    def _widened(self, threshold: Threshold) -> Interval:
         error = self.demand.work_error
-        low, high = edge.low or 0.0, edge.high if edge.high is not None else float("inf")
-        return Interval(edge.mid, low * (1 - error), high * (1 + error))
+        low, high = (
+            threshold.low or 0.0,
+            threshold.high if threshold.high is not None else float("inf"),
+        )
+        return Interval(threshold.mid, low * (1 - error), high * (1 + error))
 
-    def _edge(self, edge: Edge) -> dict[str, Any]:
-        reached = self._widened(edge)
+    def _threshold(self, threshold: Threshold) -> dict[str, Any]:
+        reached = self._widened(threshold)
         return {
             "load": _interval(reached),
-            "times_now": _round(reached.mid / self.now),
-            "held_at": _round(edge.low),
-            "broke_at": _round(edge.high),
+            "times_now": _round(reached.mid / self.current_load),
+            "held_at": _round(threshold.low),
+            "broke_at": _round(threshold.high),
         }
 
     def _assumptions(self) -> list[str]:
@@ -315,30 +343,30 @@
         ]
 
 
-def situations(answer: dict[str, Any]) -> list[tuple[str, dict[str, Any]]]:
+def situations(plan: dict[str, Any]) -> list[tuple[str, dict[str, Any]]]:
     """Return the shares in time at the present load for each simulated situation, by its name."""
-    shown = [("now", answer["now"]), ("rolling replacement", answer["replacement"])]
-    shown += [(f"without {name}", one["share"]) for name, one in answer["loss"].items()]
-    shown += [(f"{name} returns cold", one) for name, one in answer["cold_return"].items()]
-    shown += [(f"bad build: {one['build']}", one) for one in answer["bad_builds"]]
-    return [(name, one) for name, one in shown if one is not None]
+    rows = [("now", plan["now"]), ("rolling replacement", plan["replacement"])]
+    rows += [(f"without {name}", loss["share"]) for name, loss in plan["loss"].items()]
+    rows += [(f"{name} returns cold", shares) for name, shares in plan["cold_return"].items()]
+    rows += [(f"bad build: {build['build']}", build) for build in plan["bad_builds"]]
+    return [(name, shares) for name, shares in rows if shares is not None]
 
 
-def _clipped(one: Interval) -> Interval:
+def _clipped(interval: Interval) -> Interval:
     """Return the interval of a share, limited to between 0 and 1."""
-    return Interval(*(min(1.0, max(0.0, value)) for value in one))
+    return Interval(*(min(1.0, max(0.0, value)) for value in interval))
 
 
-def _count(edge: Edge) -> dict[str, Any]:
+def _machine_count(threshold: Threshold) -> dict[str, Any]:
     return {
-        "machines": None if edge.high is None else int(edge.high),
-        "at_least": int(edge.low or 0) + 1,
-        "plays": edge.plays,
+        "machines": None if threshold.high is None else int(threshold.high),
+        "at_least": int(threshold.low or 0) + 1,
+        "plays": threshold.runs,
     }
 
 
-def _interval(one: Interval) -> list[float | None]:
-    return [_round(value) for value in one]
+def _interval(interval: Interval) -> list[float | None]:
+    return [_round(value) for value in interval]
 
 
 def _round(value: float | None) -> float | None:
--- a/umbermoor/planner/players.py
+++ b/umbermoor/planner/players.py
@@ -14,23 +14,23 @@
 
 from umbermoor.lab.fleet import play
 from umbermoor.planner.fit import Demand
-from umbermoor.planner.questions import RunResult, Scenario, day_for, read_result, replayed
-from umbermoor.planner.search import Answers
+from umbermoor.planner.questions import RunResult, Scenario, day_for, read_result, replay_arrivals
+from umbermoor.planner.search import Results
 from umbermoor.planner.sheets import Fleet
 
-_told: tuple[Demand, Fleet, list[tuple[int, int]]] | None = None
+_inputs: tuple[Demand, Fleet, list[tuple[int, int]]] | None = None
 
 
-def _tell(demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]]) -> None:
-    global _told
+def _initialize_worker(demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]]) -> None:
+    global _inputs
     os.nice(5)  # yield the CPU to measurements in real time on the same machine
-    _told = demand, fleet, arrivals
+    _inputs = demand, fleet, arrivals
 
 
-def _play(question: Scenario) -> RunResult:
-    demand, fleet, arrivals = _told
-    day = day_for(question, demand, fleet)
-    return read_result(play(day, replay=replayed(day, demand, arrivals)))
+def _play(scenario: Scenario) -> RunResult:
+    demand, fleet, arrivals = _inputs
+    day = day_for(scenario, demand, fleet)
+    return read_result(play(day, replay=replay_arrivals(day, demand, arrivals)))
 
 
 class RunPool:
@@ -40,9 +40,9 @@
         demand: The demand estimated from the capture.
         fleet: The fleet to plan for.
         arrivals: Time and profile of each captured query.
-        kept: File to which results are appended and from which they are reused, or None. Each line
-            carries a signature of the plan's inputs; lines of other plans are ignored.
-        told: Called with the numbers of completed and of requested runs after each run.
+        results_file: File to which results are appended and from which they are reused, or None.
+            Each line carries a signature of the plan's inputs; lines of other plans are ignored.
+        report_progress: Called with the numbers of completed and of requested runs after each run.
         workers: Number of processes; all cores if None.
     """
 
@@ -51,12 +51,12 @@
         demand: Demand,
         fleet: Fleet,
         arrivals: list[tuple[int, int]],
-        kept: Path | None = None,
-        told: Callable[[int, int], None] = lambda done, asked: None,
+        results_file: Path | None = None,
+        report_progress: Callable[[int, int], None] = lambda done, requested: None,
         workers: int | None = None,
     ) -> None:
-        self._told, self._kept = told, kept
-        self._sign = blake2b(
+        self._report_progress, self._results_file = report_progress, results_file
+        self._signature = blake2b(
             orjson.dumps(
                 [
                     list(map(str, demand)),
@@ -67,42 +67,46 @@
             ),
             digest_size=8,
         ).hexdigest()
-        self._known = self._read()
-        self._done = self._asked = 0
+        self._results = self._read()
+        self._completed = self._requested = 0
         self._pool = ProcessPoolExecutor(
-            workers or os.cpu_count() or 1, initializer=_tell, initargs=(demand, fleet, arrivals)
+            workers or os.cpu_count() or 1,
+            initializer=_initialize_worker,
+            initargs=(demand, fleet, arrivals),
         )
 
     def _read(self) -> dict[Scenario, RunResult]:
         """Read the results of an earlier run of the same plan, skipping truncated lines."""
-        known = {}
-        if self._kept is not None and self._kept.exists():
-            for line in self._kept.read_bytes().splitlines():
+        results = {}
+        if self._results_file is not None and self._results_file.exists():
+            for line in self._results_file.read_bytes().splitlines():
                 try:
-                    sign, question, answer = msgspec.json.decode(
+                    signature, scenario, result = msgspec.json.decode(
                         line, type=tuple[str, Scenario, RunResult]
                     )
                 except msgspec.MsgspecError:
                     continue
-                if sign == self._sign:
-                    known[question] = answer
-        return known
+                if signature == self._signature:
+                    results[scenario] = result
+        return results
 
-    def ask(self, questions: list[Scenario]) -> Answers:
+    def ask(self, scenarios: list[Scenario]) -> Results:
         """Return the results of all scenarios, running those that have none yet."""
-        found = {one: self._known[one] for one in questions if one in self._known}
-        todo = [one for one in questions if one not in found]
-        self._asked += len(todo)
-        futures = {self._pool.submit(_play, one): one for one in todo}
+        results = {
+            scenario: self._results[scenario] for scenario in scenarios if scenario in self._results
+        }
+        to_run = [scenario for scenario in scenarios if scenario not in results]
+        self._requested += len(to_run)
+        futures = {self._pool.submit(_play, scenario): scenario for scenario in to_run}
         for future in as_completed(futures):
-            question, answer = futures[future], future.result()
-            found[question] = self._known[question] = answer
-            if self._kept is not None:
-                with open(self._kept, "ab") as file:
-                    file.write(msgspec.json.encode((self._sign, question, answer)) + b"\n")
-            self._done += 1
-            self._told(self._done, self._asked)
-        return found
+            scenario, result = futures[future], future.result()
+            results[scenario] = self._results[scenario] = result
+            if self._results_file is not None:
+                with open(self._results_file, "ab") as file:
+                    file.write(msgspec.json.encode((self._signature, scenario, result)) + b"\n")
+            self._completed += 1
+            self._report_progress(self._completed, self._requested)
+        return results
 
     def close(self) -> None:
         self._pool.shutdown(wait=True, cancel_futures=True)
--- a/umbermoor/planner/questions.py
+++ b/umbermoor/planner/questions.py
@@ -17,16 +17,12 @@
 from umbermoor.planner.fit import Demand
 from umbermoor.planner.sheets import Fleet
 
-QUERIES = 5000  # queries that the length of a run is chosen for
-SHORTEST, LONGEST = 8.0, 60.0  # bounds of the length of a run, in seconds
-SETTLE = 2.0  # seconds at the start of a run before its load is evaluated
-LEAST_PART = 0.2  # a capture with a smaller part of a run's queries is not replayed
+TARGET_QUERIES = 5000  # queries that the length of a run is chosen for
+MIN_LENGTH_S, MAX_LENGTH_S = 8.0, 60.0  # bounds of the length of a run, in seconds
+SETTLE_S = 2.0  # seconds at the start of a run before its load is evaluated
+MIN_CAPTURED_PART = 0.2  # a capture with a smaller part of a run's queries is not replayed
 # A burst: its factor on the load, its seconds, and the seconds within which it should have drained.
-BURST_TIMES, BURST_FOR, DRAINED = (
-    3.0,
-    4.0,
-    8.0,
-)
+BURST_FACTOR, BURST_S, DRAIN_S = 3.0, 4.0, 8.0
 
 
 class Scenario(NamedTuple):
@@ -36,7 +32,7 @@
     load: float
     machines: int  # in the whole fleet
     seed: int
-    what: str = ""  # the group that is lost or returns, or the index of the build
+    target: str = ""  # the group that is lost or returns, or the index of the build
 
 
 class RunResult(NamedTuple):
@@ -46,63 +42,67 @@
     asked: tuple[int, ...]  # number of queries, by profile
     service: float
     tries: float
-    breaches: int
+    violations: int
     stages: tuple[tuple[float, int, int, str], ...]
     tail_in_time: float  # share in time over the last seconds of the run
     by_second: tuple[tuple[int, int], ...]  # queries and queries in time, for each second
 
 
-def sized(groups: tuple[Group, ...], machines: int) -> tuple[Group, ...]:
+def scale_groups(groups: tuple[Group, ...], machines: int) -> tuple[Group, ...]:
     """Scale the groups to the given total of machines, in proportion to their sizes.
 
     Uses the largest remainder method; a group left with no machines is dropped.
     """
-    total = sum(one.machines for one in groups)
-    exact = [one.machines * machines / total for one in groups]
-    counts = [int(one) for one in exact]
-    order = sorted(range(len(groups)), key=lambda at: (counts[at] - exact[at], at))
-    for at in order[: machines - sum(counts)]:
-        counts[at] += 1
+    total = sum(group.machines for group in groups)
+    exact = [group.machines * machines / total for group in groups]
+    counts = [int(size) for size in exact]
+    order = sorted(range(len(groups)), key=lambda index: (counts[index] - exact[index], index))
+    for index in order[: machines - sum(counts)]:
+        counts[index] += 1
     return tuple(
-        structs.replace(one, machines=count) for one, count in zip(groups, counts) if count
+        structs.replace(group, machines=count) for group, count in zip(groups, counts) if count
     )
 
 
-def day_for(question: Scenario, demand: Demand, fleet: Fleet) -> Day:
+def day_for(scenario: Scenario, demand: Demand, fleet: Fleet) -> Day:
     """Translate a scenario into a day that the laboratory can run."""
-    length = max(SHORTEST, min(LONGEST, QUERIES / question.load)) + SETTLE
-    groups = sized(fleet.group, question.machines)
-    troubles, builds, burst = (), (), ()
-    third = SETTLE + (length - SETTLE) / 4
-    if question.kind in ("loss", "cold"):
-        name = question.what if any(one.name == question.what for one in groups) else groups[0].name
-        if question.kind == "loss":
-            troubles = (FaultInjection(kind="loss", at_s=SETTLE / 2, group=name),)
+    length = max(MIN_LENGTH_S, min(MAX_LENGTH_S, TARGET_QUERIES / scenario.load)) + SETTLE_S
+    groups = scale_groups(fleet.group, scenario.machines)
+    faults, builds, burst = (), (), ()
+    event_at = SETTLE_S + (length - SETTLE_S) / 4
+    if scenario.kind in ("loss", "cold"):
+        name = (
+            scenario.target
+            if any(group.name == scenario.target for group in groups)
+            else groups[0].name
+        )
+        if scenario.kind == "loss":
+            faults = (FaultInjection(kind="loss", at_s=SETTLE_S / 2, group=name),)
         else:
-            warm = next(one.warm_s for one in groups if one.name == name)
-            length = max(length, third + 3 + 2 * warm)
-            troubles = (FaultInjection(kind="crash", at_s=third, for_s=3, group=name),)
-    elif question.kind == "replace":
+            warm = next(group.warm_s for group in groups if group.name == name)
+            length = max(length, event_at + 3 + 2 * warm)
+            faults = (FaultInjection(kind="crash", at_s=event_at, for_s=3, group=name),)
+    elif scenario.kind == "replace":
         length = max(length, 20.0)
-        troubles = (FaultInjection(kind="replace", at_s=SETTLE, for_s=length - SETTLE - 4),)
-    elif question.kind == "build":
-        build = fleet.build[int(question.what)]
+        faults = (FaultInjection(kind="replace", at_s=SETTLE_S, for_s=length - SETTLE_S - 4),)
+    elif scenario.kind == "build":
+        build = fleet.build[int(scenario.target)]
         length = max(
             length,
             (fleet.platform.least_stage_s + fleet.platform.boot_s + 3) * len(fleet.platform.stages)
             + 8,
         )
-        builds = (structs.replace(build, at_s=SETTLE),)
-    elif question.kind == "burst":
-        length = SETTLE + 6 + BURST_FOR + DRAINED + 6
-        burst = (Burst(at_s=SETTLE + 6, for_s=BURST_FOR, times=BURST_TIMES),)
+        builds = (structs.replace(build, at_s=SETTLE_S),)
+    elif scenario.kind == "burst":
+        length = SETTLE_S + 6 + BURST_S + DRAIN_S + 6
+        burst = (Burst(at_s=SETTLE_S + 6, for_s=BURST_S, times=BURST_FACTOR),)
     cpu = fleet.front.cpu_us or fleet.limits.front_cpu_us
     return Day(
-        name=question.kind,
+        name=scenario.kind,
         length_s=length,
-        seed=question.seed,
-        settle_s=SETTLE,
-        load=Load(rate=question.load, shape="steady", swing=0, burst=burst),
+        seed=scenario.seed,
+        settle_s=SETTLE_S,
+        load=Load(rate=scenario.load, shape="steady", swing=0, burst=burst),
         front=structs.replace(fleet.front, cpu_us=cpu),
         network=fleet.network,
         group=groups,
@@ -111,29 +111,33 @@
         platform=fleet.platform,
         listing=fleet.listing,
         build=builds,
-        trouble=troubles,
+        trouble=faults,
         tries=fleet.tries,
-        profile=tuple(_profile(one, fleet, demand) for one in demand.profiles),
+        profile=tuple(_profile(profile, fleet, demand) for profile in demand.profiles),
     )
 
 
-def _profile(one, fleet: Fleet, demand: Demand) -> ProfileRow:
-    value = next((wish.value for wish in fleet.profile if wish.name == one.name), 1.0)
+def _profile(profile, fleet: Fleet, demand: Demand) -> ProfileRow:
+    value = next(
+        (settings.value for settings in fleet.profile if settings.name == profile.name), 1.0
+    )
     return ProfileRow(
-        name=one.name,
-        share=max(1e-9, one.rate.mid),
-        repeat=one.repeat,
-        aim_ms=one.aim_ms,
-        patience_ms=max(one.aim_ms, one.patience_ms),
+        name=profile.name,
+        share=max(1e-9, profile.rate.mid),
+        repeat=profile.repeat,
+        aim_ms=profile.aim_ms,
+        patience_ms=max(profile.aim_ms, profile.patience_ms),
         value=value,
-        work_ms=one.work_ms.mid,
+        work_ms=profile.work_ms.mid,
         spread="lognormal",
-        cv=one.work_cv,
-        hint_cv=one.hint_cv,
+        cv=profile.work_cv,
+        hint_cv=profile.hint_cv,
     )
 
 
-def replayed(day: Day, demand: Demand, arrivals: list[tuple[int, int]]) -> Iterator[Wish] | None:
+def replay_arrivals(
+    day: Day, demand: Demand, arrivals: list[tuple[int, int]]
+) -> Iterator[Wish] | None:
     """Replay the captured arrivals (time and profile) at the rate of the day.
 
     Time is scaled, so that the bursts of the capture are preserved. Each seed starts at another
@@ -146,23 +150,22 @@
     if (
         day.load.burst
         or not arrivals
-        or len(arrivals) * demand.fronts < LEAST_PART * day.load.rate * day.length_s
+        or len(arrivals) * demand.fronts < MIN_CAPTURED_PART * day.load.rate * day.length_s
     ):
         return None
     chance = Chance(day.seed)
     first, span = arrivals[0][0], arrivals[-1][0] - arrivals[0][0] + 1
-    pace = (
-        len(arrivals) * demand.fronts * SECOND / span / day.load.rate
-    )  # the factor by which time is stretched
+    # The factor by which time is stretched.
+    stretch = len(arrivals) * demand.fronts * SECOND / span / day.load.rate
     length = round(day.length_s * SECOND)
     merged = []
-    for front in range(
-        demand.fronts
-    ):  # the capture is of one front; the others replay it with an offset of their own
+    # The capture is of one front; the others replay it, each with an offset of its own.
+    for front in range(demand.fronts):
         shift = round(chance.at("shift", front) * span)
-        for turn in range(ceil(length / (span * pace))):  # repeat the capture if the run is longer
+        # The capture is repeated if the run is longer.
+        for repetition in range(ceil(length / (span * stretch))):
             for at, profile in arrivals:
-                due = round(((at - first - shift) % span + turn * span) * pace)
+                due = round(((at - first - shift) % span + repetition * span) * stretch)
                 if due < length:
                     merged.append((due, profile))
     merged.sort()
@@ -186,64 +189,66 @@
 def read_result(outcome: dict[str, Any]) -> RunResult:
     """Extract the result of a run from the laboratory's report."""
     rows = list(outcome["profiles"].values())
-    seconds = tuple((sum(one.values()), one.get("in time", 0)) for one in outcome["series"])
+    seconds = tuple(
+        (sum(counts.values()), counts.get("in time", 0)) for counts in outcome["series"]
+    )
     tail = seconds[-5:-1] or seconds
-    asked = sum(one[0] for one in tail)
+    asked = sum(counts[0] for counts in tail)
     return RunResult(
-        tuple(one["in_time"] for one in rows),
-        tuple(one["asked"] for one in rows),
+        tuple(row["in_time"] for row in rows),
+        tuple(row["asked"] for row in rows),
         outcome["service"],
         outcome["tries_a_query"],
         outcome["audit"]["breaches"],
         tuple((at, build, stage, phase) for at, build, stage, phase, _ in outcome["stages"]),
-        sum(one[1] for one in tail) / asked if asked else 1.0,
+        sum(counts[1] for counts in tail) / asked if asked else 1.0,
         seconds,
     )
 
 
-def shares(answers: list[RunResult]) -> list[Interval]:
+def shares(results: list[RunResult]) -> list[Interval]:
     """Return each profile's mean share in time, with its interval over the seeds."""
     return [
-        mean_interval([one.in_time[place] for one in answers])
-        for place in range(len(answers[0].in_time))
+        mean_interval([result.in_time[index] for result in results])
+        for index in range(len(results[0].in_time))
     ]
 
 
-def holds(answers: list[RunResult], goals: list[float]) -> bool:
+def meets_goals(results: list[RunResult], goals: list[float]) -> bool:
     """Whether every profile's share over all seeds reaches its goal."""
-    for place, goal in enumerate(goals):
-        asked = sum(one.asked[place] for one in answers)
-        good = sum(one.asked[place] * one.in_time[place] for one in answers)
+    for index, goal in enumerate(goals):
+        asked = sum(result.asked[index] for result in results)
+        good = sum(result.asked[index] * result.in_time[index] for result in results)
         if asked and good / asked < goal:
             return False
     return True
 
 
-def burst_drains(answers: list[RunResult]) -> bool:
+def burst_drains(results: list[RunResult]) -> bool:
     """Whether the fleet recovers from a burst in every run.
 
     It does if the share in time of the last seconds is at most 0.05 below that before the burst.
     """
-    worst = min(one.tail_in_time for one in answers)
-    before = min(_share(one.by_second[int(SETTLE) : int(SETTLE) + 5]) for one in answers)
+    worst = min(result.tail_in_time for result in results)
+    before = min(_share(result.by_second[int(SETTLE_S) : int(SETTLE_S) + 5]) for result in results)
     return worst >= before - 0.05
 
 
-def _share(seconds: tuple[tuple[int, int], ...]) -> float:
-    asked = sum(one[0] for one in seconds)
-    return sum(one[1] for one in seconds) / asked if asked else 1.0
+def _share(by_second: tuple[tuple[int, int], ...]) -> float:
+    asked = sum(counts[0] for counts in by_second)
+    return sum(counts[1] for counts in by_second) / asked if asked else 1.0
 
 
-def by_stage(answer: RunResult) -> list[tuple[str, float]]:
+def share_by_stage(result: RunResult) -> list[tuple[str, float]]:
     """Return the share in time during each stage of a rollout, by the stage's description."""
-    found = []
-    for (at, build, stage, phase), following in zip(answer.stages[1:], [*answer.stages[2:], None]):
-        end = following[0] if following else len(answer.by_second)
+    rows = []
+    for (at, build, stage, phase), following in zip(result.stages[1:], [*result.stages[2:], None]):
+        end = following[0] if following else len(result.by_second)
         if end - at >= 1:
-            found.append(
+            rows.append(
                 (
                     f"build {build} stage {stage} {phase.replace('_', ' ')}",
-                    round(_share(answer.by_second[int(at) : max(int(at) + 1, int(end))]), 4),
+                    round(_share(result.by_second[int(at) : max(int(at) + 1, int(end))]), 4),
                 )
             )
-    return found
+    return rows
--- a/umbermoor/planner/search.py
+++ b/umbermoor/planner/search.py
@@ -8,12 +8,12 @@
 from math import ceil, log
 from typing import Any, NamedTuple
 
-Answers = dict[Hashable, Any]
+Results = dict[Hashable, Any]  # results of runs by scenario
 # Yields scenarios, is sent their results and returns the result of the search.
-Search = Generator[list[Hashable], Answers, Any]
+Search = Generator[list[Hashable], Results, Any]
 
 
-class Edge(NamedTuple):
+class Threshold(NamedTuple):
     """The two tried values between which a condition changes.
 
     In a search for a load the condition holds at ``low`` and fails at ``high``; in a search for
@@ -22,8 +22,8 @@
 
     low: float | None
     high: float | None
-    plays: int
-    scan: int  # runs that a linear scan with the same step would have taken
+    runs: int
+    scan_runs: int  # runs that a linear scan with the same step would have taken
 
     @property
     def mid(self) -> float:
@@ -34,45 +34,58 @@
 
 def gather(
     searches: dict[str, Search],
-    ask: Callable[[list[Hashable]], Answers],
-    found: dict[str, Any] | None = None,
+    run_scenarios: Callable[[list[Hashable]], Results],
+    results: dict[str, Any] | None = None,
 ) -> dict[str, Any]:
     """Run the searches together and return their results by name.
 
     In each round every scenario that any search needs is requested once. Results are stored in
-    ``found`` as soon as they are there.
+    ``results`` as soon as they are there.
     """
-    found = {} if found is None else found
-    wanted: dict[str, list[Hashable]] = {}
-    known: Answers = {}
+    results = {} if results is None else results
+    pending: dict[str, list[Hashable]] = {}
+    run_results: Results = {}
     for name, search in searches.items():
-        _step(name, search, None, wanted, found)
-    while wanted:
-        todo = list(
-            dict.fromkeys(one for some in wanted.values() for one in some if one not in known)
+        _step(name, search, None, pending, results)
+    while pending:
+        to_run = list(
+            dict.fromkeys(
+                scenario
+                for scenarios in pending.values()
+                for scenario in scenarios
+                if scenario not in run_results
+            )
         )
-        if todo:
-            known.update(ask(todo))
-        for name, some in list(wanted.items()):
-            del wanted[name]
-            _step(name, searches[name], {one: known[one] for one in some}, wanted, found)
-    return found
-
-
-def _step(name: str, search: Search, answers: Answers | None, wanted: dict, found: dict) -> None:
+        if to_run:
+            run_results.update(run_scenarios(to_run))
+        for name, scenarios in list(pending.items()):
+            del pending[name]
+            _step(
+                name,
+                searches[name],
+                {scenario: run_results[scenario] for scenario in scenarios},
+                pending,
+                results,
+            )
+    return results
+
+
+def _step(
+    name: str, search: Search, run_results: Results | None, pending: dict, results: dict
+) -> None:
     """Advance a search, storing either the scenarios it needs next or its result."""
     try:
-        wanted[name] = next(search) if answers is None else search.send(answers)
-    except StopIteration as end:
-        found[name] = end.value
+        pending[name] = next(search) if run_results is None else search.send(run_results)
+    except StopIteration as stop:
+        results[name] = stop.value
 
 
 def highest_load(
     low: float,
     high: float,
     step: float,
-    question: Callable[[float], list[Hashable]],
-    holds: Callable[[Answers], bool],
+    scenarios_for: Callable[[float], list[Hashable]],
+    holds: Callable[[Results], bool],
     floor: float,
     ceiling: float,
 ) -> Search:
@@ -81,84 +94,90 @@
     ``low`` and ``high`` are a first guess; the bracket is widened within ``floor`` and ``ceiling``
     until it contains the threshold. Up to three loads are requested at once, as runs are parallel.
     """
-    plays = 0
+    runs = 0
     low, high = max(floor, low), min(ceiling, max(high, low * (1 + step)))
-    held: float | None = None
-    broke: float | None = None
-    while held is None or broke is None or broke / held > 1 + step:
-        if held is None and broke is None:
-            tried = _between(low, high, 3, True)
-        elif held is None:
-            if broke <= floor:
+    holding: float | None = None
+    failing: float | None = None
+    while holding is None or failing is None or failing / holding > 1 + step:
+        if holding is None and failing is None:
+            candidates = _geometric_between(low, high, 3, True)
+        elif holding is None:
+            if failing <= floor:
                 break
-            tried = _between(max(floor, broke / 2), broke, 3, True)[:-1]
-        elif broke is None:
-            if held >= ceiling:
+            candidates = _geometric_between(max(floor, failing / 2), failing, 3, True)[:-1]
+        elif failing is None:
+            if holding >= ceiling:
                 break
-            tried = _between(held, min(ceiling, held * 1.6), 3, True)[1:]
+            candidates = _geometric_between(holding, min(ceiling, holding * 1.6), 3, True)[1:]
         else:
-            tried = _between(held, broke, 3, False)
-        questions = {load: question(load) for load in tried}
-        answers = yield [one for some in questions.values() for one in some]
-        plays += len(answers)
-        for load in tried:  # the lowest load that fails decides: a higher one that holds is ignored
-            if holds({one: answers[one] for one in questions[load]}):
-                held = max(held or 0.0, load) if broke is None or load < broke else held
+            candidates = _geometric_between(holding, failing, 3, False)
+        scenarios = {load: scenarios_for(load) for load in candidates}
+        run_results = yield [scenario for group in scenarios.values() for scenario in group]
+        runs += len(run_results)
+        for load in candidates:
+            # The lowest load that fails decides: a higher one that holds is ignored.
+            if holds({scenario: run_results[scenario] for scenario in scenarios[load]}):
+                holding = (
+                    max(holding or 0.0, load) if failing is None or load < failing else holding
+                )
             else:
-                broke = load if broke is None else min(broke, load)
-        if held is not None and broke is not None and held >= broke:
-            held = max((load for load in tried if load < broke), default=None)
-    scan = ceil(log(max(ceiling, floor * 2) / max(floor, 1e-9)) / log(1 + step))
-    per = len(question(1.0))
-    return Edge(held, broke, plays, scan * per)
+                failing = load if failing is None else min(failing, load)
+        if holding is not None and failing is not None and holding >= failing:
+            holding = max((load for load in candidates if load < failing), default=None)
+    steps = ceil(log(max(ceiling, floor * 2) / max(floor, 1e-9)) / log(1 + step))
+    runs_per_load = len(scenarios_for(1.0))
+    return Threshold(holding, failing, runs, steps * runs_per_load)
 
 
 def fewest_machines(
     low: int,
     high: int,
-    question: Callable[[int], list[Hashable]],
-    holds: Callable[[Answers], bool],
-    most: int,
+    scenarios_for: Callable[[int], list[Hashable]],
+    holds: Callable[[Results], bool],
+    max_machines: int,
 ) -> Search:
     """Search for the exact least number of machines that holds.
 
-    ``high`` of the result is None if even ``most`` machines do not.
+    ``high`` of the result is None if even ``max_machines`` machines do not.
     """
-    plays, broke, held = 0, 0, None
+    runs, failing, holding = 0, 0, None
     low, high = max(1, low), max(1, high)
-    while held is None or held - broke > 1:
-        if held is None:
-            tried = sorted({max(broke + 1, low), max(broke + 1, min(most, high))})
+    while holding is None or holding - failing > 1:
+        if holding is None:
+            candidates = sorted({max(failing + 1, low), max(failing + 1, min(max_machines, high))})
         else:
-            tried = _whole_between(broke, held)
-        questions = {count: question(count) for count in tried}
-        answers = yield [one for some in questions.values() for one in some]
-        plays += len(answers)
-        for count in reversed(tried):
-            if holds({one: answers[one] for one in questions[count]}):
-                held = count if held is None else min(held, count)
+            candidates = _integers_between(failing, holding)
+        scenarios = {count: scenarios_for(count) for count in candidates}
+        run_results = yield [scenario for group in scenarios.values() for scenario in group]
+        runs += len(run_results)
+        for count in reversed(candidates):
+            if holds({scenario: run_results[scenario] for scenario in scenarios[count]}):
+                holding = count if holding is None else min(holding, count)
             else:
-                broke = max(broke, count)
+                failing = max(failing, count)
                 break
-        if held is None:
-            if broke >= most:
-                return Edge(float(most), None, plays, most * len(question(1)))
-            low, high = broke + 1, min(most, max(broke + 2, round(broke * 1.5)))
-        elif broke >= held:  # a smaller number held than one that failed: the failure decides
-            held = None
-            low, high = broke + 1, min(most, broke + 2)
-    return Edge(float(broke), float(held), plays, held * len(question(1)))
-
-
-def _between(low: float, high: float, count: int, ends: bool) -> list[float]:
+        if holding is None:
+            if failing >= max_machines:
+                return Threshold(
+                    float(max_machines), None, runs, max_machines * len(scenarios_for(1))
+                )
+            low, high = failing + 1, min(max_machines, max(failing + 2, round(failing * 1.5)))
+        elif failing >= holding:
+            # Fewer machines held than a number that failed: the failure decides.
+            holding = None
+            low, high = failing + 1, min(max_machines, failing + 2)
+    return Threshold(float(failing), float(holding), runs, holding * len(scenarios_for(1)))
+
+
+def _geometric_between(low: float, high: float, count: int, ends: bool) -> list[float]:
     """Return loads at equal ratios, rounded so that different searches request the same loads."""
     steps = count - 1 if ends else count + 1
     ratio = (high / low) ** (1 / steps) if low > 0 else 1.0
-    some = [low * ratio**at for at in range(0 if ends else 1, count if ends else count + 1)]
-    return sorted({float(f"{one:.4g}") for one in some})
+    loads = [low * ratio**power for power in range(0 if ends else 1, count if ends else count + 1)]
+    return sorted({float(f"{load:.4g}") for load in loads})
 
 
-def _whole_between(low: int, high: int) -> list[int]:
+def _integers_between(low: int, high: int) -> list[int]:
     """Return up to three whole numbers that divide the range evenly."""
     width = high - low
     return sorted({low + max(1, width * part // 4) for part in (1, 2, 3)} - {high, low}) or [
@@ -166,7 +185,7 @@
     ]
 
 
-def falling(points: Sequence[tuple[float, float, float]]) -> list[tuple[float, float]]:
+def fit_nonincreasing(points: Sequence[tuple[float, float, float]]) -> list[tuple[float, float]]:
     """Fit a curve that never rises to points of (place, value, weight), by least squares.
 
     Uses the pool adjacent violators algorithm (Ayer 1955).
@@ -175,9 +194,16 @@
     for place, value, weight in sorted(points):
         blocks.append([value, weight, place, place])
         while len(blocks) > 1 and blocks[-2][0] < blocks[-1][0]:
-            last, one = blocks.pop(), blocks.pop()
-            total = one[1] + last[1]
-            blocks.append([(one[0] * one[1] + last[0] * last[1]) / total, total, one[2], last[3]])
+            last, previous = blocks.pop(), blocks.pop()
+            total = previous[1] + last[1]
+            blocks.append(
+                [
+                    (previous[0] * previous[1] + last[0] * last[1]) / total,
+                    total,
+                    previous[2],
+                    last[3],
+                ]
+            )
     return [
         (place, next(block[0] for block in blocks if block[2] <= place <= block[3]))
         for place, _, _ in sorted(points)
--- a/umbermoor/planner/sheets.py
+++ b/umbermoor/planner/sheets.py
@@ -70,32 +70,36 @@
     def fault(self) -> str | None:
         """Return what is inconsistent between fields, or None."""
         for what, names in (
-            ("group", [one.name for one in self.group]),
-            ("profile", [one.name for one in self.profile]),
+            ("group", [group.name for group in self.group]),
+            ("profile", [profile.name for profile in self.profile]),
         ):
-            if twice := next((one for one in names if names.count(one) > 1), None):
-                return f"expected one {what} {twice!r}, not two"
+            if duplicate := next((name for name in names if names.count(name) > 1), None):
+                return f"expected one {what} {duplicate!r}, not two"
         if len(self.growth) != len(set(self.growth)):
             return "expected each growth once"
         return None
 
     @property
     def machines(self) -> int:
-        return sum(one.machines for one in self.group)
+        return sum(group.machines for group in self.group)
 
     @property
     def workers(self) -> int:
-        return sum(one.machines * one.workers for one in self.group)
+        return sum(group.machines * group.workers for group in self.group)
 
     @property
     def capacity(self) -> float:
         """The number of workers, weighted by speed."""
-        return sum(one.machines * one.workers * one.speed for one in self.group)
+        return sum(group.machines * group.workers * group.speed for group in self.group)
 
     def goal_of(self, name: str) -> float:
         """Return the goal of a profile: its own or the fleet's."""
         return next(
-            (one.goal for one in self.profile if one.name == name and one.goal is not None),
+            (
+                profile.goal
+                for profile in self.profile
+                if profile.name == name and profile.goal is not None
+            ),
             self.goal,
         )
 
