--- a/benchmarks/planner_fleets.py
+++ b/benchmarks/planner_fleets.py
@@ -108,7 +108,7 @@
     demand, arrivals, fleet = demanded(name)
     planner = Planner(demand, fleet)
     players = RunPool(demand, fleet, arrivals)
-    edge = gather({"burst": planner.searches()["burst"]}, players.ask)["burst"]
+    edge = gather({"burst": planner.searches()["burst"]}, players.run)["burst"]
     players.close()
     row = {"fleet": name, "predicted": edge.mid}
     for part in (0.85, 1.15):
--- a/umbermoor/planner/check.py
+++ b/umbermoor/planner/check.py
@@ -86,7 +86,7 @@
         growth = f"{fleet.growth[-1]:g}"
         lost_group = fleet.group[0].name if len(fleet.group) > 1 else ""
         names = ["load", f"machines {growth}"]
-        results = gather({name: searches[name] for name in names if name in searches}, pool.ask)
+        results = gather({name: searches[name] for name in names if name in searches}, pool.run)
         threshold: Threshold | None = results.get("load")
         if lost_group and threshold is not None and threshold.mid:
             # Near the limit of the remaining groups, where the share in time is informative.
@@ -99,7 +99,7 @@
                 lost_group,
             )
             results["loss"] = list(
-                pool.ask([loss_scenario._replace(seed=seed) for seed in (1, 2, 3)]).values()
+                pool.run([loss_scenario._replace(seed=seed) for seed in (1, 2, 3)]).values()
             )
     finally:
         pool.close()
--- a/umbermoor/planner/command.py
+++ b/umbermoor/planner/command.py
@@ -152,7 +152,7 @@
             workers,
         )
         try:
-            results = planner.run(pool.ask, results)
+            results = planner.run(pool.run, results)
         except KeyboardInterrupt:
             partial = True
         finally:
--- a/umbermoor/planner/players.py
+++ b/umbermoor/planner/players.py
@@ -90,7 +90,7 @@
                     results[scenario] = result
         return results
 
-    def ask(self, scenarios: list[Scenario]) -> Results:
+    def run(self, scenarios: list[Scenario]) -> Results:
         """Return the results of all scenarios, running those that have none yet."""
         results = {
             scenario: self._results[scenario] for scenario in scenarios if scenario in self._results
