--- a/umbermoor/planner/check.py
+++ b/umbermoor/planner/check.py
@@ -164,8 +164,9 @@
         replay = replay_arrivals(day, demand, arrivals)
         outcome = play_on_sockets(day, given=None if replay is None else list(replay))
         report_progress(
-            f"{name}: {scenarios[name].load:.1f} queries/s, {scenarios[name].machines} machines: in time "
-            f"{outcome['in_time']:.4f}{'' if outcome['honest'] else ' (the load fell behind its pace)'}"
+            f"{name}: {scenarios[name].load:.1f} queries/s, {scenarios[name].machines} machines: "
+            f"in time {outcome['in_time']:.4f}"
+            f"{'' if outcome['honest'] else ' (the load fell behind its pace)'}"
         )
         return name, outcome
 
@@ -229,13 +230,14 @@
 ) -> Row:
     fewer, more = (_worst_margin(outcomes[name], planner) >= 0 for name in ("fewer", "more"))
     note = (
-        f"{scenarios['fewer'].machines} {'held' if fewer else 'did not hold'}, {scenarios['more'].machines} "
-        f"{'held' if more else 'did not hold'}"
+        f"{scenarios['fewer'].machines} {'held' if fewer else 'did not hold'}, "
+        f"{scenarios['more'].machines} {'held' if more else 'did not hold'}"
     )
     if scenarios["fewer"].machines >= count:  # there is no smaller fleet to measure
         fewer, note = (
             False,
-            f"{scenarios['more'].machines} {'held' if more else 'did not hold'}; fewer there are none",
+            f"{scenarios['more'].machines} {'held' if more else 'did not hold'}; "
+            f"fewer there are none",
         )
     measured = (
         count
@@ -248,14 +250,14 @@
 def _loss_row(
     lost_group: str, results: list, outcomes: dict[str, dict[str, Any]], demand: Demand
 ) -> Row:
-    asked = [
-        sum(result.asked[index] for result in results) for index in range(len(demand.profiles))
+    queries = [
+        sum(result.queries[index] for result in results) for index in range(len(demand.profiles))
     ]
-    good = [
-        sum(result.asked[index] * result.in_time[index] for result in results)
+    in_time = [
+        sum(result.queries[index] * result.in_time[index] for result in results)
         for index in range(len(demand.profiles))
     ]
-    predicted, measured = sum(good) / max(1, sum(asked)), outcomes["loss"]["in_time"]
+    predicted, measured = sum(in_time) / max(1, sum(queries)), outcomes["loss"]["in_time"]
     return Row(
         f"share in time without group {lost_group}",
         predicted,
--- a/umbermoor/planner/command.py
+++ b/umbermoor/planner/command.py
@@ -45,7 +45,7 @@
 from umbermoor.planner.sheets import Fleet, SheetError, read_fleet
 
 
-class Refused(Exception):
+class RequestError(Exception):
     """The request cannot be carried out; the message is one line for the user."""
 
 
@@ -69,14 +69,14 @@
                 options["--quiet"],
             )
         return _plan(options, demand, fleet, arrivals)
-    except (SheetError, Unreadable, Refused) as error:
+    except (SheetError, Unreadable, RequestError) as error:
         print(f"umbermoor: {error}", file=sys.stderr)
         return 2
 
 
 def _number(text: str, name: str) -> int:
     if not text.isdigit() or not 0 < int(text) < 10_000:
-        raise Refused(f"{name}: expected a whole number above 0, not {text!r}")
+        raise RequestError(f"{name}: expected a whole number above 0, not {text!r}")
     return int(text)
 
 
@@ -95,7 +95,7 @@
                 raise ValueError
             fleet = structs.replace(fleet, growth=growth)
     except ValueError:
-        raise Refused(
+        raise RequestError(
             "--goal: expected a percentage between 0 and 100; --growth: expected numbers above 0, "
             "separated by commas"
         ) from None
@@ -110,8 +110,9 @@
     if unknown := next(
         (profile.name for profile in fleet.profile if profile.name not in names), None
     ):
-        raise Refused(
-            f"{options['FLEET']}: profile {unknown!r} is not in the capture, which has {', '.join(names)}"
+        raise RequestError(
+            f"{options['FLEET']}: profile {unknown!r} is not in the capture, which has "
+            f"{', '.join(names)}"
         )
     work = {
         profile.name: profile.work_ms for profile in fleet.profile if profile.work_ms is not None
@@ -128,7 +129,7 @@
             work,
         )
     except ValueError as error:
-        raise Refused(f"{options['CAPTURE']}: {error}") from None
+        raise RequestError(f"{options['CAPTURE']}: {error}") from None
     return demand, arrivals_of(capture.rows, not options["--unmarked"])
 
 
@@ -172,7 +173,7 @@
     return 130 if partial else 0
 
 
-def _span(interval: list[float | None] | None, digits: int = 1) -> str:
+def _format_interval(interval: list[float | None] | None, digits: int = 1) -> str:
     if interval is None:
         return "-"
     mid, low, high = interval
@@ -196,8 +197,9 @@
         )
     console.print(rows)
     console.print(
-        f"{demand.rows} queries in {demand.seconds:.1f} s; peak {demand.peak:.2f} times the mean, bursts "
-        f"{demand.burstiness}, asked again {demand.retry_share}, cold rows {demand.cold_rows}"
+        f"{demand.rows} queries in {demand.seconds:.1f} s; peak {demand.peak:.2f} times the mean, "
+        f"bursts {demand.burstiness}, asked again {demand.retry_share}, "
+        f"cold rows {demand.cold_rows}"
     )
     for assumption in demand.assumptions:
         console.print(f"  assumed: {assumption}")
@@ -208,15 +210,15 @@
     if plan["partial"]:
         console.print("[bold red]A partial answer: it was ended before all was played.[/]")
     console.print(
-        f"fleet {plan['fleet']}: load now {_span(plan['load_now'])} queries/s; first limit reached: "
-        f"[bold]{plan['first']}[/], then {plan['runner_up']}"
+        f"fleet {plan['fleet']}: load now {_format_interval(plan['load_now'])} queries/s; "
+        f"first limit reached: [bold]{plan['first']}[/], then {plan['runner_up']}"
     )
     rows = Table("limit", "reached at, queries/s", "times now", "by", "why", title="Limits")
     for limit in plan["limits"]:
         if "reached_at" in limit:
             rows.add_row(
                 limit["limit"],
-                _span(limit["reached_at"]),
+                _format_interval(limit["reached_at"]),
                 str(limit["times_now"] or "-"),
                 f"{limit['by']}; when {limit['case']}" if limit["case"] else limit["by"],
                 limit["why"],
@@ -224,14 +226,16 @@
         else:
             rows.add_row(
                 limit["limit"],
-                f"below {_span(limit['reached_below'])}",
+                f"below {_format_interval(limit['reached_below'])}",
                 "-",
                 limit["by"],
                 limit["why"],
             )
     console.print(rows)
     if plan["goal_breaks_at"]:
-        console.print(f"the goal breaks at {_span(plan['goal_breaks_at']['load'])} queries/s")
+        console.print(
+            f"the goal breaks at {_format_interval(plan['goal_breaks_at']['load'])} queries/s"
+        )
     for growth, result in plan["machines"].items():
         count = result["machines"]
         text = (
@@ -250,7 +254,7 @@
     for name, shares in situations(plan):
         rows.add_row(
             name,
-            *(_span(shares[profile], 4) for profile in plan["goals"]),
+            *(_format_interval(shares[profile], 4) for profile in plan["goals"]),
             f"{shares['service']:.4f}",
             str(shares["rules_broken"]),
         )
@@ -258,12 +262,13 @@
     for name, loss in plan["loss"].items():
         if loss["goal_breaks_at"]:
             console.print(
-                f"without {name} the goal breaks at {_span(loss['goal_breaks_at']['load'])} queries/s"
+                f"without {name} the goal breaks at "
+                f"{_format_interval(loss['goal_breaks_at']['load'])} queries/s"
             )
     if plan["burst_drains_below"]:
         console.print(
             f"a burst of three times the load drains by itself below "
-            f"{_span(plan['burst_drains_below']['load'])} queries/s"
+            f"{_format_interval(plan['burst_drains_below']['load'])} queries/s"
         )
     for assumption in plan["assumptions"]:
         console.print(f"  assumed: {assumption}")
--- a/umbermoor/planner/fit.py
+++ b/umbermoor/planner/fit.py
@@ -23,7 +23,8 @@
 # Block length of the block bootstrap: rows so near in time are correlated and resampled together.
 BLOCK = 5 * SECOND
 MIN_ROWS, MIN_SPAN = 200, 10 * SECOND  # below either of these a capture is reported as short
-UNHEALTHY_FACTOR = 2.0  # a machine is unhealthy if its median time exceeds the typical by this
+# A machine is unhealthy if its median time exceeds that of the median machine by this factor.
+UNHEALTHY_FACTOR = 2.0
 MIN_OUTCOMES = 8  # a machine with fewer outcomes is not judged
 OVERHEAD_US = 1_000  # part of an answer's time that is not work: network both ways and the front
 
@@ -117,15 +118,14 @@
     seconds = max(1e-3, (last - first) / SECOND)
     if len(rows) < MIN_ROWS or last - first < MIN_SPAN:
         assumptions.append(
-            f"the capture is short ({len(rows)} queries in {seconds:.0f} s): intervals are wide, and "
-            f"bursts "
-            f"longer than it are not seen"
+            f"the capture is short ({len(rows)} queries in {seconds:.0f} s): intervals are wide, "
+            f"and bursts longer than it are not seen"
         )
     if fronts > 1:
         assumptions.append(f"the {fronts} fronts are asked alike; the capture is of one")
     if not marked:
         assumptions.append("clients do not mark what they ask again: all counts as asked anew")
-    fresh = [row for row in rows if not (marked and row.repeated)]
+    first_tries = [row for row in rows if not (marked and row.repeated)]
     warm_rows = [
         row
         for row in rows
@@ -136,7 +136,8 @@
     unhealthy = _unhealthy_machines(warm_rows)
     if unhealthy:
         assumptions.append(
-            f"machines {', '.join(sorted(unhealthy)[:5])} were sick: their times are left out of the work"
+            f"machines {', '.join(sorted(unhealthy)[:5])} were sick: their times are left out of "
+            f"the work"
         )
     chance = Chance(len(rows))
     load_rows = len(rows) / seconds * fronts
@@ -148,14 +149,14 @@
     wait = _wait_behind_others(samples, rows, seconds, fronts, machines, fleet_workers)
     profiles = []
     for index, header in enumerate(header_profiles):
-        asked = [row for row in fresh if row.profile == index]
+        profile_rows = [row for row in first_tries if row.profile == index]
         work, cv, hint_cv = _work(
             samples[index], wait, chance, header["name"], given_work, assumptions
         )
         profiles.append(
             ProfileDemand(
                 header["name"],
-                _rate(asked, first, last, fronts, chance),
+                _rate(profile_rows, first, last, fronts, chance),
                 work,
                 cv,
                 hint_cv,
@@ -168,8 +169,7 @@
     if denied / len(rows) > 0.02:
         assumptions.append(
             f"{denied / len(rows):.1%} were denied while it was taken: the fleet was overloaded or "
-            f"sick, and "
-            f"what was denied is counted once, as asked"
+            f"sick, and what was denied is counted once, as asked"
         )
     if load_rows <= 0:
         raise ValueError("the capture holds no load")
@@ -177,8 +177,8 @@
         tuple(profiles),
         seconds,
         len(rows),
-        _peak(fresh, first, last),
-        _burstiness(fresh, first, last, chance),
+        _peak(first_tries, first, last),
+        _burstiness(first_tries, first, last, chance),
         share_interval(sum(row.repeated for row in rows), len(rows)),
         share_interval(denied, len(rows)),
         tuple(sorted(unhealthy)),
@@ -228,13 +228,13 @@
 
     With fewer than 20 of these, all answers to queries with a single hand-off are used.
     """
-    done = [
+    answered = [
         row
         for row in rows
         if row.served and row.machine and row.machine.name not in unhealthy and row.hand_offs == 1
     ]
-    alone = [row for row in done if row.ahead == 0]
-    chosen = alone if len(alone) >= 20 else done
+    without_queue = [row for row in answered if row.ahead == 0]
+    chosen = without_queue if len(without_queue) >= 20 else answered
     return [_Sample(row.came, max(1.0, row.served - OVERHEAD_US), row.hint) for row in chosen]
 
 
@@ -270,7 +270,8 @@
         counts[index] or 1 for index in means
     )
     wait = 0.0
-    for _ in range(30):  # fixed point: work is time less wait, and the wait follows from the work
+    # Fixed point: the work is the time less the wait, and the wait follows from the work.
+    for _ in range(30):
         work = max(mean_time * 0.2, mean_time - wait)
         wait = min(0.8 * mean_time, mean_wait(other_arrivals, work, workers, 1.0))
     return wait
@@ -298,8 +299,8 @@
         )
     if len(samples) < 5:
         raise ValueError(
-            f"the capture holds {len(samples)} answers to {name}, too few to estimate its work: give "
-            f"profile {name!r} a work-ms in the fleet's sheet"
+            f"the capture holds {len(samples)} answers to {name}, too few to estimate its work: "
+            f"give profile {name!r} a work-ms in the fleet's sheet"
         )
     blocks: dict[int, list[float]] = {}
     for sample in samples:
--- a/umbermoor/planner/limits.py
+++ b/umbermoor/planner/limits.py
@@ -143,8 +143,8 @@
                 Limit(
                     f"target time of {profile.name}",
                     Interval(0.0, 0.0, 0.0),
-                    f"{late_when_idle:.2%} of it takes longer than {profile.aim_ms:g} ms on an idle machine: no number of "
-                    f"machines holds {goal:.2%}",
+                    f"{late_when_idle:.2%} of it takes longer than {profile.aim_ms:g} ms on an "
+                    f"idle machine: no number of machines holds {goal:.2%}",
                 )
             )
     if not rows:
@@ -161,7 +161,10 @@
 
 
 def _queue(demand: Demand, fleet: Fleet) -> Limit:
-    """Full queues reject more queries than the goal allows; each machine has its own queue."""
+    """Return the load above which full queues reject more queries than the goal allows.
+
+    Each machine has its own queue.
+    """
     work, _ = mixed_work(demand)
     allowed = 1 - max(fleet.goal_of(profile.name) for profile in demand.profiles)
 
@@ -182,7 +185,8 @@
     return Limit(
         "machine queue",
         with_error(min(reached, top), demand.work_error),
-        f"queues of {', '.join(str(group.queue) for group in fleet.group)} turn away over {allowed:.2%}",
+        f"queues of {', '.join(str(group.queue) for group in fleet.group)} turn away over "
+        f"{allowed:.2%}",
     )
 
 
@@ -211,8 +215,8 @@
     return Limit(
         "machine connections",
         with_error(reached, demand.work_error),
-        f"{fleet.front.count} fronts keep a line for each hand-off of their busiest moment; the least "
-        f"machine takes "
+        f"{fleet.front.count} fronts keep a line for each hand-off of their busiest moment; the "
+        f"least machine takes "
         f"{min(group.connections for group in fleet.group)}",
     )
 
@@ -238,7 +242,8 @@
     return Limit(
         "front descriptors",
         with_error(reached, demand.work_error),
-        f"{fleet.front.descriptors} of each front, a third for clients; one for each hand-off besides",
+        f"{fleet.front.descriptors} of each front, a third for clients; one for each hand-off "
+        f"besides",
     )
 
 
@@ -264,9 +269,8 @@
     return Limit(
         "platform calls",
         Interval(reached, reached, reached),
-        f"{votes:.1f} votes a second at the most, {fleet.limits.platform_calls_s:g} taken; it grows with "
-        f"fronts, "
-        f"not with load",
+        f"{votes:.1f} votes a second at the most, {fleet.limits.platform_calls_s:g} taken; it "
+        f"grows with fronts, not with load",
     )
 
 
@@ -276,12 +280,16 @@
     return Limit(
         "list calls",
         Interval(reached, reached, reached),
-        f"{calls:.1f} a second, {fleet.limits.list_calls_s:g} taken; it grows with fronts, not with load",
+        f"{calls:.1f} a second, {fleet.limits.list_calls_s:g} taken; it grows with fronts, not "
+        f"with load",
     )
 
 
 def _cold_return(demand: Demand, fleet: Fleet) -> Limit:
-    """The largest group returns cold: the rest, and its reduced capacity, must carry the load."""
+    """Return the load that the fleet carries while its largest group returns cold.
+
+    The other groups and the reduced capacity of the cold one must carry it.
+    """
     work, _ = mixed_work(demand)
     largest = max(fleet.group, key=lambda group: group.machines * group.workers * group.speed)
     lost = largest.machines * largest.workers * largest.speed
@@ -309,22 +317,22 @@
     return Limit(
         "retry amplification",
         Interval(high, low, high),
-        f"up to {1 + fleet.clients.retries} tries a query; above it a burst may not drain by itself. The "
-        f"lower "
-        f"figure is the load from which it surely does; the play decides between them",
+        f"up to {1 + fleet.clients.retries} tries a query; above it a burst may not drain by "
+        f"itself. The lower figure is the load from which it surely does; the play decides "
+        f"between them",
         case="a burst comes",
     )
 
 
 def _evidence(demand: Demand, fleet: Fleet) -> Limit:
-    """The load is too low to judge the first stage of a rollout by its own outcomes."""
-    first = fleet.platform.stages[0]
+    """Return the load below which the first stage of a rollout has too few outcomes to judge."""
+    first_stage = fleet.platform.stages[0]
     judged_rate = sum(
         profile.rate.mid
         for profile in demand.profiles
         if profile.repeat == "repeatable" or not fleet.platform.guarded
     )
-    part = judged_rate / (demand.rate.mid or 1.0) * min(1.0, first)
+    part = judged_rate / (demand.rate.mid or 1.0) * min(1.0, first_stage)
     needed = MIN_TRIAL_OUTCOMES * fleet.front.count / fleet.platform.least_stage_s / max(part, 1e-9)
     return Limit(
         "evidence in the first stage",
@@ -336,28 +344,27 @@
 
 
 def _trial_cap(demand: Demand, fleet: Fleet) -> Limit:
-    """The cap on the trial build's hand-offs is below its share of the machines.
+    """Return the load above which the cap on the trial build's hand-offs takes effect.
 
-    Above the returned load the hand-offs that are exempt from the cap do not make up for the
-    difference.
+    The cap can be lower than the trial's share of the machines. Up to the returned load the
+    hand-offs that are exempt from the cap make up for the difference.
     """
-    first = fleet.platform.stages[0]
-    machines = max(1, round(first * fleet.machines)) / (
-        fleet.machines + max(1, round(first * fleet.machines))
+    first_stage = fleet.platform.stages[0]
+    machine_share = max(1, round(first_stage * fleet.machines)) / (
+        fleet.machines + max(1, round(first_stage * fleet.machines))
     )
-    cap = min(1.0, first * fleet.platform.slack)
+    cap = min(1.0, first_stage * fleet.platform.slack)
     needed = (
         fleet.platform.free
         * fleet.front.count
         / fleet.platform.window_s
-        / max(1e-9, machines - cap)
+        / max(1e-9, machine_share - cap)
     )
-    reached = needed if machines > cap else 0.0
+    reached = needed if machine_share > cap else 0.0
     return Limit(
         "trial cap",
         Interval(reached, reached, reached),
-        f"the trial's machines are {machines:.1%} of the listed, its cap is {cap:.1%}; below it the free "
-        f"hand-offs "
-        f"fill the rest",
+        f"the trial's machines are {machine_share:.1%} of the listed, its cap is {cap:.1%}; "
+        f"below it the free hand-offs fill the rest",
         below=True,
     )
--- a/umbermoor/planner/page.py
+++ b/umbermoor/planner/page.py
@@ -13,10 +13,9 @@
     if plan["partial"]:
         parts.append("<p class=bad>A partial answer: it was ended before all was played.</p>")
     parts.append(
-        f"<p>Load now {_span(plan['load_now'])} queries/s. First limit reached: "
-        f"<b>{escape(str(plan['first']))}"
-        f"</b>, then {escape(str(plan['runner_up']))}. Played in virtual time around the real decision "
-        f"module; "
+        f"<p>Load now {_format_interval(plan['load_now'])} queries/s. First limit reached: "
+        f"<b>{escape(str(plan['first']))}</b>, then {escape(str(plan['runner_up']))}. "
+        f"Played in virtual time around the real decision module; "
         f"limits marked so are in closed form.</p>"
     )
     parts += [
@@ -27,7 +26,7 @@
             [
                 [
                     limit["limit"],
-                    _span(limit.get("reached_at") or limit.get("reached_below")),
+                    _format_interval(limit.get("reached_at") or limit.get("reached_below")),
                     limit.get("times_now") or "",
                     limit["by"],
                     limit["why"],
@@ -49,7 +48,7 @@
     rows = [
         [
             name,
-            *(_span(shares[profile], 4) for profile in plan["goals"]),
+            *(_format_interval(shares[profile], 4) for profile in plan["goals"]),
             shares["service"],
             shares["rules_broken"],
         ]
@@ -72,19 +71,23 @@
     return page(f"Capacity plan: {plan['fleet']}", parts)
 
 
-def _span(interval: list[float | None] | None, digits: int = 1) -> str:
+def _format_interval(interval: list[float | None] | None, digits: int = 1) -> str:
     if interval is None or interval[0] is None:
         return "at no load"
-    return f"{interval[0]:.{digits}f} ({' to '.join('-' if bound is None else f'{bound:.{digits}f}' for bound in interval[1:])})"
+    return (
+        f"{interval[0]:.{digits}f} ("
+        f"{' to '.join('-' if bound is None else f'{bound:.{digits}f}' for bound in interval[1:])}"
+        ")"
+    )
 
 
 def _limits(axes, plan: dict[str, Any]) -> None:
     rows = [row for row in plan["limits"] if row.get("reached_at") and row["reached_at"][0]][::-1]
-    for place, row in enumerate(rows):
+    for position, row in enumerate(rows):
         mid, low, high = row["reached_at"]
         low, high = low if low is not None else mid, high if high is not None else mid
-        axes.barh(place, mid, color="#1565c0" if row["by"] == "plays" else "#90a4ae")
-        axes.plot([low, high], [place, place], color="black", linewidth=1.2)
+        axes.barh(position, mid, color="#1565c0" if row["by"] == "plays" else "#90a4ae")
+        axes.plot([low, high], [position, position], color="black", linewidth=1.2)
     axes.axvline(plan["load_now"][0], color="#c62828", linewidth=1)
     axes.set_yticks(range(len(rows)), [row["limit"] for row in rows])
     axes.set(xlabel="load at which it is reached, queries/s (red: now; blue: by plays)")
--- a/umbermoor/planner/plan.py
+++ b/umbermoor/planner/plan.py
@@ -32,7 +32,7 @@
 STEP = 0.03  # relative resolution of the search for a load
 SEEDS = 3  # runs of each scenario
 MAX_MACHINES_FACTOR = 20  # the search for machines stops at this multiple of the present number
-LOAD_FLOOR = 0.02  # the search for a load stops at this fraction of saturation
+LOAD_FLOOR = 0.02  # fraction of saturation below which a load counts as none
 
 
 class Planner:
@@ -51,7 +51,7 @@
         self.limits = limits(demand, fleet)
         self.goal_low, self.goal_high = goal_bracket(demand, fleet)
         self.saturation = saturation(demand, fleet)
-        self.played: dict[Scenario, RunResult] = {}
+        self.run_results: dict[Scenario, RunResult] = {}
 
     def searches(self) -> dict[str, Search]:
         """Return all searches of the plan by name.
@@ -66,24 +66,28 @@
             if len(fleet.group) > 1:
                 for group in fleet.group:
                     searches[f"load without {group.name}"] = self._load("loss", group.name)
-        searches["now"] = self._fixed(Scenario("steady", self.current_load, fleet.machines, 1))
+        searches["now"] = self._single_load(
+            Scenario("steady", self.current_load, fleet.machines, 1)
+        )
         for group in fleet.group:
             if len(fleet.group) > 1:
-                searches[f"loss {group.name}"] = self._fixed(
+                searches[f"loss {group.name}"] = self._single_load(
                     Scenario("loss", self.current_load, fleet.machines, 1, group.name)
                 )
-            searches[f"cold {group.name}"] = self._fixed(
+            searches[f"cold {group.name}"] = self._single_load(
                 Scenario("cold", self.current_load, fleet.machines, 1, group.name)
             )
-        searches["replace"] = self._fixed(Scenario("replace", self.current_load, fleet.machines, 1))
+        searches["replace"] = self._single_load(
+            Scenario("replace", self.current_load, fleet.machines, 1)
+        )
         for index in range(len(fleet.build)):
-            searches[f"build {index}"] = self._fixed(
+            searches[f"build {index}"] = self._single_load(
                 Scenario("build", self.current_load, fleet.machines, 1, str(index))
             )
         searches["burst"] = self._burst()
         return searches
 
-    def _seeded(self, scenario: Scenario) -> list[Scenario]:
+    def _with_seeds(self, scenario: Scenario) -> list[Scenario]:
         return [scenario._replace(seed=seed) for seed in range(1, self.seeds + 1)]
 
     def _holds(self, results: Results) -> bool:
@@ -102,7 +106,7 @@
             low,
             high,
             STEP,
-            lambda load: self._seeded(Scenario(kind, load, self.fleet.machines, 1, target)),
+            lambda load: self._with_seeds(Scenario(kind, load, self.fleet.machines, 1, target)),
             self._holds,
             LOAD_FLOOR * self.saturation,
             1.5 * self.saturation,
@@ -114,7 +118,7 @@
         return fewest_machines(
             int(0.9 * present * load / max(self.goal_high, 1e-9)),
             int(1.1 * present * load / max(self.goal_low, 1e-9)) + 1,
-            lambda count: self._seeded(Scenario("steady", load, count, 1)),
+            lambda count: self._with_seeds(Scenario("steady", load, count, 1)),
             self._holds,
             present * MAX_MACHINES_FACTOR,
         )
@@ -124,14 +128,14 @@
             0.4 * self.saturation,
             1.05 * self.saturation,
             0.05,
-            lambda load: self._seeded(Scenario("burst", load, self.fleet.machines, 1)),
+            lambda load: self._with_seeds(Scenario("burst", load, self.fleet.machines, 1)),
             lambda results: burst_drains(list(results.values())),
             0.2 * self.saturation,
             1.4 * self.saturation,
         )
 
-    def _fixed(self, scenario: Scenario) -> Search:
-        results = yield self._seeded(scenario)
+    def _single_load(self, scenario: Scenario) -> Search:
+        results = yield self._with_seeds(scenario)
         return list(results.values())
 
     def run(
@@ -147,7 +151,7 @@
 
         def run_and_record(scenarios: list[Scenario]) -> Results:
             new_results = run_scenarios(scenarios)
-            self.played.update(new_results)
+            self.run_results.update(new_results)
             return new_results
 
         return gather(self.searches(), run_and_record, results)
@@ -155,7 +159,7 @@
     def curve(self) -> dict[str, list[tuple[float, float]]]:
         """Return the worst profile's share in time by load, fitted by a curve that never rises."""
         by_load: dict[str, dict[float, list[RunResult]]] = {}
-        for scenario, result in self.played.items():
+        for scenario, result in self.run_results.items():
             if scenario.kind in ("steady", "loss") and scenario.machines == self.fleet.machines:
                 name = "all machines" if scenario.kind == "steady" else f"without {scenario.target}"
                 by_load.setdefault(name, {}).setdefault(scenario.load, []).append(result)
@@ -184,7 +188,7 @@
 
         def share(runs: list[RunResult]) -> dict[str, Any]:
             return {
-                name: _interval(_clipped(interval)) for name, interval in zip(names, shares(runs))
+                name: _bounds(_clip_share(interval)) for name, interval in zip(names, shares(runs))
             } | {
                 "service": round(sum(result.service for result in runs) / len(runs), 4),
                 "rules_broken": sum(result.violations for result in runs),
@@ -208,20 +212,20 @@
         return {
             "fleet": fleet.name,
             "partial": partial,
-            "load_now": _interval(demand.rate),
+            "load_now": _bounds(demand.rate),
             "goals": dict(zip(names, self.goals)),
             "demand": {
                 profile.name: {
-                    "rate": _interval(profile.rate),
-                    "work_ms": _interval(profile.work_ms),
+                    "rate": _bounds(profile.rate),
+                    "work_ms": _bounds(profile.work_ms),
                     "work_cv": profile.work_cv,
                     "hint_cv": profile.hint_cv,
                 }
                 for profile in demand.profiles
             },
-            "burstiness": _interval(demand.burstiness),
+            "burstiness": _bounds(demand.burstiness),
             "peak": demand.peak,
-            "retries": _interval(demand.retry_share),
+            "retries": _bounds(demand.retry_share),
             "assumptions": [*demand.assumptions, *self._assumptions()],
             "first": always[0],
             "runner_up": always[1],
@@ -290,7 +294,7 @@
             rows.append(
                 {
                     "limit": limit.name,
-                    "reached_at": _interval(reached),
+                    "reached_at": _bounds(reached),
                     "times_now": _round(reached.mid / self.current_load),
                     "by": by,
                     "case": limit.case,
@@ -307,7 +311,7 @@
         return rows + [
             {
                 "limit": limit.name,
-                "reached_below": _interval(limit.reached),
+                "reached_below": _bounds(limit.reached),
                 "by": "closed form",
                 "why": limit.why,
             }
@@ -326,7 +330,7 @@
     def _threshold(self, threshold: Threshold) -> dict[str, Any]:
         reached = self._widened(threshold)
         return {
-            "load": _interval(reached),
+            "load": _bounds(reached),
             "times_now": _round(reached.mid / self.current_load),
             "held_at": _round(threshold.low),
             "broke_at": _round(threshold.high),
@@ -336,9 +340,8 @@
         cpu = self.fleet.front.cpu_us or self.fleet.limits.front_cpu_us
         return [
             f"a query costs a front {cpu:g} us of its core",
-            f"clients ask again up to {self.fleet.clients.retries} times, {self.fleet.clients.heed:.0%} of them "
-            f"heed "
-            f"advice on when",
+            f"clients ask again up to {self.fleet.clients.retries} times, "
+            f"{self.fleet.clients.heed:.0%} of them heed advice on when",
             "machines serve their queue in turn, each worker one query at a time",
         ]
 
@@ -352,7 +355,7 @@
     return [(name, shares) for name, shares in rows if shares is not None]
 
 
-def _clipped(interval: Interval) -> Interval:
+def _clip_share(interval: Interval) -> Interval:
     """Return the interval of a share, limited to between 0 and 1."""
     return Interval(*(min(1.0, max(0.0, value)) for value in interval))
 
@@ -365,7 +368,7 @@
     }
 
 
-def _interval(interval: Interval) -> list[float | None]:
+def _bounds(interval: Interval) -> list[float | None]:
     return [_round(value) for value in interval]
 
 
--- a/umbermoor/planner/players.py
+++ b/umbermoor/planner/players.py
@@ -27,7 +27,7 @@
     _inputs = demand, fleet, arrivals
 
 
-def _play(scenario: Scenario) -> RunResult:
+def _run_scenario(scenario: Scenario) -> RunResult:
     demand, fleet, arrivals = _inputs
     day = day_for(scenario, demand, fleet)
     return read_result(play(day, replay=replay_arrivals(day, demand, arrivals)))
@@ -97,7 +97,7 @@
         }
         to_run = [scenario for scenario in scenarios if scenario not in results]
         self._requested += len(to_run)
-        futures = {self._pool.submit(_play, scenario): scenario for scenario in to_run}
+        futures = {self._pool.submit(_run_scenario, scenario): scenario for scenario in to_run}
         for future in as_completed(futures):
             scenario, result = futures[future], future.result()
             results[scenario] = self._results[scenario] = result
--- a/umbermoor/planner/questions.py
+++ b/umbermoor/planner/questions.py
@@ -39,7 +39,7 @@
     """The result of one run."""
 
     in_time: tuple[float, ...]  # share of queries within the target time, by profile
-    asked: tuple[int, ...]  # number of queries, by profile
+    queries: tuple[int, ...]  # number of queries, by profile
     service: float
     tries: float
     violations: int
@@ -193,7 +193,7 @@
         (sum(counts.values()), counts.get("in time", 0)) for counts in outcome["series"]
     )
     tail = seconds[-5:-1] or seconds
-    asked = sum(counts[0] for counts in tail)
+    queries = sum(counts[0] for counts in tail)
     return RunResult(
         tuple(row["in_time"] for row in rows),
         tuple(row["asked"] for row in rows),
@@ -201,7 +201,7 @@
         outcome["tries_a_query"],
         outcome["audit"]["breaches"],
         tuple((at, build, stage, phase) for at, build, stage, phase, _ in outcome["stages"]),
-        sum(counts[1] for counts in tail) / asked if asked else 1.0,
+        sum(counts[1] for counts in tail) / queries if queries else 1.0,
         seconds,
     )
 
@@ -217,9 +217,9 @@
 def meets_goals(results: list[RunResult], goals: list[float]) -> bool:
     """Whether every profile's share over all seeds reaches its goal."""
     for index, goal in enumerate(goals):
-        asked = sum(result.asked[index] for result in results)
-        good = sum(result.asked[index] * result.in_time[index] for result in results)
-        if asked and good / asked < goal:
+        queries = sum(result.queries[index] for result in results)
+        in_time = sum(result.queries[index] * result.in_time[index] for result in results)
+        if queries and in_time / queries < goal:
             return False
     return True
 
@@ -227,7 +227,8 @@
 def burst_drains(results: list[RunResult]) -> bool:
     """Whether the fleet recovers from a burst in every run.
 
-    It does if the share in time of the last seconds is at most 0.05 below that before the burst.
+    It does if the share in time of the last seconds, lowest over the runs, is at most 0.05 below
+    the lowest share before the burst.
     """
     worst = min(result.tail_in_time for result in results)
     before = min(_share(result.by_second[int(SETTLE_S) : int(SETTLE_S) + 5]) for result in results)
@@ -235,8 +236,8 @@
 
 
 def _share(by_second: tuple[tuple[int, int], ...]) -> float:
-    asked = sum(counts[0] for counts in by_second)
-    return sum(counts[1] for counts in by_second) / asked if asked else 1.0
+    queries = sum(counts[0] for counts in by_second)
+    return sum(counts[1] for counts in by_second) / queries if queries else 1.0
 
 
 def share_by_stage(result: RunResult) -> list[tuple[str, float]]:
