--- a/benchmarks/planner_fleets.py
+++ b/benchmarks/planner_fleets.py
@@ -20,8 +20,8 @@
 from umbermoor.planner.check import measure
 from umbermoor.planner.fit import fit
 from umbermoor.planner.plan import Planner
-from umbermoor.planner.players import Players
-from umbermoor.planner.questions import Question, arrivals_of, day_for, drains, read_answer
+from umbermoor.planner.players import RunPool
+from umbermoor.planner.questions import Scenario, arrivals_of, burst_drains, day_for, read_result
 from umbermoor.planner.search import gather
 from umbermoor.planner.sheets import Fleet
 
@@ -107,14 +107,14 @@
 def burst(name: str) -> dict:
     demand, arrivals, fleet = demanded(name)
     planner = Planner(demand, fleet)
-    players = Players(demand, fleet, arrivals)
-    edge = gather({"burst": planner.searches()["burst"]}, players.ask)["burst"]
+    players = RunPool(demand, fleet, arrivals)
+    edge = gather({"burst": planner.searches()["burst"]}, players.run)["burst"]
     players.close()
     row = {"fleet": name, "predicted": edge.mid}
     for part in (0.85, 1.15):
-        day = day_for(Question("burst", edge.mid * part, fleet.machines, 1), demand, fleet)
+        day = day_for(Scenario("burst", edge.mid * part, fleet.machines, 1), demand, fleet)
         outcome = play_on_sockets(day)
-        row[f"at {part:g} it"] = "drains" if drains([read_answer(outcome)]) else "does not"
+        row[f"at {part:g} it"] = "drains" if burst_drains([read_result(outcome)]) else "does not"
     return row
 
 
