--- a/benchmarks/capacity/model.py
+++ b/benchmarks/capacity/model.py
@@ -66,8 +66,8 @@
 RETRY_WINDOW_S, RETRY_RATIO = 10, 0.2 * 0.8  # ratio: retries that each request earns
 CONFIG_DEADLINE_S = 10  # s until a configuration is in force everywhere
 LINK_BYTES_PER_S = 125e6
-# s between messages of a source or witness (proposed); the interval lets a front leave one that is
-# cut off in time
+# s between messages of a source or witness (proposed), short enough for a front to leave one that
+# is cut off in time
 SOURCE_MESSAGE_INTERVAL_S = 1.0
 WITNESSES = 1  # members, besides its source, that a front asks for digests (proposed)
 DIGEST_BYTES = 80  # of a digest and the request for it (estimate)
