--- a/umbermoor/gateway/simulation/replica_world.py
+++ b/umbermoor/gateway/simulation/replica_world.py
@@ -67,7 +67,7 @@
         doubled: the share of messages duplicated.
         late: the share of messages that are late by one of `lateness`.
         cut: links that carry nothing, as pairs of sender and receiver.
-        swallow: whether a message is dropped; gets sender, receiver and message.
+        drops_message: whether a message is dropped; gets sender, receiver and message.
     """
 
     def __init__(
@@ -87,7 +87,9 @@
         self.seeds = self.names[:3]
         self.loss = self.doubled = self.late = 0.0
         self.lateness: tuple[int, ...] = LATENESS
-        self.swallow: Callable[[str, str, dict[str, Any]], bool] = lambda sender, to, message: False
+        self.drops_message: Callable[[str, str, dict[str, Any]], bool] = (
+            lambda sender, to, message: False
+        )
         self.cut: set[tuple[str, str]] = set()  # from, to
         self.model = ReferenceModel()
         self.calls: dict[int, PendingCall] = {}
@@ -225,7 +227,7 @@
 
     def _carry(self, sender: str, send: Send) -> None:
         text = json.dumps(send.message)
-        if self.swallow(sender, send.to, send.message):
+        if self.drops_message(sender, send.to, send.message):
             return
         for _ in range(2 if self.chance.random() < self.doubled else 1):
             if self.chance.random() < self.loss:
