--- a/umbermoor/gateway/simulation/replica_storm.py
+++ b/umbermoor/gateway/simulation/replica_storm.py
@@ -24,7 +24,7 @@
     world = ReplicaWorld(seed, members)
     chance = world.chance
     if chance.random() < 0.3:  # founded among faults
-        world.loss, world.doubled, world.late = 0.1, 0.2, 0.1
+        world.loss, world.duplication, world.late = 0.1, 0.2, 0.1
     world.start_all()
     for _ in range(chance.randrange(30)):
         world.run(100 * MILLISECOND)
@@ -57,7 +57,7 @@
 def contend(world: ReplicaWorld, chance: random.Random, steps: int) -> None:
     """Have several replicas propose views at once, among late messages, puts and short absences."""
     for _ in range(steps):
-        world.loss, world.doubled = chance.choice((0.0, 0.0, 0.1)), 0.2
+        world.loss, world.duplication = chance.choice((0.0, 0.0, 0.1)), 0.2
         world.late, world.lateness = (
             chance.choice((0.1, 0.5)),
             chance.choice(((20,), (100,), (20, 100, 600))),
@@ -118,13 +118,13 @@
             world.cut |= {(name, other), (other, name)}
     elif draw < 0.24:
         world.loss = chance.choice((0.0, 0.02, 0.2, 0.4))
-        world.doubled = chance.choice((0.0, 0.1, 0.5))
+        world.duplication = chance.choice((0.0, 0.1, 0.5))
         world.late = chance.choice((0.0, 0.05, 0.3))
     elif draw < 0.32:
         machine.mode = chance.choice(("slow", "hangs", "refuses", "slow"))
     elif draw < 0.45:
         world.cut.clear()
-        world.loss = world.doubled = world.late = 0.0
+        world.loss = world.duplication = world.late = 0.0
     elif draw < 0.6:
         machine.mode = "well"
         world.start_all()
