--- a/benchmarks/long_storms.py
+++ b/benchmarks/long_storms.py
@@ -26,21 +26,21 @@
         world.flow((200 if size else 30) * MILLISECOND)
         back = 0
         for _ in range(5):
-            name, trouble = world.chance.choice(world.names), world.chance.choice(TROUBLES)
+            name, trouble = world.rng.choice(world.names), world.rng.choice(TROUBLES)
             machine = world.machines[name]
-            world.loss = world.chance.choice((0.0, 0.0, 0.02))
+            world.loss = world.rng.choice((0.0, 0.0, 0.02))
             if trouble in ("restarts", "away", "wiped"):
                 if trouble != "wiped" or not world.lose_disk(name):
                     world.stop(name)
                 world.run(
-                    world.chance.randrange(
+                    world.rng.randrange(
                         100 * MILLISECOND, 10 * SECOND if trouble == "away" else SECOND
                     )
                 )
                 world.start(name, cold=False)
             else:
                 machine.mode = trouble
-                world.run(world.chance.randrange(SECOND, 10 * SECOND))
+                world.run(world.rng.randrange(SECOND, 10 * SECOND))
                 machine.mode = "well"
             world.loss, since = 0.0, world.now
             if not world.run(40 * SECOND, lambda name=name: not world.behind(name)):
