--- a/umbermoor/gateway/simulation/replica_world.py
+++ b/umbermoor/gateway/simulation/replica_world.py
@@ -97,7 +97,7 @@
         self._count = 0
         self._rev = 0
         self.cold = True
-        self.make: type[Replica] = Replica
+        self.replica_class: type[Replica] = Replica
 
     # Time
 
@@ -124,7 +124,7 @@
         machine = self.machines[name]
         machine.life += 1
         machine.seen = (0, 0)
-        machine.member = self.make(
+        machine.member = self.replica_class(
             name,
             self.seeds,
             self.tolerated_losses,
