--- a/umbermoor/gateway/simulation/virtual_disk.py
+++ b/umbermoor/gateway/simulation/virtual_disk.py
@@ -1,6 +1,6 @@
-"""A simulated disk with the interface of `replication.pages.Store`, and the faults of disks.
+"""A simulated disk with the interface of `replication.pages.Store` and injectable faults.
 
-Writes are done one after another, each wholly or not at all, as transactions of LMDB are.
+Writes are serialized and atomic, like LMDB transactions.
 """
 
 import asyncio
@@ -17,13 +17,13 @@
     from umbermoor.gateway.simulation.virtual_process import VirtualProcess
 
 SYNC_TIME = 2 * MILLISECOND
-SLOW_FACTOR = 30  # by which a slow disk takes longer to sync
-HANG_RECHECK = 100 * MILLISECOND  # until a write on a disk that hangs is looked at again
+SLOW_FACTOR = 30  # factor by which syncs take longer on a slow disk
+HANG_RECHECK = 100 * MILLISECOND  # interval at which a write on a hanging disk is retried
 CAPACITY = 1 << 30  # bytes
 
 
 class DiskMode(Enum):
-    """How a disk behaves."""
+    """Behaviour of a disk."""
 
     HEALTHY = "well"
     SLOW = "slow"
@@ -32,7 +32,7 @@
 
 
 class _Job(NamedTuple):
-    """A call of the store that a process runs in its disk thread."""
+    """A store operation that a process runs in its disk thread."""
 
     process: "VirtualProcess"
     future: asyncio.Future[Any]
@@ -41,26 +41,26 @@
 
 
 class VirtualDisk:
-    """What is synced, and how long it takes to sync."""
+    """The synced records of a machine, and the queue of writes in progress."""
 
     def __init__(self, time: VirtualTime, rng: random.Random) -> None:
         self.records: dict[str, bytes] = {}
         self.mode = DiskMode.HEALTHY
-        # As the attributes of a store
+        # Attributes of a store
         self.full = False
-        self.lost = ""  # why what was found is not to be trusted
+        self.lost = ""  # reason why the records found cannot be trusted
         self.open = True
         self.size = CAPACITY
         self._time = time
         self._rng = rng
-        self._corrupt: set[str] = set()  # keys of records that are no longer what was written
+        self._corrupt: set[str] = set()  # keys of records that differ from what was written
         self._queue: deque[_Job] = deque()
         self._current: _Job | None = None
 
     # The interface of a store
 
     def load(self) -> dict[str, bytes]:
-        """All records, or none and a reason in `lost` where one is corrupt."""
+        """Return all records; if any is corrupt, return none and set the reason in `lost`."""
         self.lost = ""
         if self._corrupt:
             self.lost = f"rotten: {sorted(self._corrupt)}"
@@ -69,15 +69,15 @@
         return dict(self.records)
 
     def sweep(self) -> list[str]:
-        """The keys of corrupt records."""
+        """Return the keys of corrupt records."""
         return sorted(self._corrupt)
 
     def used(self) -> int:
-        """Bytes stored."""
+        """Return the number of bytes stored."""
         return sum(map(len, self.records.values()))
 
     def write(self, puts: dict[str, bytes | None]) -> bool:
-        """Store records (None removes); called in the disk thread, at the time of the sync."""
+        """Store records (None removes one); called in the disk thread when the sync completes."""
         if self.mode is DiskMode.REFUSING:
             return False
         self._corrupt -= puts.keys()
@@ -94,7 +94,7 @@
     # Faults
 
     def corrupt(self, key: str) -> None:
-        """Have a record differ from what was written; found by a sweep or at the next start."""
+        """Mark a record as corrupt, to be detected by a sweep or at the next start."""
         self._corrupt.add(key)
 
     def wipe(self) -> None:
@@ -110,7 +110,7 @@
         func: Callable[..., Any],
         args: tuple[Any, ...],
     ) -> None:
-        """Run `func` once what was submitted before is done; its result goes to `future`."""
+        """Run `func` after all earlier jobs and pass its result to `future`."""
         self._queue.append(_Job(process, future, func, args))
         self._start_next()
 
@@ -142,7 +142,7 @@
         self._start_next()
 
     def process_ended(self, power_lost: bool) -> None:
-        """Forget what waits. The write in progress is stored, or it is not."""
+        """Drop all queued jobs; the write in progress may or may not be stored."""
         job, self._current = self._current, None
         self._queue.clear()
         if job is not None and self.mode is not DiskMode.HANGING and self._rng.random() < 0.5:
