--- a/umbermoor/gateway/local/__init__.py
+++ b/umbermoor/gateway/local/__init__.py
@@ -1,7 +1,7 @@
-"""A whole gateway on loopback, for trials and for learning: real programs, stand-in instances.
+"""A complete gateway on loopback for experiments: the real programs with stand-in instances.
 
-`walkthrough` is what `python -m umbermoor.gateway local` does; `gateway` starts, watches and ends
+`walkthrough` implements `python -m umbermoor.gateway local`; `gateway` starts, monitors and stops
 the processes of controllers and proxies; `node` writes their settings; `instance` is a stand-in
-instance of a service, as PROTOCOL.md describes them; `traffic` sends requests and follows rollouts
-as a platform does. Never in service.
+instance of a service that follows PROTOCOL.md; `traffic` sends requests and follows rollouts as a
+platform does. Not for production.
 """
--- a/umbermoor/gateway/local/gateway.py
+++ b/umbermoor/gateway/local/gateway.py
@@ -1,4 +1,4 @@
-"""The local gateway: starts, watches and ends controllers, proxies and stand-in instances."""
+"""The local gateway: starts, monitors and stops controllers, proxies and stand-in instances."""
 
 import asyncio
 import json
@@ -32,20 +32,20 @@
 
 PROXY_ZONES = ZONES[:2]
 SERVICE, HOST, PREFIX = "almanac", "plot.example", "/tables/"
-WAIT_LIMIT_S = 12.0  # for any one thing to happen
+WAIT_LIMIT_S = 12.0  # for each awaited condition
 POLL_INTERVAL_S = 0.1
-RESTART_DELAY_S = 0.5  # until what ended is started again, while the gateway is kept running
+RESTART_DELAY_S = 0.5  # until an ended process is restarted, while the gateway keeps running
 REQUEST_BUDGET_MS = 2000
 READY_TIMEOUT_S = 1.0
 FAILING_VERSION_PREFIX = "bad"
-FAILURE_SHARE = 0.33  # of the requests to a version whose name begins so
+FAILURE_SHARE = 0.33  # of the requests to a version with that prefix
 HTTP_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, httpcore.TimeoutException)
 
 T = TypeVar("T")
 
 
 class StepFailedError(Exception):
-    """Something did not happen, or not in time; the text says what."""
+    """A step failed or timed out; the message says which one."""
 
 
 @dataclass
@@ -53,7 +53,7 @@
     """The processes and instances of one local gateway."""
 
     folder: Path  # of settings, logs and stores
-    network: str  # the first three numbers of every address
+    network: str  # the first three octets of every address
     ports: Ports
     began: float = field(default_factory=time.monotonic)
     nodes: list[Node] = field(default_factory=list)
@@ -61,7 +61,7 @@
     stopping: bool = False
 
     def report(self, line: str) -> None:
-        """Print a line with the time since the start in seconds."""
+        """Print a line, prefixed with the seconds since the start."""
         print(f"{time.monotonic() - self.began:6.2f} s  {line}", flush=True)
 
     @property
@@ -76,13 +76,13 @@
 
     @property
     def control_addresses(self) -> list[str]:
-        """Where the running controllers take calls, as ip:port."""
+        """Control addresses of the running controllers, as ip:port."""
         return [f"{node.ip}:{self.ports.control}" for node in self.controllers if node.process]
 
     # Processes
 
     def add_nodes(self) -> None:
-        """A controller in each zone, a proxy in some."""
+        """Add a controller in each zone and a proxy in each of PROXY_ZONES; start none."""
         for number, zone in enumerate(ZONES):
             ip = f"{self.network}.{11 + number}"
             self.nodes.append(Node(f"core-{zone}", CONTROLLER, ip, zone))
@@ -91,7 +91,7 @@
             self.nodes.append(Node(f"front-{zone}", PROXY, ip, zone))
 
     async def start_node(self, node: Node, cold: bool) -> None:
-        """Write a node's settings and start it; `cold`: as a member of a new system."""
+        """Write a node's settings and start it; with `cold` as a member of a new system."""
         seeds = [f"{controller.ip}:{self.ports.control}" for controller in self.controllers]
         data = self.folder / f"{node.name}.data"
         settings = self.folder / f"{node.name}.toml"
@@ -106,15 +106,15 @@
         self.report(f"started {node.program} {node.name} on {node.ip}, pid {node.process.pid}")
 
     def command(self, node: Node) -> list[str]:
-        """The command line of a node's process."""
+        """Return the command line of a node's process."""
         return [sys.executable, "-m", "umbermoor.gateway", node.program]
 
     def environment(self, node: Node) -> dict[str, str]:
-        """What a node's process has in its environment beside this one's."""
+        """Return environment variables of a node's process in addition to the inherited ones."""
         return {}
 
     async def restart_when_ended(self, node: Node) -> None:
-        """Start a node again whenever it ends, as a platform does."""
+        """Restart a node whenever its process ends, as a platform does."""
         while True:
             status = await node.running_process.wait()
             if self.stopping:
@@ -124,7 +124,7 @@
             await self.start_node(node, cold=False)
 
     async def stop(self) -> None:
-        """End all that was started: SIGTERM, and SIGKILL after GRACE_S."""
+        """Stop all instances and processes: SIGTERM first, SIGKILL after GRACE_S."""
         self.stopping = True
         for instance in self.instances:
             instance.crash()
@@ -139,7 +139,10 @@
     # Waiting
 
     async def wait_for(self, what: str, condition: Callable[[], Awaitable[T | None]]) -> T:
-        """Poll until a condition gives something true. Raises StepFailedError."""
+        """Poll a condition until its result is true and return that result.
+
+        Raises StepFailedError after WAIT_LIMIT_S, or when a process ends.
+        """
         until = time.monotonic() + WAIT_LIMIT_S
         while not (result := await condition()):
             for node in self.nodes:
@@ -151,7 +154,7 @@
         return result
 
     async def statuses(self) -> dict[str, dict[str, Any]]:
-        """What each running controller says of itself, by name."""
+        """Return the status of each running controller that answers, by name."""
         running = [node for node in self.controllers if node.process]
         client = ControlClient(())
         responses = await asyncio.gather(
@@ -168,8 +171,12 @@
             if isinstance(response, ControlResponse) and response.succeeded
         }
 
-    async def agreed_chain(self, least: int) -> list[str] | None:
-        """The chain on which all running controllers agree, if it is theirs and long enough."""
+    async def agreed_chain(self, min_length: int) -> list[str] | None:
+        """Return the chain on which all running controllers agree.
+
+        Return None if they disagree, or if the chain is shorter than `min_length` or contains a
+        controller that is not running.
+        """
         statuses = list((await self.statuses()).values())
         running = {node.ip for node in self.controllers if node.process}
         views = {(status["epoch"], tuple(status["chain"])) for status in statuses}
@@ -177,17 +184,19 @@
         if len(statuses) < len(running) or len(views) != 1 or not connected:
             return None
         chain = list(views.pop()[1])
-        return chain if len(chain) >= least and set(chain) <= running else None
+        return chain if len(chain) >= min_length and set(chain) <= running else None
 
-    async def wait_for_chain(self, least: int) -> list[str]:
-        """Wait for a chain of so many members; their addresses from the head to the tail."""
-        chain = await self.wait_for(f"a chain of {least} members", lambda: self.agreed_chain(least))
+    async def wait_for_chain(self, min_length: int) -> list[str]:
+        """Wait for a chain of at least that length; return its addresses from head to tail."""
+        chain = await self.wait_for(
+            f"a chain of {min_length} members", lambda: self.agreed_chain(min_length)
+        )
         names = {node.ip: node.name for node in self.controllers}
         self.report(f"the chain is {', '.join(names[ip] for ip in chain)}")
         return chain
 
     async def wait_until_ready(self) -> None:
-        """Wait until every proxy takes requests."""
+        """Wait until every proxy accepts requests."""
         for node in self.proxies:
             await self.wait_for(f"{node.name} ready", lambda ip=node.ip: self._is_ready(ip))  # type: ignore[misc]
             self.report(f"{node.name} is ready")
@@ -198,7 +207,7 @@
     # Calls and requests
 
     async def put_configuration(self, revision: int) -> None:
-        """Put a configuration of one route in force."""
+        """Put a configuration with one route in force."""
         client = ControlClient(self.control_addresses, WAIT_LIMIT_S)
         response = await asyncio.to_thread(
             client.call, "POST", "/Config.Replace", configuration(revision)
@@ -208,18 +217,18 @@
         self.report(f"configuration {revision:08x} accepted by {response.address}")
 
     async def check_configuration(self, revision: int) -> None:
-        """Read the configuration back: it must have that revision."""
+        """Read the configuration back and check its revision."""
         client = ControlClient(self.control_addresses, WAIT_LIMIT_S)
         response = await asyncio.to_thread(client.call, "GET", "/Config.Read")
         if not isinstance(response, ControlResponse) or not response.succeeded:
-            raise StepFailedError(f"the configuration was not read: {response}")
+            raise StepFailedError(f"the configuration could not be read: {response}")
         read = json.loads(response.body)["revision"]
         self.report(f"configuration {read} read at {response.address}")
         if read != f"{revision:08x}":
-            raise StepFailedError(f"configuration {revision:08x} was put, and {read} is read")
+            raise StepFailedError(f"configuration {revision:08x} was put, but {read} was read")
 
     async def send_request(self, node: Node) -> None:
-        """Send one request through a proxy, as a client does; an instance must answer it."""
+        """Send one request through a proxy as a client; an instance must answer it."""
         attempt_id = f"{random.getrandbits(64):016x}"
         url = f"http://{node.ip}:{self.ports.proxy}{PREFIX}today"
         headers: dict[bytes | str, bytes | str] = {
@@ -244,10 +253,10 @@
             or not sealed
             or received.get(b"x-attempt-id") != attempt_id.encode()
         ):
-            raise StepFailedError("that is no answer of an instance")
+            raise StepFailedError("the response does not come from an instance")
 
     def add_instances(self, version: str) -> list[LocalInstance]:
-        """An instance of a version in each zone, not started yet.
+        """Add an instance of a version in each zone, without starting it.
 
         Versions whose name begins with `bad` fail a third of their requests.
         """
@@ -274,7 +283,7 @@
 
 
 def configuration(revision: int) -> bytes:
-    """A configuration of one route to the stand-in service."""
+    """Return a configuration with one route to the stand-in service."""
     route = {
         "host": HOST,
         "prefix": PREFIX,
--- a/umbermoor/gateway/local/instance.py
+++ b/umbermoor/gateway/local/instance.py
@@ -1,7 +1,7 @@
-"""A stand-in instance of a service, as PROTOCOL.md describes them. Never in service.
+"""A stand-in instance of a service that follows PROTOCOL.md. Not for production.
 
-It listens on loopback, sends heartbeats, answers requests in a limited number of slots with a queue
-before them, and drains and leaves on request.
+It listens on loopback, sends heartbeats, answers requests in a limited number of slots with a
+bounded queue, and drains and leaves on request.
 """
 
 import asyncio
@@ -18,18 +18,18 @@
 from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import write_response
 
-LONGEST_ACKNOWLEDGEMENT = 4096  # bytes
-LAST_CALLS_S = 3.0  # it tries so long to say that it drains, or that it leaves
-LAST_CALL_INTERVAL_S = 0.2
-EXTRA_DRAIN_S = 0.5  # it serves on behind the time that was promised
-DEFAULT_REQUEST_TIME_S = 30.0  # for a request that names none
+MAX_ACKNOWLEDGEMENT_BYTES = 4096
+SHUTDOWN_CALL_TIMEOUT_S = 3.0  # for retries of the calls that report draining and leaving
+SHUTDOWN_CALL_INTERVAL_S = 0.2
+EXTRA_DRAIN_S = 0.5  # for which the instance serves beyond the drain time
+DEFAULT_REQUEST_TIME_S = 30.0  # for a request without X-Time-Remaining
 BUFFER_BYTES = 32 << 20
 NOT_EXECUTED = (("X-Not-Executed", "1"),)
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """What kind of instance it is."""
+    """Settings of a stand-in instance."""
 
     service: str
     zone: str
@@ -39,15 +39,15 @@
     max_connections: int = 130  # from all callers together
     probe: str = "/health"
     work_s: float = 0.02
-    warm_up_s: float = 0.0  # twice as slow for so long from its start
+    warm_up_s: float = 0.0  # period after the start in which work takes twice as long
     keep_alive_s: int = 8
     heartbeat_interval_s: float = 1.5
     drain_s: float = 2.5
-    failure_share: float = 0.0  # of requests, answered with 500
+    failure_share: float = 0.0  # share of requests that are answered with 500
 
 
 class InstanceResponse(NamedTuple):
-    """A response to a request, without the headers that every response has."""
+    """A response without the headers that are common to all responses."""
 
     status: int
     body: bytes = b""
@@ -60,10 +60,10 @@
     def __init__(
         self, id: str, settings: InstanceSettings, host: str, control_addresses: Sequence[str]
     ) -> None:
-        """`control_addresses`: the controllers that take its heartbeats, as ip:port."""
+        """Create an instance that sends its heartbeats to `control_addresses`, given as ip:port."""
         self.id = id
         self.settings = settings
-        self.address = ""  # ip:port, once it listens
+        self.address = ""  # ip:port, empty until the instance listens
         self.in_progress = 0
         self.served = 0
         self.draining = False
@@ -71,15 +71,15 @@
         self.buffers = Buffers(BUFFER_BYTES)
         self.control_client = ControlClient(control_addresses, settings.heartbeat_interval_s)
         self._host = host
-        self._sample = 0  # counts heartbeats
+        self._sample = 0  # number of heartbeats sent
         self._waiting: deque[asyncio.Future[None]] = deque()
-        self._report_to: str | None = None  # the controller that is asked first
+        self._report_to: str | None = None  # the controller that is called first
         self._server: asyncio.Server | None = None
         self._heartbeats: asyncio.Task[None] | None = None
         self._started_at = 0.0
 
     async def start(self) -> bool:
-        """Listen on a free port and say so; whether a controller acknowledged it."""
+        """Listen on a free port and send a heartbeat; return whether it was acknowledged."""
         loop = asyncio.get_running_loop()
         self._started_at = loop.time()
         self._server = await loop.create_server(lambda: InstanceConnection(self), self._host, 0)
@@ -89,7 +89,7 @@
         return acknowledged
 
     async def drain(self) -> None:
-        """A planned end: say it, serve on, leave, end."""
+        """Shut down in order: report draining, keep serving for the drain time, leave, stop."""
         if self._heartbeats:
             self._heartbeats.cancel()
         self.draining = True
@@ -99,7 +99,7 @@
         self.crash()
 
     def crash(self) -> None:
-        """End without a word."""
+        """Stop without notice to the controllers."""
         if self._heartbeats:
             self._heartbeats.cancel()
         if self._server:
@@ -110,7 +110,7 @@
     # Calls to controllers
 
     async def send_heartbeat(self) -> bool:
-        """Send one heartbeat; whether a controller acknowledged it."""
+        """Send one heartbeat; return whether a controller acknowledged it."""
         self._sample += 1
         settings = self.settings
         response = await self._call(
@@ -144,7 +144,7 @@
         )
         if not isinstance(response, ControlResponse) or not response.succeeded:
             return None
-        return response if len(response.body) <= LONGEST_ACKNOWLEDGEMENT else None
+        return response if len(response.body) <= MAX_ACKNOWLEDGEMENT_BYTES else None
 
     async def _send_heartbeats(self) -> None:
         while True:
@@ -152,30 +152,30 @@
             await self.send_heartbeat()
 
     async def _retry(self, call: Callable[[], Awaitable[bool]]) -> None:
-        """Make a call until it is acknowledged, for LAST_CALLS_S at most."""
+        """Retry a call until it is acknowledged, for at most SHUTDOWN_CALL_TIMEOUT_S."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + LAST_CALLS_S
+        until = loop.time() + SHUTDOWN_CALL_TIMEOUT_S
         acknowledged = await call()
         while not acknowledged and loop.time() < until:
-            await asyncio.sleep(LAST_CALL_INTERVAL_S)
+            await asyncio.sleep(SHUTDOWN_CALL_INTERVAL_S)
             acknowledged = await call()
 
     # Requests
 
     def _warm_up_left(self) -> float:
-        """Seconds until it is warmed up."""
+        """Return the remaining seconds of the warm-up."""
         ends_at = self._started_at + self.settings.warm_up_s
         return max(0.0, round(ends_at - asyncio.get_running_loop().time(), 3))
 
     def rejects_connections(self) -> bool:
-        """Whether a new connection is one too many; fewer are kept while the queue is long."""
-        most = self.settings.max_connections
+        """Whether a new connection exceeds the limit, which is halved while the queue is long."""
+        limit = self.settings.max_connections
         if 2 * len(self._waiting) > self.settings.queue:
-            most //= 2
-        return len(self.connections) >= most
+            limit //= 2
+        return len(self.connections) >= limit
 
     async def _take_slot(self, until: float) -> bool:
-        """Wait for a slot; False where the queue is full or the time is over."""
+        """Wait for a slot; return False if the queue is full or the time is up."""
         if self.in_progress < self.settings.capacity:
             self.in_progress += 1
             return True
@@ -188,7 +188,7 @@
                 await turn
         except BaseException as error:
             if turn.done() and not turn.cancelled():
-                self._free_slot()  # it got its turn while it gave up
+                self._free_slot()  # the slot was assigned while the request gave up
             elif turn in self._waiting:
                 self._waiting.remove(turn)
             if isinstance(error, TimeoutError):
@@ -197,7 +197,7 @@
         return True
 
     def _free_slot(self) -> None:
-        """Pass a slot on to the request that waits longest."""
+        """Pass a slot on to the request that has waited longest."""
         while self._waiting:
             turn = self._waiting.popleft()
             if not turn.done():
@@ -206,7 +206,7 @@
         self.in_progress -= 1
 
     async def handle(self, request: Request) -> InstanceResponse:
-        """Answer one request, or the probe."""
+        """Handle a request or a probe and return the response."""
         loop = asyncio.get_running_loop()
         headers = request.headers
         is_probe = request.method == "GET" and request.target == self.settings.probe
@@ -228,7 +228,7 @@
             self._free_slot()
 
     async def _work(self, request: Request, until: float) -> InstanceResponse:
-        """Take the time that the work takes, and answer with a seal."""
+        """Simulate the duration of the work and return a sealed response."""
         loop, settings = asyncio.get_running_loop(), self.settings
         work = settings.work_s * (2 if self._warm_up_left() else 1)
         await asyncio.sleep(max(0.0, min(work, until - loop.time())))
@@ -245,12 +245,12 @@
         return InstanceResponse(200, body, headers)
 
     def load_level(self) -> str:
-        """Requests in progress, requests waiting, and slots, as responses tell them."""
+        """Return the value of X-Load-Level: requests in progress, requests waiting, and slots."""
         return f"{self.in_progress},{len(self._waiting)},{self.settings.capacity}"
 
 
 def _named_controller(body: bytes) -> str | None:
-    """The controller that an acknowledgement asks to report to."""
+    """Return the controller that an acknowledgement names as the one to report to."""
     try:
         named = json.loads(body).get("reportTo") if body else None
     except (ValueError, AttributeError):
@@ -259,18 +259,18 @@
 
 
 class InstanceConnection(asyncio.Protocol):
-    """One connection to an instance: one request at a time; its end drops what is in progress."""
+    """A connection to an instance; serves one request at a time and drops it when it closes."""
 
     def __init__(self, instance: LocalInstance) -> None:
         self._instance = instance
         self._reader = Reader(instance.buffers)
-        self._pending: deque[Any] = deque()  # requests, or the fault of one
+        self._pending: deque[Any] = deque()  # requests, or the fault of a malformed one
         self._work: asyncio.Task[None] | None = None
         self._idle_timer: asyncio.TimerHandle | None = None
         self._transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take a connection, or reset it if there are too many."""
+        """Accept a connection, or reset it if there are too many."""
         self._transport = transport
         if self._instance.rejects_connections():
             self._transport.abort()
@@ -288,7 +288,7 @@
         self._idle_timer = loop.call_later(keep_alive, self._transport.close)
 
     def data_received(self, data: bytes) -> None:
-        """Answer what requests arrived, one after another."""
+        """Answer the received requests one after another."""
         self._pending.extend(self._reader.feed(data))
         if self._work is None and self._pending:
             if self._idle_timer:
@@ -309,7 +309,7 @@
         self._become_idle()
 
     async def _answer(self, request: Request) -> bool:
-        """Answer one request; whether the connection is kept."""
+        """Answer one request; return whether the connection stays open."""
         instance = self._instance
         response = await instance.handle(request)
         keep = request.keep_alive and not instance.draining
@@ -322,7 +322,7 @@
         return keep
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Drop what is in progress."""
+        """Drop the request in progress."""
         self._instance.connections.discard(self)
         self._reader.drop()
         if self._idle_timer:
--- a/umbermoor/gateway/local/node.py
+++ b/umbermoor/gateway/local/node.py
@@ -1,4 +1,4 @@
-"""A process of the local gateway: where it runs, its settings file, and its start. Linux only."""
+"""A process of the local gateway: its addresses, settings file and start. Linux only."""
 
 import asyncio
 import contextlib
@@ -20,9 +20,9 @@
 REGION = "plot"
 CONTROLLER, PROXY = "controller", "proxy"
 PR_SET_PDEATHSIG = 1
-FIRST_PORT, LAST_PORT = 20_000, 30_000  # below those that the system gives out
+FIRST_PORT, LAST_PORT = 20_000, 30_000  # below the ephemeral ports of the system
 ADDRESS_ATTEMPTS = 50
-HOST_NUMBERS = (11, 12, 13, 21, 22)  # the last number of the addresses of all nodes
+HOST_NUMBERS = (11, 12, 13, 21, 22)  # last octets of the addresses of all nodes
 
 
 @dataclass
@@ -38,7 +38,7 @@
 
     @property
     def running_process(self) -> Process:
-        """The process, which must have been started."""
+        """The process; raises RuntimeError if it was not started."""
         if self.process is None:
             raise RuntimeError(f"{self.name} does not run")
         return self.process
@@ -46,7 +46,7 @@
 
 @dataclass
 class Ports:
-    """The same on every address, as on a site."""
+    """Ports, the same on every address, as in a deployment."""
 
     proxy: int
     ready: int
@@ -55,9 +55,9 @@
 
 
 def free_addresses() -> tuple[str, Ports]:
-    """A network on loopback, as the first three numbers of its addresses, and ports free on it.
+    """Return the first three octets of a loopback network, and ports that are free on it.
 
-    Raises OSError where there are none.
+    Raises OSError if there are none.
     """
     last_error = OSError("no free ports")
     for _ in range(ADDRESS_ATTEMPTS):
@@ -76,7 +76,7 @@
 
 
 def settings_text(node: Node, ports: Ports, seeds: Sequence[str], data: Path, cold: bool) -> str:
-    """A settings file as the platform writes them; `data`: the folder of a controller's store."""
+    """Return a settings file like those of the platform; `data` is a controller's store folder."""
     is_controller = node.program == CONTROLLER
     machine_class, serves = ("core", "controller") if is_controller else ("front", "front")
     listen = (
@@ -118,7 +118,7 @@
 
 
 async def start_process(command: Sequence[str], environment: dict[str, str], log: Path) -> Process:
-    """Start a process that ends with this one, whatever ends that; its output goes to a file."""
+    """Start a process that ends whenever this one ends, with its output appended to `log`."""
     with log.open("ab") as file:
         return await asyncio.create_subprocess_exec(
             *command,
@@ -132,15 +132,15 @@
 
 
 def _end_with_parent() -> None:
-    """In a new process, before its program starts: ask for SIGTERM when this one is gone."""
+    """Request SIGTERM on the end of the parent; runs in the new process before its program."""
     ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGTERM, 0, 0, 0)
 
 
 def send_signal(process: Process, number: signal.Signals) -> None:
     """Send a signal to a process that may have ended.
 
-    Not by `Process.send_signal`: that looks whether the process has ended, and so takes its exit
-    status away from who waits for it.
+    `Process.send_signal` is not used: it polls whether the process has ended, which takes the exit
+    status away from the task that waits for it.
     """
     if process.returncode is None:
         with contextlib.suppress(ProcessLookupError):
--- a/umbermoor/gateway/local/traffic.py
+++ b/umbermoor/gateway/local/traffic.py
@@ -1,4 +1,4 @@
-"""What goes on at a local gateway that is kept running: requests, and instances of rollouts."""
+"""Activity at a local gateway that is kept running: requests, and instances of rollouts."""
 
 import asyncio
 import json
@@ -14,15 +14,15 @@
 from umbermoor.http1.writer import write_request
 
 REQUEST_INTERVAL_S = 0.05  # between two requests to a proxy
-REQUEST_TIMEOUT_S = 2.0  # a client's time for one
-POLL_INTERVAL_S = 1.0  # between two reads of the rollout
+REQUEST_TIMEOUT_S = 2.0  # time that a client allows for a request
+POLL_INTERVAL_S = 1.0  # between reads of the rollout
 DRAIN_AFTER_S = 3.0  # from a revert until the new instances drain
 BUFFER_BYTES = 8 << 20
 READ_BYTES = 1 << 16
 
 
 class _Client:
-    """A client's connection to a proxy, made again after a failure."""
+    """A client's connection to a proxy; reconnects after a failure."""
 
     def __init__(self, ip: str, port: int, host: str, path: str) -> None:
         self._ip, self._port, self._host, self._path = ip, port, host, path
@@ -31,7 +31,7 @@
         self._reader: Any = None
 
     async def request(self) -> str:
-        """Send one request; what it ended in: a status, garbled, or the type of an error."""
+        """Send one request; return the status, `garbled` or the type of the error."""
         try:
             response = await self._response()
         except (OSError, TimeoutError) as error:
@@ -71,7 +71,7 @@
 
 
 async def send_requests(ip: str, port: int, host: str, path: str, counts: Counter[str]) -> None:
-    """Send requests to a proxy, one after another, until cancelled; count what they end in."""
+    """Send requests to a proxy one after another until cancelled, and count their outcomes."""
     client = _Client(ip, port, host, path)
     while True:
         counts[await client.request()] += 1
@@ -85,21 +85,21 @@
     add_instances: Callable[[str], Sequence[LocalInstance]],
     report: Callable[[str], None],
 ) -> None:
-    """Do what the platform does at rollouts of a service, until cancelled.
+    """Act as the platform in rollouts of a service, until cancelled.
 
-    A rollout begins: start instances of its version. It settles: the old ones end at once. It is
-    reverted: the new ones drain a few seconds later.
+    When a rollout begins, instances of its version are started. When it settles, the old instances
+    are stopped at once. When it is reverted, the new ones drain a few seconds later.
 
     Args:
         service: the service.
         control_addresses: the controllers, as ip:port.
-        old: the instances that serve now.
-        add_instances: makes the instances of a version.
-        report: gets a line on each thing that happens.
+        old: the instances currently in service.
+        add_instances: creates the instances of a version.
+        report: receives a line for each event.
     """
     client = ControlClient(control_addresses, POLL_INTERVAL_S)
     new: list[LocalInstance] = []
-    started, seen = "", ("", "")  # the version started last; state and target seen last
+    started, seen = "", ("", "")  # last version started; last state and target seen
     drains: set[asyncio.Task[None]] = set()
     while True:
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/umbermoor/gateway/local/walkthrough.py
+++ b/umbermoor/gateway/local/walkthrough.py
@@ -1,4 +1,4 @@
-"""What `python -m umbermoor.gateway local` does: a new system, a configuration, a request."""
+"""The command `python -m umbermoor.gateway local`: a new system, a configuration, a request."""
 
 import asyncio
 import contextlib
@@ -26,7 +26,10 @@
 
 
 async def start_system(gateway: LocalGateway) -> list[str]:
-    """Start all nodes and instances, put a configuration and send a request; the chain."""
+    """Start all nodes and instances, put a configuration and send a request.
+
+    Returns the addresses of the chain.
+    """
     gateway.add_nodes()
     for node in gateway.nodes:
         await gateway.start_node(node, cold=True)
@@ -44,7 +47,7 @@
 
 
 async def kill_head(gateway: LocalGateway, head: str) -> None:
-    """Kill the chain's head, show that what was put is still there, and start it again."""
+    """Kill the head of the chain, check that the configuration persists, and restart the node."""
     node = next(node for node in gateway.controllers if node.ip == head)
     process = node.running_process
     send_signal(process, signal.SIGKILL)
@@ -61,7 +64,7 @@
 
 
 async def keep_running(gateway: LocalGateway) -> None:
-    """Tell where everything is, and keep it running with some traffic, until cancelled."""
+    """Report all addresses and keep the gateway running under light traffic until cancelled."""
     for node in gateway.nodes:
         node.restarter = asyncio.create_task(gateway.restart_when_ended(node))
     _report_addresses(gateway)
@@ -132,12 +135,15 @@
 
 
 def _cancel_on_signals() -> list[int]:
-    """Have the first signal cancel this task; what is returned holds it, and stops others."""
+    """Cancel this task on the first signal; return the list that receives its number.
+
+    While the list is not empty, further signals are ignored.
+    """
     task, loop = asyncio.current_task(), asyncio.get_running_loop()
     received: list[int] = []
 
     def interrupt(number: int) -> None:
-        if not received and task:  # a second Ctrl-C does not keep the processes from being ended
+        if not received and task:  # a second Ctrl-C must not interrupt the stop of the processes
             received.append(number)
             task.cancel()
 
@@ -154,5 +160,8 @@
 
 
 def main(stay: bool, head_killed: bool) -> int:
-    """Run it; 0 if all went as it should, or it stayed up until it was told to end; 1 else."""
+    """Run the walkthrough.
+
+    Returns 0 if all steps succeeded, or if the gateway ran until it was interrupted; 1 otherwise.
+    """
     return asyncio.run(_run(stay, head_killed))
