--- a/benchmarks/control_storms.py
+++ b/benchmarks/control_storms.py
@@ -19,7 +19,7 @@
 
 def play(seed: int, members: int, steps: int, broken: str) -> tuple[int, str, Counter[str]]:
     odd = getattr(operators, broken) if broken else operators.Replica
-    how = {"make": odd} if isinstance(odd, type) else {"judge": odd}
+    how = {"replica_class": odd} if isinstance(odd, type) else {"decider": odd}
     try:
         world = operators.storm(seed, members, steps=steps, **how)
     except Exception as error:  # whatever it is, with its seed
