--- a/umbermoor/gateway/simulation/disturbances.py
+++ b/umbermoor/gateway/simulation/disturbances.py
@@ -26,9 +26,8 @@
     def __init__(self, world: "ControlWorld") -> None:
         self._world = world
         self._time = world.time
-        self.controllers_disturbed_at = (
-            NEVER  # disturbances that may cost the controllers their quorum
-        )
+        # Latest disturbance that may cost the controllers their quorum
+        self.controllers_disturbed_at = NEVER
         self.links_disturbed_at = NEVER
         self._controller_disturbed_at = dict.fromkeys(world.controllers, NEVER)
         self._pair_cut_at: dict[frozenset[str], int] = {}
--- a/umbermoor/gateway/simulation/linearizability.py
+++ b/umbermoor/gateway/simulation/linearizability.py
@@ -18,9 +18,8 @@
 UNCHANGED = "same"
 STALE = "older"
 CONFLICT = "clash"
-UNKNOWN = (
-    "unknown"  # no conclusive answer: the put may take effect at any time after it began, or never
-)
+# No conclusive answer: the put may take effect at any time after it began, or never
+UNKNOWN = "unknown"
 
 
 @dataclass(frozen=True)
--- a/umbermoor/gateway/simulation/virtual_disk.py
+++ b/umbermoor/gateway/simulation/virtual_disk.py
@@ -18,7 +18,7 @@
 
 SYNC_TIME = 2 * MILLISECOND
 SLOW_FACTOR = 30  # factor by which syncs take longer on a slow disk
-HANG_RECHECK = 100 * MILLISECOND  # interval at which a write on a hanging disk is retried
+HANG_RECHECK = 100 * MILLISECOND  # interval at which a write on a hanging disk is checked
 CAPACITY = 1 << 30  # bytes
 
 
--- a/umbermoor/gateway/simulation/virtual_transport.py
+++ b/umbermoor/gateway/simulation/virtual_transport.py
@@ -43,9 +43,8 @@
         self._closing = False
         # Writes in flight: deadline of the acknowledgement, and the bytes or None for a FIN
         self._in_flight: deque[tuple[int, bytes | None]] = deque()
-        self._first_delivered = (
-            False  # the first write in flight arrived, without acknowledgement yet
-        )
+        # Whether the first write in flight arrived and is not yet acknowledged
+        self._first_delivered = False
         process.transports[self] = None
 
     # The interface of a transport
