--- a/umbermoor/__main__.py
+++ b/umbermoor/__main__.py
@@ -45,8 +45,10 @@
 
 
 def extra(words: list[str]) -> int:
-    """A sub-command of its own, with its own words. Threat: what serve does not use, in its
-    memory."""
+    """Run a sub-command that parses its own arguments.
+
+    It is imported here only, to keep its modules out of the memory of `serve`.
+    """
     try:
         command = importlib.import_module(EXTRAS[words[0]])
     except ModuleNotFoundError as error:
@@ -82,15 +84,18 @@
             f"{len(station.profiles)} profiles, {station.charter.fronts} fronts, {station.sockets} sockets"
         )
         return 0
-    from umbermoor.front.server.service import serve  # only here: the others need no reactor
+    # imported here, as other commands need no reactor
+    from umbermoor.front.server.service import serve
 
     configure_logging(given["--log"], house.logs.form if house else "pairs")
     return serve(station, read, house)
 
 
 def _house(path: str | None):
-    """Our own settings, if there are any. Threat: their libraries in the memory of a front that has
-    none."""
+    """Read the front's own settings, if a sheet is given.
+
+    Their libraries are imported here only, to save the memory of a front without them.
+    """
     if path is None:
         return None
     try:
--- a/umbermoor/backoff.py
+++ b/umbermoor/backoff.py
@@ -1,8 +1,8 @@
 """Exponential backoff with jitter, after "Exponential Backoff And Jitter" (AWS, 2015). No I/O.
 
-Threat: what fails for one process fails for all (a name service or a platform that goes, a fleet
-started at once). Retries that double from the same first delay then come in step, and who has just
-come back is asked by all together.
+A failure often hits all processes at once (a name service or platform that goes down, a fleet that
+starts together). Without jitter, their retries, doubling from the same first delay, would stay in
+step, and a service that has just recovered would be called by all of them at the same moment.
 """
 
 from collections.abc import Callable
@@ -28,10 +28,10 @@
     _delay: float = field(default=0.0, init=False)
 
     def next_delay(self) -> float:
-        """The delay until the next retry, after one more failure; in the unit of ``initial``."""
+        """Return the delay until the next retry, after another failure (unit of ``initial``)."""
         self._delay = min(self.maximum, 2 * self._delay or self.initial)
         return self._delay * (0.5 + self.random())
 
     def reset(self) -> None:
-        """A try succeeded, or another party is asked from now on: the next delay is the first."""
+        """Start again from the first delay: after a success, or when calling another party."""
         self._delay = 0.0
--- a/umbermoor/front/configuration.py
+++ b/umbermoor/front/configuration.py
@@ -1,5 +1,4 @@
-"""Where a front stands: its configuration, read, checked and given its defaults in this one
-place."""
+"""The front's configuration: reading, validation and defaults."""
 
 import os
 from collections.abc import Iterable, Mapping
@@ -14,7 +13,7 @@
 
 Address = tuple[str, int]
 
-_NUMBERS = {  # the settings that are numbers where they are given
+_NUMBERS = {  # optional settings that must be numbers
     "limits": ("try_limit", "max_retry_after_ms", "connect_timeout_ms", "idle_close_ms"),
     "rules": (
         "stop_sending_within_ms",
@@ -39,11 +38,11 @@
 }
 
 MEMORY_LEAST = 28  # MB, of which the interpreter and its libraries take most
-SOCKETS_LEAST = 40  # with fewer nothing is left for clients and machines
+SOCKETS_LEAST = 40  # fewer leave none for clients and machines
 
 
 class ConfigurationError(Exception):
-    """The configuration cannot be used; the text names the key."""
+    """The configuration is invalid; the text names the key."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,18 +53,23 @@
     platform: Address
     charter: Charter
     sockets: int
-    memory: int  # in bytes
-    profiles: Mapping[str, int]  # the place of each profile's name
+    memory: int  # bytes
+    profiles: Mapping[str, int]  # profile names and their indices
     zones: Mapping[str, int]
     connect_within: int
     idle_close: int
     load_fields: tuple[str, ...]
-    service: str  # how machines call what we stand in front of
-    news: Mapping[str, Any] | None  # the platform's word at the start, in its own form
-    known: Mapping[str, Any] | None  # the list at the start, in discovery's form
+    service: str  # the Host header of requests to machines
+    news: Mapping[str, Any] | None  # the platform's state at the start, in its own format
+    known: Mapping[str, Any] | None  # the list of machines at the start, in discovery's format
 
 
 def read_configuration(environ: Mapping[str, str], path: str | None = None) -> Configuration:
+    """Read the JSON file at `path`, or at LB_CONFIG; other LB_ variables are defaults for its keys.
+
+    Raises:
+        ConfigurationError: The configuration cannot be read or is invalid.
+    """
     path = path or environ.get("LB_CONFIG")
     if not path:
         raise ConfigurationError("LB_CONFIG: not set, and no --config given")
@@ -96,6 +100,11 @@
 
 
 def check_configuration(given: Mapping[str, Any]) -> Configuration:
+    """Validate a configuration and fill in its defaults.
+
+    Raises:
+        ConfigurationError: A key is missing or has an invalid value.
+    """
     settings = _at(given, "settings", dict)
     seed = _at(given, "seed", str, "0")
     try:
@@ -196,6 +205,7 @@
 
 
 def read_address(text: str) -> Address | None:
+    """Parse host:port; return None if it is malformed."""
     host, _, port = text.rpartition(":")
     return (
         (host, int(port))
--- a/umbermoor/front/facade.py
+++ b/umbermoor/front/facade.py
@@ -1,10 +1,9 @@
-"""The decision module in blocking style, for any front: pick, report, tick. It translates and
-decides nothing.
+"""A synchronous interface to the decision module, for any front: pick, report and tick.
 
-pick says where a query goes, that it is denied, abandoned or held. report tells what became of a
-hand-off, or anything else that was heard, and answers what to do next. tick does what time brings;
-the time at which it wants to be called again stands in ``next_tick``. Times are whole microseconds
-of the clock that the host gives.
+It only translates; the decisions are made by `rules.Front`. pick returns where a query goes, or
+that it is denied, abandoned or held. report takes the outcome of a hand-off or any other event, and
+returns what to do next. tick handles what is due by time; ``next_tick`` is when to call it next.
+Times are whole microseconds of the clock that the caller provides.
 """
 
 from collections import deque
@@ -15,11 +14,11 @@
 from umbermoor.front.records import Contrast, Pace
 from umbermoor.front.rules import Front
 
-# What a front is asked to do next.
+# Steps that a front has to execute.
 
 
 class Go(NamedTuple):
-    """Hand the query to this machine, and wait no longer than the limit for its answer."""
+    """Hand the query to this machine; wait for its answer for at most `limit` microseconds."""
 
     query: str
     number: int
@@ -28,7 +27,7 @@
 
 
 class Stop(NamedTuple):
-    """Wait no longer for this hand-off."""
+    """Cancel this hand-off."""
 
     query: str
     number: int
@@ -36,7 +35,7 @@
 
 class Denied(NamedTuple):
     query: str
-    wait: int  # when to come back; 0: no advice
+    wait: int  # microseconds after which the client may retry; 0: unspecified
 
 
 class Abandoned(NamedTuple):
@@ -54,7 +53,7 @@
 
 
 class Watch(NamedTuple):
-    """Ask for the list of machines and its changes."""
+    """Request the list of machines and watch it for changes."""
 
 
 class Probe(NamedTuple):
@@ -74,7 +73,7 @@
 Step = Go | Stop | Denied | Abandoned | Vote | Watch | Probe | Tell | Note
 
 
-# What a front reports.
+# Events that a front reports.
 
 
 class Asked(NamedTuple):
@@ -82,13 +81,15 @@
     profile: int
     key: str | None
     due: int
-    cost: int | None  # a guess at the work, in microseconds
+    cost: int | None  # the client's estimate of the work, in microseconds
     repeated: bool
 
 
 class Connected(NamedTuple):
-    """This hand-off had to wait for its connection. The answer holds it again if it may still be
-    sent."""
+    """The connection for this hand-off is established.
+
+    The answer contains the hand-off again if it may still be sent.
+    """
 
     go: Go
 
@@ -102,7 +103,7 @@
 
 
 class Left(NamedTuple):
-    """The client has gone."""
+    """The client has disconnected."""
 
     query: str
 
@@ -134,7 +135,7 @@
 
 
 class Told(NamedTuple):
-    """A peer's message."""
+    """A message from a peer."""
 
     peer: int
     payload: bytes
@@ -157,8 +158,8 @@
 class DecisionModule:
     def __init__(self, charter: Charter, clock: Callable[[], int]) -> None:
         self._front, self._clock = Front(charter), clock
-        self._steps: deque[Step] = deque()  # decided beside a pick, and not told yet
-        self._numbers: dict[str, int] = {}  # hand-offs so far, of the queries held
+        self._steps: deque[Step] = deque()  # decided during a pick, and not returned yet
+        self._numbers: dict[str, int] = {}  # number of hand-offs so far, by pending query
         self._wake = clock()
 
     @property
@@ -202,7 +203,7 @@
         return self._next()
 
     def forget(self) -> None:
-        """What was seen of the stage is too old to vote on."""
+        """Discard the observations of the current stage, which are too old to vote on."""
         front = self._front
         front.stage, front.past_stages, front.paces = (
             front.stage.next_stage(),
@@ -211,9 +212,13 @@
         )
 
     def remember(self) -> tuple[float, float, float, tuple[float, ...], list[tuple]]:
-        """What is worth keeping over a restart: the fleet's pace, what a machine carried, usual
-        work, and by machine its
-        id, build, start, answer times, work ahead of them, usual silence and failures."""
+        """Return the state to keep over a restart.
+
+        Returns:
+            The fleet's answer time and work, the peak work rate of a machine, the usual work by
+            profile, and by machine its id, build, start, answer time, work, usual gap between
+            answers and failure rate.
+        """
         front = self._front
         return (
             front.took,
@@ -234,8 +239,11 @@
         usual: Sequence[float],
         machines: Sequence[tuple],
     ) -> None:
-        """The same, after a restart. Of machines those are taken that are listed; their times are
-        as of now."""
+        """Restore the state of `remember` after a restart.
+
+        Machines that are not listed with the same build and start are skipped; the others count as
+        updated now.
+        """
         front, now = self._front, self._clock()
         if took > 0 < work and len(usual) == len(front.usual_work):
             front.took, front.work, front.usual_work = took, work, list(usual)
--- a/umbermoor/front/kdl_sheet.py
+++ b/umbermoor/front/kdl_sheet.py
@@ -1,11 +1,9 @@
-"""Sheets: our own documents in KDL, read into typed records. What is wrong is named by file and
-line.
-
-A record is a msgspec Struct. A node's arguments fill the fields that its ``PLACES`` name, in turn;
-its properties and its
-children fill the fields of their names, with ``-`` for ``_``. A child that may stand several times
-has a field that is a
-list or tuple of records. Source of the syntax: the KDL specification, version 1, by kdl-py.
+"""Reads KDL documents ("sheets") into typed records. Errors name the file and line.
+
+A record is a msgspec Struct. A node's arguments fill the fields that its ``PLACES`` name, in order;
+its properties and children fill the fields of the same names, with ``-`` for ``_``. A child that
+may be repeated has a field that is a list or tuple of records. The syntax is the KDL specification,
+version 1, as parsed by kdl-py.
 """
 
 import re
@@ -17,11 +15,11 @@
 import kdl
 import msgspec
 
-MOST = 4 * 1024 * 1024  # bytes of a sheet; what is longer is no sheet of ours
+MOST = 4 * 1024 * 1024  # bytes; larger files are rejected
 
 
 class SheetError(Exception):
-    """A sheet cannot be used. The text is one line: file, line, and what was expected there."""
+    """A sheet is invalid. The text is one line: file, line, and what was expected there."""
 
 
 class Node(NamedTuple):
@@ -36,7 +34,7 @@
     PLACES: ClassVar[tuple[str, ...]] = ()
 
     def fault(self) -> str | None:
-        """What is wrong with it though each field by itself is right."""
+        """Return an error that involves several fields, or None if the record is valid."""
         return None
 
 
@@ -44,7 +42,11 @@
 
 
 def read_sheet(path: str | Path, word: str, kind: type[Some]) -> Some:
-    """The one top node of that name, as a record. Raises SheetError."""
+    """Read a sheet with a single top node of this name.
+
+    Raises:
+        SheetError: The sheet cannot be read or is invalid.
+    """
     try:
         data = Path(path).read_bytes()
     except OSError as error:
@@ -88,7 +90,7 @@
             f"{name}:{line}: expected KDL: {rest.partition('parse error: ')[2].splitlines()[0]}"
         ) from None
     except RecursionError:
-        raise SheetError(f"{name}:1: expected nodes nested less deep") from None
+        raise SheetError(f"{name}:1: expected fewer levels of nested nodes") from None
     return [_node(one, places) for one in found.nodes]
 
 
@@ -103,7 +105,7 @@
 
 
 def _value(value: Any) -> Any:
-    """KDL knows numbers only; a whole one is an int to us."""
+    """Convert whole numbers to int, as KDL does not distinguish integers."""
     return int(value) if isinstance(value, float) and value.is_integer() else value
 
 
@@ -159,7 +161,7 @@
 
 
 def _where(text: str, node: Node) -> tuple[int, str]:
-    """Line and words for what msgspec found."""
+    """Return the line and text for an error of msgspec."""
     what, _, path = text.partition(" - at `$")
     words = re.findall(r"\.(\w+)", path)
     what = what[:1].lower() + what[1:]
@@ -171,7 +173,7 @@
 
 
 def _inner(hint: Any) -> tuple[type[Record] | None, bool]:
-    """The record in a field's type, if it holds any, and whether it may hold several values."""
+    """Return the record type within a field's type, if any, and whether it holds several values."""
     origin = typing.get_origin(hint)
     if origin in (Union, types.UnionType):
         return next(
--- a/umbermoor/front/list_polling.py
+++ b/umbermoor/front/list_polling.py
@@ -1,13 +1,14 @@
-"""When a front asks for the list of machines, for what, and how long it waits. No I/O: time passes
-outside, chance is given.
-
-Where changes are pushed, an agent on the front's own machine answers at once and at no cost: it is
-asked for the whole list first, and again soon after anything that failed. Where they must be asked
-for, one service of a capacity that nobody tells takes the calls of all fronts in turn, and a call
-that was turned away or given up on has cost it as much as one that it answered. Threat: forty
-fronts that each try again within a second keep it from answering any of them, for good. So what a
-fleet would do in one moment is spread over its size there; a front that knows a list asks only for
-what is newer; and a call that waits its turn is not given up on early. Times are whole microseconds.
+"""Scheduling of calls for the list of machines: when, for which version, and with which timeout.
+
+No I/O; the caller provides time and randomness. Times are whole microseconds.
+
+If changes are pushed, an agent on the front's own machine answers immediately and at no cost: the
+full list is requested first, and failed calls are retried soon. If changes must be asked for, one
+service of unknown capacity handles the calls of all fronts in turn, and a call that it rejects or
+that times out costs it as much as an answered one. Forty fronts that each retry within a second
+would keep it from answering any of them permanently. Calls of the fleet are therefore spread over a
+time that grows with its size; a front that has a list requests only newer versions; and a call
+that waits for its turn has a longer timeout.
 """
 
 from collections.abc import Callable
@@ -17,35 +18,32 @@
 from umbermoor.backoff import Backoff
 
 SECOND = 1_000_000
-WAIT = 2 * SECOND  # how long a watch may wait for news; one that breaks off is noticed no sooner
-ANSWER_WITHIN = SECOND  # what is waited for an answer beyond that
-TURN_WITHIN = 4 * SECOND  # the same for a first call that may have to wait its turn
-AGAIN_FIRST, AGAIN_MOST = (
-    SECOND // 20,
-    SECOND,
-)  # until a failed call is made again, doubling, where it costs nothing
-APART = SECOND // 20  # of fronts that ask one service, on average
-SPAN_MOST = 5 * SECOND  # and all of them within this
-LONGER = 8  # times that span: the longest mean pause
-PAUSE_MOST = 16 * SECOND  # and no longer than this
-RENEW_MOST = (
-    3 * SECOND // 2
-)  # a watch that broke off is opened again within this, as it may miss a machine's drain
+WAIT = 2 * SECOND  # how long a watch may wait for changes; a broken watch is not noticed earlier
+ANSWER_WITHIN = SECOND  # timeout of an answer, beyond that
+TURN_WITHIN = 4 * SECOND  # the same for a first call, which may be queued at the service
+# delay before a retry, doubling, if calls cost nothing
+AGAIN_FIRST, AGAIN_MOST = SECOND // 20, SECOND
+APART = SECOND // 20  # average time between the calls of two fronts to one service
+SPAN_MOST = 5 * SECOND  # longest time over which the calls of all fronts are spread
+LONGER = 8  # longest mean pause, as a multiple of that time
+PAUSE_MOST = 16 * SECOND  # upper bound of that mean pause
+# a broken watch is reopened within this, as it may miss a machine's drain
+RENEW_MOST = 3 * SECOND // 2
 
 
 class Call(NamedTuple):
-    after: int | None  # the version that is held; none: the whole list is asked for
-    wait: int  # how long the answer may wait for news
-    limit: int  # how long the answer is waited for
+    after: int | None  # the version that the front has; None requests the full list
+    wait: int  # how long the service may wait for changes
+    limit: int  # timeout of the call
 
 
 @dataclass(slots=True)
 class ListPolling:
     fronts: int
-    asked: bool  # changes must be asked for
+    asked: bool  # changes are not pushed, but must be asked for
     chance: Callable[[], float]
-    version: int | None = None  # of the list that is held
-    _open: bool = field(default=False, init=False)  # the last call was answered: the watch stands
+    version: int | None = None  # of the list that the front has
+    _open: bool = field(default=False, init=False)  # the last call was answered
     _backoff: Backoff = field(init=False)
 
     def __post_init__(self) -> None:
@@ -56,15 +54,18 @@
         self._backoff = Backoff(first, most, self.chance)
 
     def first(self, held: int | None) -> int:
-        """How long until the first call, by a front that was given a list of that version."""
+        """Return the delay before the first call.
+
+        Args:
+            held: The version of the full list that the front already has, if any.
+        """
         if not self.asked:
             return 0
         self.version = held
         return round(self.chance() * self._span())
 
     def moved(self) -> int:
-        """Another party is asked from now on, whose versions may be others: how long until it is
-        called."""
+        """Switch to another service, with its own versions; return the delay before the call."""
         self.version, self._open = None, False
         self._backoff.reset()
         return self._soon()
@@ -75,8 +76,15 @@
         return Call(self.version, wait, wait + turn)
 
     def answered(self, version: int) -> bool:
-        """A list that could be read; False where its version has gone back, after which the whole
-        is asked for. The next call is due at once: what changes in between counts as told."""
+        """Record a valid answer.
+
+        The next call is due immediately, as the front counts as informed of changes made in
+        between.
+
+        Returns:
+            False if the version is older than the one the front has; the next call then requests
+            the full list.
+        """
         if self.version is not None and version < self.version:
             self.version = None
             return False
@@ -85,18 +93,18 @@
         return True
 
     def unread(self) -> None:
-        """An answer that cannot be read: only the whole list tells now."""
+        """Record a malformed answer; the next call requests the full list."""
         self.version = None
 
     def failed(self) -> int:
-        """No list came: how long until the next call."""
+        """Record a failed call; return the delay before the next one."""
         stood, self._open = self._open, False
         return self._soon() if stood and self.asked else round(self._backoff.next_delay())
 
     def _soon(self) -> int:
-        """A watch that stood is opened again, before what it misses counts as told."""
+        """Return the delay before reopening a watch, short as it misses changes meanwhile."""
         return round(self.chance() * min(RENEW_MOST, self._span())) if self.asked else 0
 
     def _span(self) -> int:
-        """The time over which the fleet's calls are spread."""
+        """Return the time over which the fleet's calls are spread."""
         return min(SPAN_MOST, (self.fronts - 1) * APART)
--- a/umbermoor/front/own_settings.py
+++ b/umbermoor/front/own_settings.py
@@ -1,7 +1,7 @@
-"""Our own settings, beside the platform's configuration: a sheet with one top node ``front``. See
-docs/settings.md.
+"""The front's own settings, beside the platform's configuration: a KDL file with one top node
+``front``. See docs/settings.md.
 
-It is read only where ``serve`` is told of one; without it nothing here is imported.
+The file is optional (``serve --sheet``); without it, this module is not imported.
 """
 
 from typing import Annotated, Literal
@@ -24,16 +24,17 @@
 
 
 class Http2(Record, frozen=True, kw_only=True):
-    """Its presence switches HTTP/2 to machines on; those that do not speak it are asked in
-    HTTP/1.1. ``listed``: only those
-    whose entry in the list has "speaks": "h2c". An entry with "http/1.1" is believed in any
-    case."""
+    """Enables HTTP/2 to machines; those that do not speak it are asked over HTTP/1.1.
+
+    With ``machines="listed"``, HTTP/2 is used only for machines whose entry in the list has
+    "speaks": "h2c". An entry with "http/1.1" always disables it for its machine.
+    """
 
     machines: Literal["all", "listed"] = "all"
 
 
 class AdminEndpointAt(Record, frozen=True, kw_only=True):
-    """Where operators ask: 127.0.0.1:PORT or unix:/path. A token file is for TCP."""
+    """Address of the admin endpoint: 127.0.0.1:PORT or unix:/path. TCP requires a token file."""
 
     PLACES = ("where",)
     where: Annotated[str, Meta(pattern=r"^(unix:/.+|127\.\d+\.\d+\.\d+:\d{1,5})$")]
@@ -41,7 +42,7 @@
 
     def fault(self) -> str | None:
         shut = self.where.startswith("unix:") or self.token
-        return None if shut else "expected a token file where the door is on TCP"
+        return None if shut else "expected a token file for an admin endpoint on TCP"
 
 
 class Remember(Record, frozen=True, kw_only=True):
@@ -54,7 +55,7 @@
 
 
 class SrvFrom(Record, frozen=True, kw_only=True):
-    """Machines as a service's SRV records name them."""
+    """Machines from a service's SRV records."""
 
     PLACES = ("name",)
     name: Annotated[str, Meta(min_length=2, max_length=253)]
@@ -64,7 +65,7 @@
 
 
 class FileFrom(Record, frozen=True, kw_only=True):
-    """Machines as a sheet names them, read again when it changes."""
+    """Machines from a KDL file, which is read again when it changes."""
 
     PLACES = ("path",)
     path: Path
@@ -74,16 +75,14 @@
 
 class MembersFrom(Record, frozen=True, kw_only=True):
     rule: Literal["first", "any", "all", "quorum", "split"] = "first"
-    order: tuple[
-        str, ...
-    ] = ()  # of sources; "list" is the platform's. As they stand here, otherwise
+    order: tuple[str, ...] = ()  # of sources; "list" is the platform's. Default: list, srv, file
     quorum: Annotated[int, Meta(ge=1)] = 2
     existence: str = ""
     facts: str = ""
     keep_s: Annotated[float, Meta(ge=1)] = (
-        3600  # how old the last good set of a failing source may be
+        3600  # maximum age of the last valid data of a failing source
     )
-    state: str = ""  # where the last list is kept, if anywhere
+    state: str = ""  # file in which the last list is kept; empty: none
     srv: tuple[SrvFrom, ...] = ()
     file: tuple[FileFrom, ...] = ()
 
@@ -114,7 +113,11 @@
 
 
 def read_own_settings(path: str) -> OwnSettings:
-    """Raises SheetError, which names file and line."""
+    """Read the settings file.
+
+    Raises:
+        SheetError: The file is invalid; the text names the file and line.
+    """
     return read_sheet(path, "front", OwnSettings)
 
 
--- a/umbermoor/front/sealed_files.py
+++ b/umbermoor/front/sealed_files.py
@@ -1,6 +1,7 @@
-"""Small files that outlive a front: sealed with a version and a checksum, replaced in one step. A
-file that is torn, garbled
-or of another program is named, and never used in part."""
+"""Small files that outlive a front's process, with a version and a checksum, replaced atomically.
+
+A file that is truncated, corrupt or of another program is reported and never used in part.
+"""
 
 import os
 import zlib
@@ -22,24 +23,31 @@
 def unsealed(
     magic: bytes, versions: tuple[int, ...], data: bytes
 ) -> tuple[int, bytes] | UnusableFile:
-    """The version and what it holds."""
+    """Return the version and body, or why the data cannot be used."""
     if len(data) < _HEAD.size:
-        return UnusableFile("ends within its head")
+        return UnusableFile("ends within its header")
     found, version, length, checksum = _HEAD.unpack_from(data)
     if found != magic:
-        return UnusableFile("is of another kind")
+        return UnusableFile("is of another file type")
     if version not in versions:
         return UnusableFile(
             f"is of version {version}; this program reads {', '.join(map(str, versions))}"
         )
     body = data[_HEAD.size :]
     if len(body) != length or zlib.crc32(body) != checksum:
-        return UnusableFile("is torn or garbled")
+        return UnusableFile("is truncated or corrupt")
     return version, body
 
 
 def replace_file(path: str, data: bytes) -> int:
-    """Who is killed meanwhile leaves the old file, or the new one. Raises OSError."""
+    """Replace a file atomically: a crash leaves either the old or the new one.
+
+    Returns:
+        The number of bytes written.
+
+    Raises:
+        OSError: The file cannot be written.
+    """
     part = path + ".part"
     with open(part, "wb") as file:
         file.write(data)
@@ -50,7 +58,7 @@
 
 
 def read_file(path: str, most: int = MOST) -> bytes | UnusableFile | None:
-    """None where there is none."""
+    """Return the content, None if the file does not exist, or why it cannot be used."""
     try:
         if os.path.getsize(path) > most:
             return UnusableFile(f"is larger than {most} bytes")
--- a/umbermoor/front/server/__init__.py
+++ b/umbermoor/front/server/__init__.py
@@ -1,1 +1,1 @@
-"""The real front: sockets around the decision module, on Twisted."""
+"""The network layer of the front: Twisted sockets around the decision module."""
--- a/umbermoor/front/server/admin_endpoint.py
+++ b/umbermoor/front/server/admin_endpoint.py
@@ -1,5 +1,7 @@
-"""The operators' door: a listener of its own, on loopback or a Unix socket, that carries what they
-ask; see lifecycle/ways."""
+"""The admin endpoint: a separate listener, on loopback or a Unix socket, for operators' calls.
+
+The calls themselves are in lifecycle/admin_calls.py.
+"""
 
 import logging
 import os
@@ -14,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-OPEN_MOST = 8  # operators at once; one more is closed at once
-SPEAK_WITHIN = 5.0  # seconds for a request, and between two
+OPEN_MOST = 8  # concurrent connections; further ones are closed immediately
+SPEAK_WITHIN = 5.0  # seconds for a request to arrive, and between two requests
 
 
 class Closed(Exception):
-    """The door cannot be opened; the text says why."""
+    """The admin endpoint cannot be opened; the text gives the reason."""
 
 
 class _Visitor(Protocol):
@@ -75,17 +77,21 @@
     def answer(self, request: Request):
         try:
             return self._ways.answer(request)
-        except Exception:  # it stops here: the front goes on
-            log.exception("fault at the door")
+        except Exception:  # a failing admin call must not stop the front
+            log.exception("fault in an admin call")
             return Said(500, b"{}\n")
 
     def listen(self, where: str) -> str:
-        """Where it listens. Raises Closed."""
+        """Listen at this address and return it with the actual port.
+
+        Raises:
+            Closed: The address cannot be used.
+        """
         try:
             if where.startswith("unix:"):
                 path = where.removeprefix("unix:")
                 if os.path.exists(path):
-                    os.unlink(path)  # of an earlier start
+                    os.unlink(path)  # left by an earlier process
                 self._port = self.reactor.listenUNIX(path, self, mode=0o600)
                 return where
             host, _, port = where.rpartition(":")
@@ -102,7 +108,11 @@
 
 
 def read_token(path: str) -> str:
-    """Raises Closed where it cannot be used."""
+    """Return the token in this file.
+
+    Raises:
+        Closed: The file cannot be read, is readable by others, or its token is too short.
+    """
     try:
         mode = os.stat(path).st_mode
         with open(path) as file:
--- a/umbermoor/front/server/capture_writer.py
+++ b/umbermoor/front/server/capture_writer.py
@@ -1,5 +1,5 @@
-"""The front's capture: notes for the recorder, and its file, flushed in time though nothing
-comes."""
+"""Writes the front's capture: passes events to the recorder and flushes its file periodically, also
+when no events arrive."""
 
 from umbermoor.front.capture.files import Segments
 from umbermoor.front.capture.frames import Header
--- a/umbermoor/front/server/clients.py
+++ b/umbermoor/front/server/clients.py
@@ -1,4 +1,4 @@
-"""Connections of clients: queries in, answers out."""
+"""Client connections: receives queries and sends answers."""
 
 import logging
 import re
@@ -24,21 +24,19 @@
 
 log = logging.getLogger(__name__)
 
-_ID = re.compile(r"[!-+\--~]{1,128}")  # no comma: a header that was sent twice holds one
+_ID = re.compile(r"[!-+\--~]{1,128}")  # no comma: a repeated header is joined with one
 _DECIMAL = re.compile(r"[0-9]{1,15}(?:\.[0-9]{0,15})?")
 
-WAY = 2_000  # microseconds that an answer may need to its client
-LONGEST = 3600.0  # seconds; a client that says it waits longer is not believed
-QUEUED = 16  # requests that may stand behind the one in work on a connection
-LINGER = 1.0  # seconds that a client has to close after its last answer
-# seconds from connecting, and then from a request's first byte, until that request is whole
+WAY = 2_000  # microseconds allowed for an answer to reach its client
+LONGEST = 3600.0  # seconds; a larger X-Remaining is rejected
+QUEUED = 16  # requests that may wait behind the current one on a connection
+LINGER = 1.0  # seconds for a client to close its side after its last answer
+# seconds from connecting, or from a request's first byte, until that request is complete
 READ_WITHIN = 2.5
-READ_LEAST = 0.01  # what came by then and waits unread is read within this, in the next turn
-ONCE_PART, ONCE_LEAST = (
-    6,
-    16,
-)  # one in so many of the budget's connections may have asked once and stay, or so many
-STALE = 2 * SECOND  # a connection without an open request may be closed from then on
+READ_LEAST = 0.01  # seconds more to read bytes that had arrived by then, in the next reactor turn
+# idle connections with a single request so far: at most this fraction of the budget, or this many
+ONCE_PART, ONCE_LEAST = 6, 16
+STALE = 2 * SECOND  # idle time after which a connection may be closed in favour of another
 
 
 class Answer(NamedTuple):
@@ -48,7 +46,7 @@
 
 
 class Query(NamedTuple):
-    """What a client asks, and the request as it passes on to a machine."""
+    """A client's query for the decision module, and the request to pass on to a machine."""
 
     asked: Asked
     request: Request
@@ -58,7 +56,7 @@
 
 
 class Keeper(Protocol_):
-    """Says what a front may do in its present state; see lifecycle/keeper.py."""
+    """Decides what the front may do in its lifecycle state; see lifecycle/drain_keeper.py."""
 
     up: bool
     closes: bool
@@ -92,32 +90,39 @@
         self.in_hand: Callable[[], int] = lambda: 0
         self._accepting = True
         budget.freed = self.settle
-        self.once: dict[Client, None] = {}  # idle since their first answer, the longest first
-        self.accept: Callable[[bool], None] = lambda on: None  # whether to accept further ones
-        self.open: dict[Client, None] = {}  # the one that spoke last stands last
+        self.once: dict[Client, None] = {}  # idle since their first answer, longest idle first
+        self.accept: Callable[[bool], None] = lambda on: None  # turns accepting on or off
+        self.open: dict[Client, None] = {}  # in order of last activity, most recent last
 
     def buildProtocol(self, addr) -> "Client":
         return Client(self)
 
     @property
     def crowded(self) -> bool:
-        """Threat: clients that ask once and stay hold what they may open, and then cannot ask at
-        all. Those that ask again are not counted, nor told to close: their next connection would
-        cost more than this one."""
+        """Whether too many connections are idle after a single request.
+
+        Clients that send one request and keep the connection could use up the budget, and then no
+        client could connect. Connections with repeated requests are not counted or closed: opening
+        them anew would cost more than keeping them.
+        """
         return len(self.once) > max(ONCE_LEAST, self.budget.most // ONCE_PART)
 
     def admits(self) -> bool:
-        """Whether a query is taken in the front's present state. One that is not was never
-        begun."""
+        """Whether the front's lifecycle state permits another query.
+
+        A rejected query was never started.
+        """
         return self.keeper is None or self.keeper.admits(self.clock(), self.in_hand())
 
     def close_stale(self) -> bool:
-        """One that has been idle for long. Threat: strangers that stay, at the cost of lines to
-        machines."""
+        """Close a connection that has been idle for at least STALE, if there is one.
+
+        Otherwise idle clients would take descriptors that connections to machines need.
+        """
         return self.close_one(STALE)
 
     def close_one(self, after: int = 0) -> bool:
-        """The connection that has been idle longest, if that is as long as this."""
+        """Close the connection that has been idle longest, if for at least `after` microseconds."""
         since = self.clock() - after
         idle = next(
             (one for one in self.open if one.idle and one.since <= since and not one.unread), None
@@ -127,15 +132,22 @@
         return idle is not None
 
     def settle(self) -> None:
-        """Whether further ones are accepted. Threat: a burst takes the last descriptor, and what is
-        accepted then is closed without an answer. What waits is kept by the kernel."""
+        """Turn accepting on or off, according to the budget.
+
+        A burst of connections could take the last descriptor, and connections accepted then would
+        be closed without an answer. While accepting is off, the kernel queues new connections.
+        """
         accepting = self.budget.over < OVER_MOST and self.budget.room > 0
         if accepting != self._accepting:
             self._accepting = accepting
             self.accept(accepting)
 
     def bound(self, port: Port) -> None:
-        """Threat: a turn of a busy front accepts a hundred at once, whatever was said meanwhile."""
+        """Limit the accepts of each reactor turn to the available descriptors.
+
+        Twisted accepts up to a hundred connections in one turn, even if accepting was turned off
+        meanwhile.
+        """
 
         def turn() -> None:
             port.numberAccepts = max(1, self.budget.room)
@@ -149,8 +161,11 @@
                 client.close()
 
     def drop(self) -> None:
-        """Who has sent no whole request. Threat: an answer that was only just written is lost with
-        its connection; who has been told to close is given its time (LINGER) to take it."""
+        """Abort the connections that have not sent a complete request.
+
+        Connections that are closing are left their time (LINGER) to receive their last answer:
+        aborting them would lose an answer that was just written.
+        """
         for client in list(self.open):
             if not client.closing:
                 client.transport.abortConnection()
@@ -196,11 +211,12 @@
 class Client(Protocol):
     def __init__(self, clients: Clients) -> None:
         self._clients, self._reader = clients, Reader(clients.buffers)
-        self._waiting: deque[tuple[Request | Fault, int]] = deque()  # and when they were whole
+        # with the time at which each was complete
+        self._waiting: deque[tuple[Request | Fault, int]] = deque()
         self._working: Deferred[Answer] | None = None
         self._counted = self._closing = self._full = False
-        self._first = True  # no answer yet
-        self.since = 0  # when it connected, or had its last answer
+        self._first = True  # no answer was sent yet
+        self.since = 0  # time of connecting, or of the last answer
         self._timer = None
 
     @property
@@ -218,11 +234,13 @@
 
     @property
     def unread(self) -> bool:
-        """Whether its next request has come, not read yet. Threat: in a long turn it looks idle,
-        and is closed."""
+        """Whether bytes of the next request wait in the kernel.
+
+        During a long reactor turn such a connection looks idle and would be closed.
+        """
         try:
             return bool(self.transport.getHandle().recv(1, MSG_PEEK | MSG_DONTWAIT))
-        except (AttributeError, OSError):  # nothing there
+        except (AttributeError, OSError):  # nothing to read
             return False
 
     def connectionMade(self) -> None:
@@ -269,7 +287,7 @@
             self._working.cancel()
 
     def pauseProducing(self) -> None:
-        """Threat: a client that asks on and never reads, whose answers pile up."""
+        """Stop answering: a client that never reads its answers must not fill the memory."""
         self._full = True
 
     def resumeProducing(self) -> None:
@@ -280,7 +298,7 @@
             self._work()
 
     def stopProducing(self) -> None:
-        """The transport has gone; connectionLost tells the rest."""
+        """Do nothing: the transport is closed, and connectionLost follows."""
 
     def close(self) -> None:
         self._closing = True
@@ -293,7 +311,7 @@
                 note(log, "bad request", logging.DEBUG, status=read.status, why=read.reason)
                 self._answer(Answer(read.status), False)
                 continue
-            if not self._counted:  # over the budget: nothing is taken
+            if not self._counted:  # over the descriptor budget: no query is taken
                 self._answer(Answer(503, headers={"Retry-After": "1"}), False)
                 continue
             if "expect" in read.headers:
@@ -334,15 +352,18 @@
                 self._clients.close_stale()
         keeper = self._clients.keeper
         going = self._clients.leaving or (keeper is not None and keeper.closes)
-        keep = keep and not going and not 400 <= answer.status < 500  # who errs connects again
+        # after a client error the connection is closed
+        keep = keep and not going and not 400 <= answer.status < 500
         self.since = self._clients.clock()
         self.transport.write(write_response(answer.status, answer.body, keep, answer.headers))
         if not keep:
             self._linger()
 
     def _linger(self) -> None:
-        """Closes once the client has. Threat: closing over unread bytes resets the connection under
-        the answer."""
+        """Close the write side, and the connection once the client has closed it or after LINGER.
+
+        Closing a socket with unread bytes sends a reset, which may destroy the answer.
+        """
         self._closing = True
         self._drop_timer()
         self._reader.drop()
@@ -356,9 +377,8 @@
     def _too_slow(self, looked: bool = False) -> None:
         self._timer = None
         if self._working is None and not self._closing:
-            if (
-                self.unread and not looked
-            ):  # threat: after a long turn its time is up before what came is read
+            # after a long turn the timeout may fire before bytes that arrived in time are read
+            if self.unread and not looked:
                 self._timer = self._clients.reactor.callLater(READ_LEAST, self._too_slow, True)
             elif self._reader.mid_message:
                 self._answer(Answer(408), False)
@@ -372,6 +392,8 @@
 
 
 def _number(text: str) -> float | None:
-    """Threat: what float() takes beside numbers as clients write them (nan, 1_0, digits of other
-    scripts)."""
+    """Return the number in a header, or None if it is not a plain decimal.
+
+    The pattern excludes what float() accepts besides: nan, 1_0, digits of other scripts.
+    """
     return float(text) if _DECIMAL.fullmatch(text) else None
--- a/umbermoor/front/server/connections.py
+++ b/umbermoor/front/server/connections.py
@@ -1,4 +1,4 @@
-"""A connection that we open: one request at a time goes out on it, and an outcome comes back."""
+"""Outgoing HTTP/1.1 connections, with one request at a time and one outcome for each."""
 
 import logging
 from collections.abc import Callable
@@ -23,8 +23,11 @@
 
 @implementer(IPullProducer)
 class Line(Protocol):
-    """It produces its request for the transport, which asks for more once all is written: so that
-    is known."""
+    """An outgoing connection.
+
+    It is a pull producer: the transport asks for more once everything is written, so the
+    connection knows when the last byte of its request is out.
+    """
 
     def __init__(self, buffers: Buffers, piece: Callable[[bytes], None] | None = None) -> None:
         self._reader = Reader(buffers, responses=True, stream_body=piece is not None)
@@ -33,12 +36,12 @@
         self._rest = b""
         self.progress = Progress.UNCONNECTED
         self.open = False
-        self.idle_since = 0  # while it is kept
+        self.idle_since = 0  # while it is kept for reuse
         self.on_close: Callable[[], None] = lambda: None
 
     @property
     def clean(self) -> bool:
-        """Fit for another request."""
+        """Whether another request may be sent on it."""
         return self.open and self._answer is None and not self._reader.mid_message
 
     def connectionMade(self) -> None:
@@ -63,10 +66,10 @@
             self.progress = Progress.WHOLE
 
     def stopProducing(self) -> None:
-        """The transport has gone; connectionLost tells the rest."""
+        """Do nothing: the transport is closed, and connectionLost follows."""
 
     def dataReceived(self, data: bytes) -> None:
-        if self._answer is None:  # unasked for
+        if self._answer is None:  # data without a request
             self.close()
             return
         early = self.progress < Progress.WHOLE
@@ -81,17 +84,16 @@
         if early or isinstance(read, Fault):
             self.give_up(Cause.GARBLED)
             return
-        # Threat: what comes behind an answer taken for that to the next request, which goes out
-        # while this one settles.
+        # Bytes after a response must not be taken for the response to the next request, which may
+        # be sent while this one settles.
         if behind or self._reader.mid_message or not read.keep_alive:
             self.close()
         self._settle(read)
 
     def connectionLost(self, reason: Failure) -> None:
         self.open = False
-        last = (
-            self._reader.end() if reason.check(ConnectionDone) else None
-        )  # threat: a reset taken for a body's end
+        # only a clean close may end a body; a reset may not
+        last = self._reader.end() if reason.check(ConnectionDone) else None
         self._reader.drop()
         if self._answer is not None:
             whole = (
@@ -101,7 +103,7 @@
         self.on_close()
 
     def give_up(self, cause: Cause) -> None:
-        """Closes, so that nothing more is sent; the answer tells how far it had come."""
+        """Close the connection, so that nothing more is sent, and report the progress so far."""
         self.close()
         self._settle(Failed(self.progress, cause))
 
@@ -117,16 +119,14 @@
 
 
 class Attempt:
-    """One request, on a line that is there or on a new one; its outcome comes in time, however it
-    ends."""
+    """One request on an existing or a new connection; its outcome arrives within its time limit."""
 
     def __init__(self, reactor, data: bytes, limit: int) -> None:
         self._reactor, self._data = reactor, data
         self._connecting: Deferred | None = None
         self.line: Line | None = None
-        self.outcome: Deferred[Outcome] = Deferred(
-            lambda _: self._end(Cause.STOPPED)
-        )  # to stop it: cancel
+        # cancelling it stops the request
+        self.outcome: Deferred[Outcome] = Deferred(lambda _: self._end(Cause.STOPPED))
         self._timer = reactor.callLater(max(0, limit) / SECOND, self._end, Cause.LATE)
 
     def on(self, line: Line) -> None:
@@ -141,8 +141,10 @@
         may_go: Callable[[], bool] = lambda: True,
         lost: Callable[[], None] = lambda: None,
     ) -> None:
-        """May it still go, once the connection is there? Lost is called once there is none, or no
-        longer one."""
+        """Connect and send the request, if `may_go` still permits it once connected.
+
+        `lost` is called once, when connecting fails or the connection is lost.
+        """
         factory = Factory.forProtocol(line)
         factory.noisy = False
 
--- a/umbermoor/front/server/descriptor_budget.py
+++ b/umbermoor/front/server/descriptor_budget.py
@@ -1,21 +1,23 @@
-"""The open sockets that clients and machines share."""
+"""The budget of open sockets that clients and machines share."""
 
 from collections.abc import Callable
 
-# descriptors for the control addresses, the listener, the log, the reactor itself, and for clients
+# descriptors for control connections, the listener, the log, the reactor itself, and clients beyond
+# the budget
 RESERVE = 32
-OVER_MOST = 6  # beyond the budget, who are only told to come back
-# taken for others that were told to close, which hold their descriptors until the turn has ended
+OVER_MOST = 6  # clients beyond the budget, which only get a 503 with Retry-After
+# taken in place of connections that are closing: these hold their descriptors until the end of the
+# reactor turn
 CLOSING_MOST = 6
 
 
 class Budget:
     def __init__(self, sockets: int) -> None:
         self.used = self.peak = 0
-        self.over = 0  # clients beyond it
+        self.over = 0  # clients beyond the budget
         self.freed: Callable[[], None] = lambda: None
         self.resize(sockets)
-        # each closes one idle connection, if it has any; the first is asked first
+        # each closes one idle connection, if it has any; tried in this order
         self.spare: list[Callable[[], bool]] = []
 
     def resize(self, sockets: int) -> None:
@@ -23,11 +25,18 @@
 
     @property
     def room(self) -> int:
-        """Descriptors that may still be opened now, whoever is to have them."""
+        """The number of descriptors that may still be opened now, by clients or machines."""
         return self.most + CLOSING_MOST + OVER_MOST - self.used - self.over
 
     def take(self) -> bool:
-        """Threat: in one turn many give way to others, and all of them are open until it ends."""
+        """Count one more socket, closing an idle one if the budget is used up.
+
+        Sockets that are closed stay open until the end of the reactor turn, so at most CLOSING_MOST
+        are replaced within one turn; without that bound, the process could run out of descriptors.
+
+        Returns:
+            Whether the socket may be opened.
+        """
         if self.used >= self.most + CLOSING_MOST or (
             self.used >= self.most and not any(close() for close in self.spare)
         ):
--- a/umbermoor/front/server/discovery.py
+++ b/umbermoor/front/server/discovery.py
@@ -1,4 +1,4 @@
-"""The list of machines: one whole answer first, then a watch that asks again at once."""
+"""Discovery of machines: fetches the full list, then watches for changes by long polling."""
 
 import logging
 from collections import Counter
@@ -34,12 +34,18 @@
     addresses: dict[str, Address]
     speaks: dict[
         str, str
-    ] = {}  # what a machine's entry says that it speaks: h2c, or http/1.1; where it says so
+    ] = {}  # by machine, the protocol that its entry states, if any: h2c or http/1.1
 
 
 def read_list(given: Any, zones: Mapping[str, int]) -> News | None:
-    """A list in discovery's form; none where it cannot be read. An entry that cannot be read says
-    nothing, not even that a machine which the whole list lacks is gone."""
+    """Parse a list in discovery's format.
+
+    A malformed entry is skipped and the list then counts as partial, so that a machine missing from
+    it is not taken for removed.
+
+    Returns:
+        The list, or None if it is malformed.
+    """
     if (
         not isinstance(given, dict)
         or not isinstance(given.get("hosts"), list)
@@ -106,15 +112,20 @@
         self.counts: Counter[str] = Counter()
 
     def start(self, held: int | None = None) -> None:
-        """The watch goes on from here for good, by a front that was given a list of that version; a
-        further call changes nothing."""
+        """Start polling; further calls have no effect.
+
+        Args:
+            held: The version of the full list that the front already has, if any.
+        """
         if not self._started:
             self._started = True
             self._ask_in(self._watching.first(held))
 
     def move(self, address: Address) -> None:
-        """The list is asked for at another address from now on, whole at first: its numbers may be
-        others."""
+        """Poll another address from now on.
+
+        The full list is requested first, as the other service may number its versions differently.
+        """
         self._address = address
         pause = self._watching.moved()
         if self._asking is not None:
@@ -160,7 +171,9 @@
 
     def _answered(self, outcome: Outcome, attempt: Attempt, address: Address) -> None:
         self._asking, self._line = None, attempt.line
-        if self._stopped or address != self._address:  # threat: an old list taken for the new one's
+        if (
+            self._stopped or address != self._address
+        ):  # a list of the old address must not be taken for one of the new
             if self._line is not None:
                 self._line.close()
             return
@@ -171,7 +184,7 @@
                 self._line.close()
             self._ask_in(self._watching.failed())
             return
-        self._ask()  # at once: what changes in between counts as told
+        self._ask()  # immediately: the front counts as informed of changes made in between
         self._told(Listing.FULL if news.whole else Listing.CHANGES, news)
 
     def _read(self, outcome: Outcome) -> News | None:
--- a/umbermoor/front/server/exchange.py
+++ b/umbermoor/front/server/exchange.py
@@ -1,5 +1,4 @@
-"""Between the facade and the connections: carries out what the module says, and reports what became
-of it."""
+"""Executes the decision module's steps on the network and reports their outcomes to it."""
 
 import logging
 from collections import Counter, deque
@@ -42,23 +41,25 @@
 
 log = logging.getLogger(__name__)
 
-LOST_EVERY = SECOND  # between two lines in the log on the same machine
+LOST_EVERY = SECOND  # minimum time between two log lines about the same machine
 
 
 class _Held(NamedTuple):
-    """A query that waits for its answer."""
+    """A query that has not been answered yet."""
 
     query: Query
     answer: "Deferred[Answer]"
 
 
 class Keeper(Protocol):
-    """Says what a front may do in its present state; see lifecycle/keeper.py."""
+    """Decides what the front may do in its lifecycle state; see lifecycle/drain_keeper.py."""
 
     votes: bool
 
 
 class Witness(Protocol):
+    """Receives every query, hand-off and outcome, e.g. for captures and metrics."""
+
     def listed(self, whole: bool, entries: list[Entry]) -> None: ...
     def asked(self, asked: Asked) -> None: ...
     def handed(self, query: str, machine: str) -> None: ...
@@ -78,22 +79,20 @@
         self._reactor, self._clock, self._desk, self._machines = reactor, clock, desk, machines
         self._load_fields = load_fields
         self.platform: Platform | None = None
-        self.witness: Witness | None = (
-            None  # who notes what is asked and how it ends, if anybody does
-        )
+        self.witness: Witness | None = None  # notified of queries and their outcomes, if set
         self.watch: Callable[[], None] = lambda: None
         self.keeper: Keeper | None = None
         self.held: dict[str, _Held] = {}
-        self.counts: Counter[str] = Counter()  # since the last line in the log
+        self.counts: Counter[str] = Counter()  # since the last "counts" line in the log
         self._giving_up = ""
-        self._ran: set[str] = set()  # queries held of which a hand-off may have run, and has ended
-        self._out: dict[tuple[str, int], Deferred] = {}  # hand-offs, by query and number
+        self._ran: set[str] = set()  # pending queries with an ended hand-off that may have run
+        self._out: dict[tuple[str, int], Deferred] = {}  # hand-offs in flight, by query and number
         self._steps: deque[Step] = deque()
         self._following = False
         self._timer = None
         self._timer_at = 0
         self._stage: tuple | None = None
-        self._lost: dict[str, int] = {}  # when the log last had a machine's trouble
+        self._lost: dict[str, int] = {}  # by machine, when its last loss was logged
         self._do: dict[type, Callable] = {
             Go: self._go,
             Stop: self._stop,
@@ -103,11 +102,11 @@
             Watch: lambda _: self.watch(),
             Probe: self._probe,
             Held: lambda _: None,
-            Tell: lambda _: None,  # no page says how fronts would reach each other
+            Tell: lambda _: None,  # the interface documents no way for fronts to reach each other
             Note: lambda step: note(log, step.text),
         }
 
-    # From clients.
+    # Queries from clients.
 
     def ask(self, query: Query) -> "Deferred[Answer]":
         id = query.asked.query
@@ -135,11 +134,14 @@
             self.report(Left(id))
 
     def give_up_all(self) -> None:
-        """Answers at once all that is in hand; nothing of it goes on elsewhere. Denied only where a
-        retry is harmless."""
+        """Answer all pending queries at once and cancel their hand-offs.
+
+        The answer is 503 only where a retry is harmless: for a GET, or if no hand-off may have run.
+        Otherwise it is 502.
+        """
         for id in list(self.held):
             held, self._giving_up = self.held.pop(id), id
-            self.report(Left(id))  # the module hands it off no more
+            self.report(Left(id))  # the decision module makes no more hand-offs for it
             for key in [key for key in self._out if key[0] == id]:
                 self._out[key].cancel()
             harmless = held.query.request.method == "GET" or id not in self._ran
@@ -162,17 +164,16 @@
 
     @property
     def stage(self) -> tuple | None:
-        """Build, stage, phase and cap as last told."""
+        """Build, stage, phase and cap of the platform's latest message."""
         return self._stage
 
     def _give_up(self, id: str) -> None:
-        """After a fault of ours: nothing more for this query, whose client is told that it
-        failed."""
+        """Answer 500 after an internal fault and cancel the query's hand-offs."""
         self._answer(id, Answer(500))
         for key in [key for key in self._out if key[0] == id]:
             self._out[key].cancel()
 
-    # From elsewhere.
+    # Reports from other sources.
 
     def report(self, heard: Heard) -> None:
         self._follow(self._desk.report(heard))
@@ -205,7 +206,7 @@
         self.report(Listed(kind, news.entries))
 
     def told(self, news: Heard) -> None:
-        """What the platform tells unasked."""
+        """Report a message that the platform sent unasked."""
         if isinstance(news, News):
             self._note_stage(news)
         elif isinstance(news, Complaint):
@@ -231,7 +232,7 @@
                 cap=news.cap,
             )
 
-    # What is to be done.
+    # Execution of the decision module's steps.
 
     def _follow(self, steps: list[Step]) -> None:
         self._steps.extend(steps)
@@ -243,7 +244,7 @@
                 step = self._steps.popleft()
                 try:
                     self._do[type(step)](step)
-                except Exception:  # it stops here: other queries' steps go on
+                except Exception:  # a fault must not stop the steps of other queries
                     log.exception("fault in a step")
                     self._give_up(getattr(step, "query", ""))
         finally:
@@ -273,7 +274,7 @@
 
     def _go(self, step: Go) -> None:
         held = self.held.get(step.query)
-        if held is None:  # its client has left
+        if held is None:  # its client has disconnected
             self.report(Ended(step.query, step.number, step.machine, Ending.MOOT, 0))
             return
         request, sent, key = held.query.request, self._clock(), (step.query, step.number)
@@ -315,9 +316,8 @@
 
     def _note_loss(self, machine: str, how: Ending) -> None:
         if self._clock() > self._lost.get(machine, 0) + LOST_EVERY:
-            since = (
-                self._clock() - LOST_EVERY
-            )  # threat: a record of every machine that there ever was
+            # drop old entries, or every machine that ever existed would stay recorded
+            since = self._clock() - LOST_EVERY
             self._lost = {one: at for one, at in self._lost.items() if at > since} | {
                 machine: self._clock()
             }
@@ -347,7 +347,7 @@
 
     def _vote(self, step: Vote) -> None:
         if self.keeper is not None and not self.keeper.votes:
-            return  # the module asks again once it has waited for the answer
+            return  # the decision module asks again after its vote timeout
         self.counts["votes"] += 1
         note(log, "vote", build=step.build, stage=step.stage, verdict=step.verdict.name.lower())
         self.platform.vote(step).addCallback(self._voted).addErrback(
--- a/umbermoor/front/server/formats.py
+++ b/umbermoor/front/server/formats.py
@@ -1,5 +1,7 @@
-"""The platform's formats: forms, XML and event streams. What cannot be read is None, or passed
-over."""
+"""The platform's formats: forms, XML and event streams.
+
+Malformed input yields None or is skipped.
+"""
 
 import re
 from collections.abc import Mapping
@@ -10,7 +12,7 @@
 _SPECIAL = re.compile(r"[^A-Za-z0-9._~-]+")
 _ESCAPES = re.compile(r"(?:%[0-9A-Fa-f]{2})+")
 _NAMED = {"lt": "<", "gt": ">", "amp": "&", "quot": '"', "apos": "'"}
-LINE_MOST = 64 * 1024  # of an event; what is longer is passed over
+LINE_MOST = 64 * 1024  # bytes of a line of an event stream; longer lines are dropped
 
 
 class Element(NamedTuple):
@@ -19,7 +21,7 @@
     inner: "list[Element]"
 
     def find(self, name: str) -> "Element | None":
-        """The first of that name, in depth."""
+        """Return the first descendant of this name, depth first."""
         for one in self.inner:
             if one.name == name:
                 return one
@@ -47,7 +49,7 @@
 
 
 def _unescaped(text: str) -> str:
-    """What only looks like an escape stands for itself."""
+    """Decode percent escapes; text that only resembles an escape is kept as it is."""
     return _ESCAPES.sub(
         lambda run: bytes.fromhex(run[0].replace("%", "")).decode("utf-8", "replace"),
         text.replace("+", " "),
@@ -55,7 +57,11 @@
 
 
 def read_xml(data: bytes) -> Element | None:
-    """Elements and text; attributes, comments and instructions are passed over."""
+    """Parse elements and text; attributes, comments and processing instructions are ignored.
+
+    Returns:
+        The root element, or None if the document is malformed.
+    """
     try:
         text = data.decode()
     except UnicodeDecodeError:
@@ -95,16 +101,15 @@
 
 
 class EventStream:
-    """Cuts events out of the pieces of a stream."""
+    """Splits a byte stream, received in pieces, into events (server-sent events)."""
 
     def __init__(self) -> None:
         self._rest, self._kind, self._data = b"", "", []
 
     def feed(self, piece: bytes) -> list[Event]:
         events = []
-        *lines, self._rest = re.split(
-            rb"\r\n|\n|\r(?!\Z)", self._rest + piece
-        )  # a last \r may be half of \r\n
+        # a \r at the end may be the first half of \r\n
+        *lines, self._rest = re.split(rb"\r\n|\n|\r(?!\Z)", self._rest + piece)
         if len(self._rest) > LINE_MOST:
             self._rest = b""
         for line in lines:
--- a/umbermoor/front/server/machines.py
+++ b/umbermoor/front/server/machines.py
@@ -1,4 +1,4 @@
-"""Connections to machines: kept, the one used last first, with one hand-off at a time on each."""
+"""Kept-alive connections to machines: last in, first out, with one hand-off at a time on each."""
 
 from collections import Counter
 from collections.abc import Callable, Mapping
@@ -14,9 +14,7 @@
 from umbermoor.http1.reader import Response
 from umbermoor.http1.writer import write_request
 
-IDLE_SAFE = (
-    2 * SECOND
-)  # a connection is not used again this close to the machine's own limit on idle ones
+IDLE_SAFE = 2 * SECOND  # connections are not reused this close to the machine's own idle timeout
 PROBE_LIMIT = SECOND // 4
 
 
@@ -28,7 +26,7 @@
 
 
 class Carrier(Protocol):
-    """Another way to machines than a line for each hand-off; see streams.py."""
+    """An alternative to one connection for each hand-off; see streams.py."""
 
     def listed(
         self, machine: str, address: tuple[str, int] | None, ready: bool, speaks: str
@@ -81,7 +79,7 @@
         places: Mapping[str, tuple[tuple[str, int], bool] | None],
         speaks: Mapping[str, str] = {},
     ) -> None:
-        """Where machines listen and whether they are ready; none: gone."""
+        """Apply a list: the address and readiness of each machine, or None for a removed one."""
         gone = [id for id in self._places if id not in places] if whole else []
         if self.carrier is not None:
             for id in gone:
@@ -98,9 +96,8 @@
             place = self._places.get(id)
             if place and (place.address != address or not ready):
                 self._hang_up(place)
-            if (
-                place is None or place.address != address
-            ):  # threat: the old place's line kept as one to it
+            # connections to the old address must not be kept for the new one
+            if place is None or place.address != address:
                 self._places[id] = place = _Place(address)
             place.ready = ready
 
@@ -114,7 +111,10 @@
         limit: int,
         may_go: Callable[[], bool],
     ) -> "Deferred[Outcome]":
-        """Cancel the result to call it off; the outcome then comes all the same."""
+        """Send a request to a machine.
+
+        Cancelling the result stops the request; the outcome is still delivered.
+        """
         place = self._places.get(machine)
         if self.carrier is not None and place is not None and self.carrier.speaks(machine):
             until = self._clock() + limit
@@ -143,7 +143,7 @@
         limit: int,
         may_go: Callable[[], bool],
     ) -> "Deferred[Outcome]":
-        """In HTTP/1.1, on a line of its own."""
+        """Send the request over HTTP/1.1, on a connection of its own."""
         place = self._places.get(machine)
         attempt = Attempt(
             self._reactor, write_request(method, target, self._host, headers, body), limit
@@ -209,7 +209,11 @@
         place.idle.clear()
 
     def close_one(self) -> bool:
-        """The one that has stood idle longest; those that have closed meanwhile are passed over."""
+        """Close the connection that has been idle longest, ignoring those already closed.
+
+        Returns:
+            Whether there was one.
+        """
         for place in self._places.values():
             place.idle = [line for line in place.idle if line.open]
         places = [place for place in self._places.values() if place.idle]
--- a/umbermoor/front/server/members.py
+++ b/umbermoor/front/server/members.py
@@ -1,5 +1,7 @@
-"""Sources of membership on sockets: DNS over UDP and TCP, a file that is watched, and the list; one
-conclusion for the front."""
+"""Sources of membership: DNS over UDP and TCP, a watched file, and the platform's list.
+
+Their data is combined into one list of machines for the front.
+"""
 
 import logging
 import os
@@ -27,14 +29,17 @@
 log = logging.getLogger(__name__)
 
 LIST = "list"
-FILE_EVERY = 0.5  # seconds between two looks at a file
+FILE_EVERY = 0.5  # seconds between two checks of a file
 SAVE_EVERY = 2.0
 ANSWER_MOST = 65_535
 
 
 class _Datagram(DatagramProtocol):
-    """A port of its own for one question. Threat: answers by who only guesses; what comes from
-    elsewhere is passed over."""
+    """A DNS query over UDP from a port of its own.
+
+    The socket is connected to the server, so datagrams from other addresses are ignored; a random
+    port makes spoofed answers harder to guess.
+    """
 
     def __init__(
         self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
@@ -54,7 +59,7 @@
 
 
 class _Stream(Protocol):
-    """The same over TCP: two bytes of length, then the message (RFC 7766)."""
+    """A DNS query over TCP: two bytes of length, then the message (RFC 7766)."""
 
     def __init__(
         self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
@@ -173,7 +178,11 @@
 
 
 def read_members(path: str) -> list[Seen]:
-    """Raises SheetError."""
+    """Read the machines from a file.
+
+    Raises:
+        SheetError: The file cannot be used.
+    """
     return [
         Seen(
             one.name,
@@ -186,7 +195,7 @@
 
 
 class Membership:
-    """Stands between the sources and the exchange."""
+    """Combines the membership sources and passes changes on to the exchange."""
 
     def __init__(
         self, reactor, clock, given: MembersFrom, told: Callable[[Listing, News], None]
@@ -310,14 +319,14 @@
             book.failed(now, name, str(error))
         self._conclude()
 
-    # What comes of them.
+    # Combined result.
 
     def _conclude(self) -> None:
         found = self.concluder.conclude(self._clock())
         if found.stands or (found.members == self._members and not self._first):
             return
         kind, entries = difference(self._members, found.members)
-        if self._first:  # what the front was started with is replaced whole
+        if self._first:  # replaces the list that the front started with
             kind, entries = Listing.FULL, [entry_of(one) for one in found.members.values()]
         self._members, self._first = found.members, False
         if entries or kind is Listing.FULL:
--- a/umbermoor/front/server/operations.py
+++ b/umbermoor/front/server/operations.py
@@ -1,5 +1,4 @@
-"""The operators' side of a front: its keeper and its door, what it remembers, and its background
-work, wired to the sockets."""
+"""Operation of a front: drain state, admin endpoint, snapshots, metrics and background work."""
 
 import logging
 import time
@@ -28,7 +27,7 @@
 
 log = logging.getLogger(__name__)
 
-PRESSED = 0.8  # of the room for queries: background work waits from there on
+PRESSED = 0.8  # of the query capacity; above it, background work waits
 STATUSES = {0: "left", 200: "done", 429: "denied", 503: "denied", 502: "abandoned"}
 
 
@@ -38,7 +37,7 @@
 
 
 class Operations:
-    """It is a witness of the exchange, too: it counts."""
+    """Runs the front's operations, and counts queries as a witness of the exchange."""
 
     def __init__(
         self,
@@ -56,10 +55,10 @@
         self._room = max(8, (station.sockets - 32) // 3)
         self.keeper = exchange.keeper = clients.keeper = DrainKeeper(clock(), self._room)
         self._names = sorted(station.profiles, key=station.profiles.__getitem__)
-        self._open: dict[str, tuple[int, int, int]] = {}  # query: profile, came, due
+        self._open: dict[str, tuple[int, int, int]] = {}  # query: profile, arrival time, due time
         self._counts: Counter[tuple[str, str]] = Counter()
         self._listed: dict[str, tuple[int, int]] = {}
-        self.members = None  # the sources of membership, if there are several
+        self.members = None  # the membership sources, if configured
         self._timer = self._work_timer = None
         self._scheduler = Scheduler(
             clock,
@@ -114,7 +113,7 @@
             for _ in self._snapshot():
                 pass
 
-    # What operators ask.
+    # Admin calls.
 
     def drain(self, within: int | None) -> str:
         said = self.keeper.drain(self._clock(), within)
@@ -226,7 +225,7 @@
         ]
         return metrics_text(rows)
 
-    # A witness.
+    # Notifications from the exchange.
 
     def listed(self, whole: bool, entries: list[Entry]) -> None:
         if whole:
@@ -241,19 +240,19 @@
         self._open[asked.query] = asked.profile, self._clock(), asked.due
 
     def handed(self, query: str, machine: str) -> None:
-        """Counted when it ends."""
+        """Do nothing: a query is counted when it is closed."""
 
     def ended(self, query: str, machine: str, ending: Ending, took: int) -> None:
-        """The exchange tells the module; nothing is kept of it here."""
+        """Do nothing: outcomes of hand-offs are not counted here."""
 
     def closed(self, query: str, status: int) -> None:
         if (one := self._open.pop(query, None)) is not None:
             self._counts[self._names[one[0]], STATUSES.get(status, "failed")] += 1
 
-    # Time.
+    # Timers.
 
     def _look(self) -> None:
-        """What the keeper wants done; again when it says."""
+        """Execute what the drain keeper has due, and schedule its next check."""
         now = self._clock()
         for due in self.keeper.tick(now, len(self._exchange.held)):
             if due is Due.CLOSE_IDLE:
@@ -278,7 +277,7 @@
         wait = 1.0 if at is None else max(0.005, min(1.0, (at - self._clock()) / SECOND))
         self._work_timer = self._reactor.callLater(wait, self._work)
 
-    # Memory.
+    # Snapshots.
 
     def _fleet(self) -> str:
         return blake2b(
--- a/umbermoor/front/server/outcomes.py
+++ b/umbermoor/front/server/outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt to talk to somebody ended, as values that say how far it had come."""
+"""How a request to another party ended, and how far it had progressed."""
 
 from enum import Enum, IntEnum, auto
 from typing import NamedTuple
@@ -16,13 +16,13 @@
 
 class Cause(Enum):
     REFUSED = auto()  # no connection
-    BROKEN = auto()  # the connection broke or ended
-    GARBLED = auto()  # what came cannot be read, or came too soon
-    LATE = auto()  # our own time-out
-    STOPPED = auto()  # called off
-    WITHDRAWN = auto()  # could have been sent, but might no longer be
-    TURNED_AWAY = auto()  # the machine says that it never ran, as it would not take it
-    UNRUN = auto()  # the machine says that it never ran, as its connection ends
+    BROKEN = auto()  # the connection was reset or closed
+    GARBLED = auto()  # the response is malformed, or came before the request was written
+    LATE = auto()  # our own timeout
+    STOPPED = auto()  # cancelled by the front
+    WITHDRAWN = auto()  # connected, but the hand-off was no longer permitted
+    TURNED_AWAY = auto()  # the machine reports that it rejected the request before running it
+    UNRUN = auto()  # the machine reports that the request never ran: it is closing the connection
 
 
 class Failed(NamedTuple):
@@ -49,8 +49,8 @@
     Cause.UNRUN: Ending.MOOT,
 }
 
-# Threat: calling a hand-off that may have run one that never did. Once the last byte is written it
-# may have.
+# A hand-off that may have run must never be reported as one that did not. Once its last byte is
+# written, it may have run.
 ENDINGS: dict[Failed, Ending] = {
     Failed(progress, cause): (_AFTER if progress >= Progress.WHOLE else _BEFORE)[cause]
     for progress in Progress
@@ -59,14 +59,14 @@
 
 
 def shown(outcome: Outcome) -> str:
-    """For the log."""
+    """Return the outcome as text for the log."""
     if isinstance(outcome, Failed):
         return f"{outcome.progress.name.lower()}/{outcome.cause.name.lower()}"
     return f"{outcome.status} {outcome.body[:80]!r}"
 
 
 def ending(outcome: Outcome) -> Ending:
-    """Of a hand-off to a machine."""
+    """Return how a hand-off to a machine ended."""
     if isinstance(outcome, Failed):
         return ENDINGS[outcome]
     if outcome.status == 200:
--- a/umbermoor/front/server/platform.py
+++ b/umbermoor/front/server/platform.py
@@ -1,4 +1,4 @@
-"""The release platform: votes out, and the stream of what it tells unasked."""
+"""The release platform: sends votes, and reads the stream of messages that the platform sends."""
 
 import logging
 from collections import Counter
@@ -22,8 +22,8 @@
 
 log = logging.getLogger(__name__)
 
-SILENT = 3.5  # seconds without a sign of life until a second stream is opened beside the first
-AGAIN_FIRST, AGAIN_MOST = 0.1, 1.0  # seconds until a lost stream is opened again, doubling
+SILENT = 3.5  # seconds without data until a second stream is opened beside the first
+AGAIN_FIRST, AGAIN_MOST = 0.1, 1.0  # seconds until a lost stream is reopened, doubling
 CONNECT_WITHIN = 2 * SECOND
 FOR_EVER = 366 * 86400 * SECOND
 
@@ -55,7 +55,7 @@
 
 
 def read_stage(values: Mapping[str, Any], answers_vote: bool = False) -> News | None:
-    """The newest build's state, as any of the platform's forms gives it."""
+    """Parse the newest build's state from any of the platform's formats; None if malformed."""
     try:
         return News(
             int(_number(values, "Revision")),
@@ -96,7 +96,11 @@
 
 
 def read_vote(outcome: Outcome) -> News:
-    """What became of a vote. Threat: one that may have counted taken for one that did not."""
+    """Return the result of a vote.
+
+    A vote that may have been counted must not be reported as one that was not: when in doubt, the
+    ending is TIMEOUT.
+    """
     ending = Ending.TIMEOUT
     if isinstance(outcome, Failed):
         ending = Ending.ERROR if outcome.progress < Progress.WHOLE else Ending.TIMEOUT
@@ -128,7 +132,7 @@
             vote_wait,
         )
         self._profiles, self._told = profiles, told
-        self._streams: list[_Stream] = []  # one; two while the older is silent
+        self._streams: list[_Stream] = []  # usually one; two while the older one is silent
         self._backoff = Backoff(AGAIN_FIRST, AGAIN_MOST, chance)
         self._stopped = False
         self.counts: Counter[str] = Counter()
@@ -155,8 +159,11 @@
             self._streams.append(_Stream(self))
 
     def move(self, address: Address) -> None:
-        """Votes go to another address from now on. The stream there takes over once it speaks;
-        until then, or until it is closed, the one that stands may tell more."""
+        """Use another address from now on.
+
+        Votes go there immediately. The existing stream is read until the new one delivers data or
+        the existing one closes.
+        """
         self._address = address
         self._backoff.reset()
         self._keep(*self._streams[:1])
@@ -179,7 +186,9 @@
 
     def heard(self, stream: "_Stream", events: list[Event]) -> None:
         self._backoff.reset()
-        if stream.address == self._address:  # else the one that is to take over goes on connecting
+        if (
+            stream.address == self._address
+        ):  # otherwise the new stream, to the current address, keeps connecting
             self._keep(stream)
         for event in events:
             news = read_event(event, self._profiles)
@@ -189,8 +198,11 @@
                 self._told(news)
 
     def silent(self) -> None:
-        """Threat: silence may be the platform's, which then goes on here, or a dead
-        connection's."""
+        """Open a second stream beside the silent one.
+
+        Either the platform is silent, and then the old stream may continue, or the connection is
+        dead.
+        """
         if not self._stopped:
             self._keep(*self._streams[:1])
             self.start()
--- a/umbermoor/front/server/service.py
+++ b/umbermoor/front/server/service.py
@@ -1,4 +1,4 @@
-"""Starts the front, wires its parts together, and drains it."""
+"""The front's process: creates and connects its parts, starts, reloads and drains it."""
 
 import gc
 import logging
@@ -27,20 +27,23 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 1024  # connections that the kernel holds while the front is busy
-UP_WITHIN = 1.0  # seconds; then it is up with what it was given at the start
-LISTEN_ON = 0.5  # seconds after SIGTERM in which new connections may still come
-ACCEPT_TURNS = 3  # a turn takes what came to wait in the last; the last ones find nothing
-READ_ON = 0.1  # seconds for what these last connections bring
-DROP_AFTER = 1.5  # seconds; then a request that is still not whole is not waited for
-DRAIN_CHECK = 0.02  # seconds
-PAUSES = 0x70  # sets the chance of pauses apart from the module's
-COUNT_EVERY = 5.0  # seconds between lines in the log that tell what passed
+BACKLOG = 1024  # connections that the kernel queues while the front is busy
+UP_WITHIN = (
+    1.0  # seconds until it is up with its initial data, if discovery and platform have not answered
+)
+LISTEN_ON = 0.5  # seconds after SIGTERM during which new connections are still accepted
+ACCEPT_TURNS = (
+    3  # final accept calls, each for what was queued during the one before; the last find nothing
+)
+READ_ON = 0.1  # seconds to read requests of these last connections
+DROP_AFTER = 1.5  # seconds after which incomplete requests are dropped
+DRAIN_CHECK = 0.02  # seconds between two checks whether the drain is complete
+PAUSES = 0x70  # keeps the random jitter of delays independent of the decision module's choices
+COUNT_EVERY = 5.0  # seconds between two "counts" lines in the log
 
 
 class Clock:
-    """Microseconds since 1970 that never go back: the system's time at the start, and what has
-    passed since."""
+    """Microseconds since 1970 that never go back: system time at the start plus monotonic time."""
 
     def __init__(self) -> None:
         self._offset = time.time_ns() - time.monotonic_ns()
@@ -50,7 +53,7 @@
 
 
 class Both:
-    """Two witnesses of the exchange."""
+    """Passes each notification of the exchange to several witnesses."""
 
     def __init__(self, *witnesses) -> None:
         self._witnesses = witnesses
@@ -117,7 +120,7 @@
         exchange.watch = self._discovery.start
         self._machines.counts = self._discovery.counts = self._platform.counts = exchange.counts
         if house is not None and house.http2 is not None:
-            from umbermoor.front.server.streams import Streams  # only here, as captures
+            from umbermoor.front.server.streams import Streams  # imported only if used, as captures
 
             streams = self._machines.carrier = Streams(
                 reactor,
@@ -131,19 +134,20 @@
             budget.spare.insert(1, streams.close_one)
         self._capture = None
         if house is not None and house.capture is not None:
-            from umbermoor.front.server.capture_writer import (
-                Capturing,
-            )  # only here: it is no part of a front that has none
+            # imported only if used, to save memory
+            from umbermoor.front.server.capture_writer import Capturing
 
             self._capture = exchange.witness = Capturing(reactor, clock, station, house.capture)
         self._membership = None
         if house is not None and house.members is not None:
-            from umbermoor.front.server.members import Membership  # only here, as captures
+            # imported only if used, as captures
+            from umbermoor.front.server.members import Membership
 
             self._membership = Membership(reactor, clock, house.members, self._concluded)
         self._operations = None
         if house is not None and (house.door is not None or house.remember is not None):
-            from umbermoor.front.server.operations import Operations  # only here, as captures
+            # imported only if used, as captures
+            from umbermoor.front.server.operations import Operations
 
             self._operations = Operations(
                 reactor, clock, station, house, buffers, exchange, self._clients, self._machines
@@ -158,7 +162,7 @@
         self._heard: set[str] = set()
         self._port = self._counting = None
         self._drop_at = 0.0
-        self.status = 0  # of the program, when it ends
+        self.status = 0  # exit status of the process
 
     def start(self) -> None:
         station, charter = self._station, self._station.charter
@@ -181,7 +185,7 @@
             note(log, "the list at the start cannot be read", logging.WARNING)
         if known:
             self._exchange.listed(Listing.CACHED, known)
-            if charter.list_asked and known.whole:  # its turn may be long in coming
+            if charter.list_asked and known.whole:  # the first answer may take long
                 self._heard.add("list")
         if self._membership is not None:
             self._membership.start()
@@ -211,7 +215,7 @@
         self._exchange.tick()
 
     def _count(self) -> None:
-        """What passed since the last such line; what did not is left out."""
+        """Log the nonzero counts since the last such line."""
         counts = self._exchange.counts
         if counts:
             note(log, "counts", **counts)
@@ -247,8 +251,10 @@
             note(log, "up", heard=" ".join(sorted(self._heard)))
 
     def reload(self, read: Callable[[], Configuration]) -> None:
-        """Takes what may change from the configuration read anew. Threat: one that cannot be used
-        ends the front."""
+        """Apply the parts of a newly read configuration that may change without a restart.
+
+        An invalid configuration is logged, and the old one stays in force.
+        """
         if self._clients.leaving:
             return
         try:
@@ -292,8 +298,8 @@
             self._reactor.callLater(LISTEN_ON, self._stop_listening)
 
     def _stop_listening(self) -> None:
-        # Threat: closing the listener resets what the kernel has accepted. All of that is taken
-        # first, and read.
+        # Closing the listener resets connections that the kernel has queued, so all of these are
+        # accepted and read first.
         for _ in range(ACCEPT_TURNS):
             self._port.doRead()
         self._clients.accept = lambda on: None
@@ -304,7 +310,7 @@
     def _leave(self) -> None:
         self._clients.close_idle()
         if not self._exchange.held and self._reactor.seconds() >= self._drop_at:
-            # requests that never became whole, and clients that do not take their answers
+            # incomplete requests, and clients that do not read their answers
             self._clients.drop()
         if self._clients.open:
             self._reactor.callLater(DRAIN_CHECK, self._leave)
--- a/umbermoor/front/server/streams.py
+++ b/umbermoor/front/server/streams.py
@@ -1,7 +1,8 @@
-"""Hand-offs over HTTP/2: connections to machines, kept by the pool's word, on Twisted; the codec
-and every decision are in
-umbermoor/front/http2. A machine that turns out not to speak it is asked in HTTP/1.1 for a while; nothing
-was sent to it then."""
+"""Hand-offs over HTTP/2: the Twisted connections to machines.
+
+The codec and the pool's decisions are in umbermoor/front/http2. A machine that turns out not to
+speak HTTP/2 is asked over HTTP/1.1 for a while; no request was sent to it by then.
+"""
 
 import logging
 from collections.abc import Callable, Mapping
@@ -26,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 SECOND = 1_000_000
-LOOK_EVERY = 0.1  # seconds between two looks at silent and idle connections
+LOOK_EVERY = 0.1  # seconds between two checks for silent and idle connections
 _PROGRESS = {
     Stand.UNSENT: Progress.UNCONNECTED,
     Stand.PART: Progress.PART,
@@ -43,7 +44,10 @@
 
 
 def outcome_of(answer: Answer) -> Outcome:
-    """In the front's own terms; what the table of proofs says holds."""
+    """Return the outcome in the front's own types.
+
+    Whether the request may have run follows from the answer's proof.
+    """
     if not isinstance(answer, Unanswered):
         return answer
     progress, proof = _PROGRESS[answer.stand], answer.proof
@@ -58,7 +62,7 @@
 
 @implementer(IPullProducer)
 class StreamLine(Protocol):
-    """A connection. Its session is asked for more once the transport has nothing left to write."""
+    """An HTTP/2 connection; takes data from its session whenever the transport has written all."""
 
     def __init__(self, streams: "Streams", machine: str, link: Link) -> None:
         self._streams, self.machine, self.link = streams, machine, link
@@ -84,7 +88,7 @@
             self.transport.unregisterProducer()
 
     def stopProducing(self) -> None:
-        """The transport has gone; connectionLost tells the rest."""
+        """Do nothing: the transport is closed, and connectionLost follows."""
 
     def dataReceived(self, data: bytes) -> None:
         now = self._streams.clock()
@@ -107,7 +111,7 @@
             self.transport.abortConnection()
 
     def refresh(self, now: int) -> None:
-        """What the pool sees of it."""
+        """Copy the state that the pool needs from the session to the link."""
         session, link = self.session, self.link
         link.settled, link.usable = session.settled, session.usable
         link.streams, link.limit, link.pinged = (
@@ -122,7 +126,7 @@
 
 
 class _Attempt:
-    """One hand-off from its beginning to its outcome, whatever connection it comes to."""
+    """One hand-off from start to outcome, on whichever connection it is sent."""
 
     def __init__(
         self,
@@ -141,7 +145,7 @@
             plain,
         )
         self.line: StreamLine | None = None
-        self.other: Deferred[Outcome] | None = None  # in HTTP/1.1 after all
+        self.other: Deferred[Outcome] | None = None  # the request over HTTP/1.1, after falling back
         self.outcome: Deferred[Outcome] = Deferred(lambda _: self.end(End.STOPPED))
         call.ended = self.ended
         self._timer = streams.reactor.callLater(max(0, limit) / SECOND, self.end, End.LATE)
@@ -161,7 +165,7 @@
         self._settle(outcome_of(answer))
 
     def go_plain(self) -> None:
-        """The machine does not speak HTTP/2; nothing of this was sent."""
+        """Fall back to HTTP/1.1: the machine does not speak HTTP/2, and nothing was sent."""
         if not self.call.over:
             self.call.over = True
             if self._timer.active():
@@ -200,7 +204,7 @@
         self._addresses: dict[str, tuple[str, int]] = {}
         self._said: dict[str, str] = {}
         self._lines: dict[Link, StreamLine] = {}
-        self._waiting: dict[str, list[_Attempt]] = {}  # for a first connection
+        self._waiting: dict[str, list[_Attempt]] = {}  # attempts that wait for a first connection
         self._attempts: dict[Call, _Attempt] = {}
         self.opened = 0
         self._timer = reactor.callLater(LOOK_EVERY, self._look)
@@ -210,8 +214,10 @@
     def listed(
         self, machine: str, address: tuple[str, int] | None, ready: bool, speaks: str
     ) -> None:
-        """Where it is; none: gone. Streams that are out go on to their ends. ``speaks``: what its
-        entry says."""
+        """Set a machine's address (None: removed) and the protocol that its entry states.
+
+        Streams in flight are not interrupted.
+        """
         if address is None or self._addresses.get(machine, address) != address or not ready:
             self._retire(machine)
         if address is None:
@@ -228,7 +234,7 @@
                 self.told(line)
 
     def speaks(self, machine: str) -> bool:
-        """Whether it is to be asked in HTTP/2 now."""
+        """Whether the machine is to be asked over HTTP/2 now."""
         said, lot = self._said.get(machine, ""), self._lots.get(machine)
         if said == "http/1.1" or (said != "h2c" and self._only_listed):
             return False
@@ -248,8 +254,11 @@
         may_go: Callable[[], bool],
         plain: "Callable[[], Deferred[Outcome]]",
     ) -> "Deferred[Outcome]":
-        """Cancel the result to call it off. ``plain`` asks the same in HTTP/1.1."""
-        fresh = [True]  # what goes at once has just passed the gate
+        """Send a request to a machine.
+
+        Cancelling the result stops the request. `plain` sends the same request over HTTP/1.1.
+        """
+        fresh = [True]  # a request that is sent immediately has just been permitted
         fields = [
             (":method", method),
             (":scheme", "http"),
@@ -312,7 +321,7 @@
         self.opened += 1
         self._lines[line.link] = line
         lot.links.append(line.link)
-        if self._lots.get(machine) is not lot:  # it was listed as leaving meanwhile
+        if self._lots.get(machine) is not lot:  # the machine was listed as leaving meanwhile
             line.session.going = True
         line.refresh(self.clock())
         if line.session.ended:
@@ -328,13 +337,12 @@
             self._again(attempt) if lot.links else attempt.call.fail(End.UNCONNECTED)
 
     def _again(self, attempt: _Attempt) -> None:
-        """Another connection for what was never sent on the one that it waited for."""
+        """Place an attempt anew that was never sent on the connection it waited for."""
         attempt.line = None
         if attempt.call.over:
             return
-        if (
-            attempt.call.may_go()
-        ):  # asked again when its turn comes; here so that no connection is opened in vain
+        # checked again before sending; checked here to avoid opening a connection in vain
+        if attempt.call.may_go():
             self._place(attempt)
         else:
             attempt.call.fail(End.WITHDRAWN)
@@ -342,7 +350,7 @@
     # Connections.
 
     def told(self, line: StreamLine) -> None:
-        """Something came on it, or a call of it has ended."""
+        """Update the state after data arrived on the connection or a call on it ended."""
         now = self.clock()
         line.refresh(now)
         session = line.session
@@ -381,7 +389,11 @@
         self.told(line)
 
     def close_one(self) -> bool:
-        """The one without streams that was heard longest ago."""
+        """Close the connection without streams that received data longest ago.
+
+        Returns:
+            Whether there was one.
+        """
         idle = [
             line
             for line in self._lines.values()
--- a/umbermoor/logs.py
+++ b/umbermoor/logs.py
@@ -23,7 +23,7 @@
     """Formats a record as one line of key=value pairs, values quoted where they need it."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line, without its end."""
+        """Return the line without its newline."""
         pairs: dict[str, Any] = {
             "at": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -40,7 +40,7 @@
     """Limits the lines of one event to `MAX_LINES_PER_SECOND`.
 
     Clients can cause events at any rate and would fill the log. The first line that passes in a
-    later second tells how many were left out (`left_out`).
+    later second reports how many were left out (`left_out`).
     """
 
     def __init__(self) -> None:
