--- a/umbermoor/__main__.py
+++ b/umbermoor/__main__.py
@@ -71,27 +71,28 @@
         return 0
     read = partial(read_configuration, os.environ, given["--config"])
     try:
-        station = read()
+        configuration = read()
         if given["--log"] not in ("DEBUG", "INFO", "WARNING", "ERROR"):
             raise ConfigurationError(f"--log: no such level: {given['--log']}")
-        house = _house(given["--sheet"])
+        own_settings = _read_own_settings(given["--sheet"])
     except ConfigurationError as fault:
         print(f"umbermoor: {fault}", file=sys.stderr)
         return 2
     if given["check"]:
         print(
-            f"{station.name}: listens at {':'.join(map(str, station.listen))}, "
-            f"{len(station.profiles)} profiles, {station.charter.fronts} fronts, {station.sockets} sockets"
+            f"{configuration.name}: listens at {':'.join(map(str, configuration.listen))}, "
+            f"{len(configuration.profiles)} profiles, {configuration.charter.fronts} fronts, "
+            f"{configuration.sockets} sockets"
         )
         return 0
     # imported here, as other commands need no reactor
     from umbermoor.front.server.service import serve
 
-    configure_logging(given["--log"], house.logs.form if house else "pairs")
-    return serve(station, read, house)
+    configure_logging(given["--log"], own_settings.logs.form if own_settings else "pairs")
+    return serve(configuration, read, own_settings)
 
 
-def _house(path: str | None):
+def _read_own_settings(path: str | None):
     """Read the front's own settings, if a sheet is given.
 
     Their libraries are imported here only, to save the memory of a front without them.
--- a/umbermoor/front/configuration.py
+++ b/umbermoor/front/configuration.py
@@ -37,8 +37,8 @@
     ),
 }
 
-MEMORY_LEAST = 28  # MB, of which the interpreter and its libraries take most
-SOCKETS_LEAST = 40  # fewer leave none for clients and machines
+MIN_MEMORY_MB = 28  # MB, of which the interpreter and its libraries take most
+MIN_SOCKETS = 40  # fewer leave none for clients and machines
 
 
 class ConfigurationError(Exception):
@@ -60,8 +60,8 @@
     idle_close: int
     load_fields: tuple[str, ...]
     service: str  # the Host header of requests to machines
-    news: Mapping[str, Any] | None  # the platform's state at the start, in its own format
-    known: Mapping[str, Any] | None  # the list of machines at the start, in discovery's format
+    initial_stage: Mapping[str, Any] | None  # the platform's state at the start, in its own format
+    initial_list: Mapping[str, Any] | None  # the machines at the start, in discovery's format
 
 
 def read_configuration(environ: Mapping[str, str], path: str | None = None) -> Configuration:
@@ -105,102 +105,102 @@
     Raises:
         ConfigurationError: A key is missing or has an invalid value.
     """
-    settings = _at(given, "settings", dict)
-    seed = _at(given, "seed", str, "0")
+    settings = _get(given, "settings", dict)
+    seed = _get(given, "seed", str, "0")
     try:
         seeded = int(seed, 16)
     except ValueError:
         raise ConfigurationError(f"seed: not a hexadecimal number: {seed!r}") from None
-    rows = _at(settings, "request_classes", list, within="settings.")
-    for place, row in enumerate(rows):
-        where = f"settings.request_classes[{place}]"
+    rows = _get(settings, "request_classes", list, prefix="settings.")
+    for index, row in enumerate(rows):
+        where = f"settings.request_classes[{index}]"
         if not isinstance(row, dict):
             raise ConfigurationError(f"{where}: not an object")
         for key, kind in (("name", str), ("aim_ms", float), ("give_up_ms", float), ("repeat", str)):
-            _at(row, key, kind, within=where + ".")
+            _get(row, key, kind, prefix=where + ".")
         for key in ("late_worth", "window_ms", "worth"):
-            _at(row, key, float, None, within=where + ".")
-        _one_of(row, "repeat", REPEATS, within=where + ".")
-        _one_of(row, "group", [group.value for group in Group], within=where + ".")
+            _get(row, key, float, None, prefix=where + ".")
+        _one_of(row, "repeat", REPEATS, prefix=where + ".")
+        _one_of(row, "group", [group.value for group in Group], prefix=where + ".")
     for part, keys in _NUMBERS.items():
-        values = _at(settings, part, dict, {}, within="settings.")
+        values = _get(settings, part, dict, {}, prefix="settings.")
         for key in keys:
-            _at(values, key, float, None, within=f"settings.{part}.")
+            _get(values, key, float, None, prefix=f"settings.{part}.")
     domain, limits = settings.get("domain") or {}, settings.get("limits") or {}
-    _one_of(domain, "gate_mode", [control.value for control in Control], within="settings.domain.")
-    for cap in _at(domain, "stage_cap", list, [], within="settings.domain."):
-        _at({"stage_cap": cap}, "stage_cap", float, within="settings.domain.")
+    _one_of(domain, "gate_mode", [control.value for control in Control], prefix="settings.domain.")
+    for cap in _get(domain, "stage_cap", list, [], prefix="settings.domain."):
+        _get({"stage_cap": cap}, "stage_cap", float, prefix="settings.domain.")
     try:
         charter = read_start_settings(seeded, settings)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ConfigurationError(f"settings: {type(error).__name__}: {error}") from None
-    zones = _at(settings, "zones", list, [], within="settings.")
-    reports = _at(settings, "load_info", dict, {}, within="settings.")
-    api = _at(given, "release_api", dict)
-    bounds = _at(given, "limits", dict, {})
-    sockets = _at(bounds, "sockets", int, 1024, within="limits.")
-    memory = _at(bounds, "memory_mb", float, 64.0, within="limits.")
-    if sockets < SOCKETS_LEAST:
+    zones = _get(settings, "zones", list, [], prefix="settings.")
+    reports = _get(settings, "load_info", dict, {}, prefix="settings.")
+    api = _get(given, "release_api", dict)
+    bounds = _get(given, "limits", dict, {})
+    sockets = _get(bounds, "sockets", int, 1024, prefix="limits.")
+    memory = _get(bounds, "memory_mb", float, 64.0, prefix="limits.")
+    if sockets < MIN_SOCKETS:
         raise ConfigurationError(
-            f"limits.sockets: {sockets} is fewer than the {SOCKETS_LEAST} that a front needs"
+            f"limits.sockets: {sockets} is fewer than the {MIN_SOCKETS} that a front needs"
         )
-    if memory < MEMORY_LEAST:
+    if memory < MIN_MEMORY_MB:
         raise ConfigurationError(
-            f"limits.memory_mb: {memory} is less than the {MEMORY_LEAST} that a front needs"
+            f"limits.memory_mb: {memory} is less than the {MIN_MEMORY_MB} that a front needs"
         )
     return Configuration(
-        name=_at(given, "name", str, "front"),
+        name=_get(given, "name", str, "front"),
         listen=_address(given, "listen"),
         discovery=_address(given, "discovery"),
         platform=_address(api, "address", "release_api."),
         charter=charter,
         sockets=sockets,
         memory=round(memory * 2**20),
-        profiles={row["name"]: place for place, row in enumerate(rows)},
-        zones={name: place for place, name in enumerate(zones)},
+        profiles={row["name"]: index for index, row in enumerate(rows)},
+        zones={name: index for index, name in enumerate(zones)},
         connect_within=micros(
-            _at(limits, "connect_timeout_ms", float, 1000.0, within="settings.limits.")
+            _get(limits, "connect_timeout_ms", float, 1000.0, prefix="settings.limits.")
         ),
-        idle_close=micros(_at(limits, "idle_close_ms", float, 10000.0, within="settings.limits.")),
-        service=_at(given, "service", str, "api.internal"),
-        load_fields=tuple(_at(reports, "fields", list, [], within="settings.load_info.")),
-        news=_at(api, "news", dict, None, within="release_api."),
-        known=_at(given, "known", dict, None),
+        idle_close=micros(_get(limits, "idle_close_ms", float, 10000.0, prefix="settings.limits.")),
+        service=_get(given, "service", str, "api.internal"),
+        load_fields=tuple(_get(reports, "fields", list, [], prefix="settings.load_info.")),
+        initial_stage=_get(api, "news", dict, None, prefix="release_api."),
+        initial_list=_get(given, "known", dict, None),
     )
 
 
-_WORDS = {
+_TYPE_NAMES = {
     dict: "an object",
     list: "an array",
     str: "a text",
     int: "a whole number",
     float: "a number",
 }
-_NEEDED: Any = object()
+_REQUIRED: Any = object()
 
 
-def _at(
-    given: Mapping[str, Any], key: str, kind: type, otherwise: Any = _NEEDED, within: str = ""
+def _get(
+    given: Mapping[str, Any], key: str, kind: type, default: Any = _REQUIRED, prefix: str = ""
 ) -> Any:
     value = given.get(key)
     if value is None:
-        if otherwise is _NEEDED:
-            raise ConfigurationError(f"{within}{key}: missing")
-        return otherwise
+        if default is _REQUIRED:
+            raise ConfigurationError(f"{prefix}{key}: missing")
+        return default
     if not isinstance(value, (int, float) if kind is float else kind) or isinstance(value, bool):
-        raise ConfigurationError(f"{within}{key}: not {_WORDS[kind]}: {value!r:.60}")
+        raise ConfigurationError(f"{prefix}{key}: not {_TYPE_NAMES[kind]}: {value!r:.60}")
     return value
 
 
-def _one_of(given: Mapping[str, Any], key: str, known: Iterable[str], within: str) -> None:
-    if (value := given.get(key)) is not None and value not in known:
-        raise ConfigurationError(f"{within}{key}: not one of {', '.join(known)}: {value!r:.60}")
+def _one_of(given: Mapping[str, Any], key: str, allowed: Iterable[str], prefix: str) -> None:
+    if (value := given.get(key)) is not None and value not in allowed:
+        raise ConfigurationError(f"{prefix}{key}: not one of {', '.join(allowed)}: {value!r:.60}")
 
 
-def _address(given: Mapping[str, Any], key: str, within: str = "") -> Address:
-    text = _at(given, key, str, within=within)
+def _address(given: Mapping[str, Any], key: str, prefix: str = "") -> Address:
+    text = _get(given, key, str, prefix=prefix)
     if (address := read_address(text)) is None:
-        raise ConfigurationError(f"{within}{key}: not host:port: {text!r:.60}")
+        raise ConfigurationError(f"{prefix}{key}: not host:port: {text!r:.60}")
     return address
 
 
--- a/umbermoor/front/facade.py
+++ b/umbermoor/front/facade.py
@@ -69,7 +69,7 @@
     text: str
 
 
-Fate = Go | Denied | Abandoned | Held
+PickResult = Go | Denied | Abandoned | Held
 Step = Go | Stop | Denied | Abandoned | Vote | Watch | Probe | Tell | Note
 
 
@@ -141,7 +141,7 @@
     payload: bytes
 
 
-Heard = Connected | Ended | Left | Listed | News | Tally | Complaint | Probed | Told
+FrontEvent = Connected | Ended | Left | Listed | News | Tally | Complaint | Probed | Told
 
 _STEPS: dict[Do, Callable[..., Step]] = {
     Do.CANCEL: Stop,
@@ -159,48 +159,48 @@
     def __init__(self, charter: Charter, clock: Callable[[], int]) -> None:
         self._front, self._clock = Front(charter), clock
         self._steps: deque[Step] = deque()  # decided during a pick, and not returned yet
-        self._numbers: dict[str, int] = {}  # number of hand-offs so far, by pending query
-        self._wake = clock()
+        self._hand_off_counts: dict[str, int] = {}  # number of hand-offs so far, by pending query
+        self._wake_at = clock()
 
     @property
     def next_tick(self) -> int:
-        return self._clock() if self._steps else self._wake
+        return self._clock() if self._steps else self._wake_at
 
-    def pick(self, asked: Asked) -> Fate:
-        self._numbers[asked.query] = 0
+    def pick(self, asked: Asked) -> PickResult:
+        self._hand_off_counts[asked.query] = 0
         self._front.take_query(self._clock(), *asked)
-        self._pull()
+        self._collect_steps()
         for step in self._steps:
             if isinstance(step, Go | Denied | Abandoned) and step.query == asked.query:
                 self._steps.remove(step)
                 return step
         return Held(asked.query)
 
-    def report(self, heard: Heard) -> list[Step]:
+    def report(self, event: FrontEvent) -> list[Step]:
         now, front = self._clock(), self._front
-        match heard:
+        match event:
             case Connected(go):
                 return [go] if front.may_still(now, go.query, go.number) else []
             case Ended(query, number, machine, ending, took):
                 front.hand_off_ended(now, query, number, machine, ending, took, ending is Ending.OK)
                 if ending is Ending.OK:
-                    self._numbers.pop(query, None)
+                    self._hand_off_counts.pop(query, None)
             case Left(query):
-                self._numbers.pop(query, None)
+                self._hand_off_counts.pop(query, None)
                 front.client_left(now, query)
             case Listed(kind, entries):
                 front.list_news(now, kind, entries)
             case News():
-                front.release_news(now, heard)
+                front.release_news(now, event)
             case Tally():
-                front.tally(now, *heard)
+                front.tally(now, *event)
             case Complaint():
-                front.complaint(now, *heard)
+                front.complaint(now, *event)
             case Probed():
-                front.probe_ended(now, *heard)
+                front.probe_ended(now, *event)
             case Told(peer, payload):
                 front.peer_message(now, peer, payload)
-        return self._next()
+        return self._take_steps()
 
     def forget(self) -> None:
         """Discard the observations of the current stage, which are too old to vote on."""
@@ -249,32 +249,32 @@
             front.took, front.work, front.usual_work = took, work, list(usual)
             front.peak_work_rate = max(front.peak_work_rate, carried)
         for id, build, born, *seen in machines:
-            known = front.machines.get(id)
-            if known and (known.build, known.born) == (build, born):
-                known.took, known.work, known.gap, known.failure_rate = seen
-                known.updated_at = now
+            machine = front.machines.get(id)
+            if machine and (machine.build, machine.born) == (build, born):
+                machine.took, machine.work, machine.gap, machine.failure_rate = seen
+                machine.updated_at = now
 
     def tick(self) -> list[Step]:
         self._front.woken(self._clock())
-        return self._next()
+        return self._take_steps()
 
-    def _next(self) -> list[Step]:
-        self._pull()
+    def _take_steps(self) -> list[Step]:
+        self._collect_steps()
         steps = list(self._steps)
         self._steps.clear()
         return steps
 
-    def _pull(self) -> None:
+    def _collect_steps(self) -> None:
         while decision := self._front.decide(now := self._clock()):
             do, *values = decision
             if do is Do.WAKE:
-                self._wake = values[0] if self._wake <= now else min(self._wake, values[0])
+                self._wake_at = values[0] if self._wake_at <= now else min(self._wake_at, values[0])
             elif do is Do.HAND_OFF:
                 query, machine, limit = values
-                number = self._numbers.get(query, 0)
-                self._numbers[query] = number + 1
+                number = self._hand_off_counts.get(query, 0)
+                self._hand_off_counts[query] = number + 1
                 self._steps.append(Go(query, number, machine, limit))
             else:
                 if do in (Do.DENY, Do.ABANDON):
-                    self._numbers.pop(values[0], None)
+                    self._hand_off_counts.pop(values[0], None)
                 self._steps.append(_STEPS[do](*values))
--- a/umbermoor/front/list_polling.py
+++ b/umbermoor/front/list_polling.py
@@ -18,17 +18,18 @@
 from umbermoor.backoff import Backoff
 
 SECOND = 1_000_000
-WAIT = 2 * SECOND  # how long a watch may wait for changes; a broken watch is not noticed earlier
-ANSWER_WITHIN = SECOND  # timeout of an answer, beyond that
-TURN_WITHIN = 4 * SECOND  # the same for a first call, which may be queued at the service
+# how long a watch may wait for changes; a broken watch is not noticed earlier
+WATCH_WAIT = 2 * SECOND
+ANSWER_TIMEOUT = SECOND  # timeout of an answer, beyond that
+QUEUED_ANSWER_TIMEOUT = 4 * SECOND  # the same for a first call, which may be queued at the service
 # delay before a retry, doubling, if calls cost nothing
-AGAIN_FIRST, AGAIN_MOST = SECOND // 20, SECOND
-APART = SECOND // 20  # average time between the calls of two fronts to one service
-SPAN_MOST = 5 * SECOND  # longest time over which the calls of all fronts are spread
-LONGER = 8  # longest mean pause, as a multiple of that time
-PAUSE_MOST = 16 * SECOND  # upper bound of that mean pause
+RETRY_INITIAL, RETRY_MAX = SECOND // 20, SECOND
+SPACING = SECOND // 20  # average time between the calls of two fronts to one service
+MAX_SPREAD = 5 * SECOND  # longest time over which the calls of all fronts are spread
+MAX_PAUSE_SPREADS = 8  # longest mean pause, as a multiple of that time
+MAX_PAUSE = 16 * SECOND  # upper bound of that mean pause
 # a broken watch is reopened within this, as it may miss a machine's drain
-RENEW_MOST = 3 * SECOND // 2
+MAX_RENEWAL_DELAY = 3 * SECOND // 2
 
 
 class Call(NamedTuple):
@@ -40,39 +41,39 @@
 @dataclass(slots=True)
 class ListPolling:
     fronts: int
-    asked: bool  # changes are not pushed, but must be asked for
-    chance: Callable[[], float]
+    on_request: bool  # changes are not pushed, but must be asked for
+    uniform: Callable[[], float]
     version: int | None = None  # of the list that the front has
-    _open: bool = field(default=False, init=False)  # the last call was answered
+    _watch_open: bool = field(default=False, init=False)  # the last call was answered
     _backoff: Backoff = field(init=False)
 
     def __post_init__(self) -> None:
-        first, most = AGAIN_FIRST, AGAIN_MOST
-        if self.asked:
-            first = max(first, self._span())
-            most = max(most, min(PAUSE_MOST, LONGER * first))
-        self._backoff = Backoff(first, most, self.chance)
+        first, most = RETRY_INITIAL, RETRY_MAX
+        if self.on_request:
+            first = max(first, self._spread())
+            most = max(most, min(MAX_PAUSE, MAX_PAUSE_SPREADS * first))
+        self._backoff = Backoff(first, most, self.uniform)
 
-    def first(self, held: int | None) -> int:
+    def first_delay(self, version: int | None) -> int:
         """Return the delay before the first call.
 
         Args:
-            held: The version of the full list that the front already has, if any.
+            version: The version of the full list that the front already has, if any.
         """
-        if not self.asked:
+        if not self.on_request:
             return 0
-        self.version = held
-        return round(self.chance() * self._span())
+        self.version = version
+        return round(self.uniform() * self._spread())
 
-    def moved(self) -> int:
+    def address_changed(self) -> int:
         """Switch to another service, with its own versions; return the delay before the call."""
-        self.version, self._open = None, False
+        self.version, self._watch_open = None, False
         self._backoff.reset()
-        return self._soon()
+        return self._renewal_delay()
 
     def call(self) -> Call:
-        wait = WAIT if self.version is not None else 0
-        turn = TURN_WITHIN if self.asked and not self._open else ANSWER_WITHIN
+        wait = WATCH_WAIT if self.version is not None else 0
+        turn = QUEUED_ANSWER_TIMEOUT if self.on_request and not self._watch_open else ANSWER_TIMEOUT
         return Call(self.version, wait, wait + turn)
 
     def answered(self, version: int) -> bool:
@@ -88,23 +89,29 @@
         if self.version is not None and version < self.version:
             self.version = None
             return False
-        self.version, self._open = version, True
+        self.version, self._watch_open = version, True
         self._backoff.reset()
         return True
 
-    def unread(self) -> None:
+    def unreadable(self) -> None:
         """Record a malformed answer; the next call requests the full list."""
         self.version = None
 
     def failed(self) -> int:
         """Record a failed call; return the delay before the next one."""
-        stood, self._open = self._open, False
-        return self._soon() if stood and self.asked else round(self._backoff.next_delay())
-
-    def _soon(self) -> int:
+        was_open, self._watch_open = self._watch_open, False
+        return (
+            self._renewal_delay()
+            if was_open and self.on_request
+            else round(self._backoff.next_delay())
+        )
+
+    def _renewal_delay(self) -> int:
         """Return the delay before reopening a watch, short as it misses changes meanwhile."""
-        return round(self.chance() * min(RENEW_MOST, self._span())) if self.asked else 0
+        return (
+            round(self.uniform() * min(MAX_RENEWAL_DELAY, self._spread())) if self.on_request else 0
+        )
 
-    def _span(self) -> int:
+    def _spread(self) -> int:
         """Return the time over which the fleet's calls are spread."""
-        return min(SPAN_MOST, (self.fronts - 1) * APART)
+        return min(MAX_SPREAD, (self.fronts - 1) * SPACING)
--- a/umbermoor/front/own_settings.py
+++ b/umbermoor/front/own_settings.py
@@ -41,8 +41,8 @@
     token: str = ""
 
     def fault(self) -> str | None:
-        shut = self.where.startswith("unix:") or self.token
-        return None if shut else "expected a token file for an admin endpoint on TCP"
+        protected = self.where.startswith("unix:") or self.token
+        return None if protected else "expected a token file for an admin endpoint on TCP"
 
 
 class Remember(Record, frozen=True, kw_only=True):
@@ -90,12 +90,12 @@
         names = ["list", *(one.called for one in self.srv), *(one.called for one in self.file)]
         if len(set(names)) < len(names):
             return f"expected sources with names of their own, not {', '.join(names)}"
-        strange = next(
+        unknown = next(
             (one for one in (*self.order, self.existence, self.facts) if one and one not in names),
             None,
         )
-        if strange:
-            return f"expected one of {', '.join(names)}, not {strange!r}"
+        if unknown:
+            return f"expected one of {', '.join(names)}, not {unknown!r}"
         return (
             'expected existence= with rule "split"'
             if self.rule == "split" and not self.existence
--- a/umbermoor/front/sealed_files.py
+++ b/umbermoor/front/sealed_files.py
@@ -8,8 +8,8 @@
 from struct import Struct
 from typing import NamedTuple
 
-_HEAD = Struct("<6sBII")
-MOST = 64 << 20
+_HEADER = Struct("<6sBII")
+MAX_BYTES = 64 << 20
 
 
 class UnusableFile(NamedTuple):
@@ -17,23 +17,23 @@
 
 
 def sealed(magic: bytes, version: int, body: bytes) -> bytes:
-    return _HEAD.pack(magic, version, len(body), zlib.crc32(body)) + body
+    return _HEADER.pack(magic, version, len(body), zlib.crc32(body)) + body
 
 
 def unsealed(
     magic: bytes, versions: tuple[int, ...], data: bytes
 ) -> tuple[int, bytes] | UnusableFile:
     """Return the version and body, or why the data cannot be used."""
-    if len(data) < _HEAD.size:
+    if len(data) < _HEADER.size:
         return UnusableFile("ends within its header")
-    found, version, length, checksum = _HEAD.unpack_from(data)
+    found, version, length, checksum = _HEADER.unpack_from(data)
     if found != magic:
         return UnusableFile("is of another file type")
     if version not in versions:
         return UnusableFile(
             f"is of version {version}; this program reads {', '.join(map(str, versions))}"
         )
-    body = data[_HEAD.size :]
+    body = data[_HEADER.size :]
     if len(body) != length or zlib.crc32(body) != checksum:
         return UnusableFile("is truncated or corrupt")
     return version, body
@@ -57,13 +57,13 @@
     return len(data)
 
 
-def read_file(path: str, most: int = MOST) -> bytes | UnusableFile | None:
+def read_file(path: str, max_bytes: int = MAX_BYTES) -> bytes | UnusableFile | None:
     """Return the content, None if the file does not exist, or why it cannot be used."""
     try:
-        if os.path.getsize(path) > most:
-            return UnusableFile(f"is larger than {most} bytes")
+        if os.path.getsize(path) > max_bytes:
+            return UnusableFile(f"is larger than {max_bytes} bytes")
         with open(path, "rb") as file:
-            return file.read(most)
+            return file.read(max_bytes)
     except FileNotFoundError:
         return None
     except OSError as error:
--- a/umbermoor/front/server/admin_endpoint.py
+++ b/umbermoor/front/server/admin_endpoint.py
@@ -16,21 +16,21 @@
 
 log = logging.getLogger(__name__)
 
-OPEN_MOST = 8  # concurrent connections; further ones are closed immediately
-SPEAK_WITHIN = 5.0  # seconds for a request to arrive, and between two requests
+MAX_CONNECTIONS = 8  # concurrent connections; further ones are closed immediately
+REQUEST_TIMEOUT = 5.0  # seconds for a request to arrive, and between two requests
 
 
-class Closed(Exception):
+class AdminEndpointError(Exception):
     """The admin endpoint cannot be opened; the text gives the reason."""
 
 
-class _Visitor(Protocol):
-    def __init__(self, door: "AdminEndpoint") -> None:
-        self._door, self._reader, self._timer = door, Reader(door.buffers), None
+class _AdminConnection(Protocol):
+    def __init__(self, endpoint: "AdminEndpoint") -> None:
+        self._endpoint, self._reader, self._timer = endpoint, Reader(endpoint.buffers), None
 
     def connectionMade(self) -> None:
-        self._door.open.add(self)
-        if len(self._door.open) > OPEN_MOST:
+        self._endpoint.open.add(self)
+        if len(self._endpoint.open) > MAX_CONNECTIONS:
             self.transport.abortConnection()
         else:
             self._wait()
@@ -38,7 +38,9 @@
     def _wait(self) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        self._timer = self._door.reactor.callLater(SPEAK_WITHIN, self.transport.abortConnection)
+        self._timer = self._endpoint.reactor.callLater(
+            REQUEST_TIMEOUT, self.transport.abortConnection
+        )
 
     def dataReceived(self, data: bytes) -> None:
         for read in self._reader.feed(data):
@@ -47,9 +49,11 @@
                 self.transport.write(write_response(status, b"", False))
                 self.transport.loseConnection()
                 return
-            said = self._door.answer(read)
+            response = self._endpoint.answer(read)
             self.transport.write(
-                write_response(said.status, said.body, read.keep_alive, {"Content-Type": said.kind})
+                write_response(
+                    response.status, response.body, read.keep_alive, {"Content-Type": response.kind}
+                )
             )
             if not read.keep_alive:
                 self.transport.loseConnection()
@@ -57,7 +61,7 @@
             self._wait()
 
     def connectionLost(self, reason: Failure) -> None:
-        self._door.open.discard(self)
+        self._endpoint.open.discard(self)
         self._reader.drop()
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
@@ -66,17 +70,17 @@
 class AdminEndpoint(Factory):
     noisy = False
 
-    def __init__(self, reactor, buffers: Buffers, ways: AdminCalls) -> None:
-        self.reactor, self.buffers, self._ways = reactor, buffers, ways
-        self.open: set[_Visitor] = set()
+    def __init__(self, reactor, buffers: Buffers, calls: AdminCalls) -> None:
+        self.reactor, self.buffers, self._calls = reactor, buffers, calls
+        self.open: set[_AdminConnection] = set()
         self._port = None
 
-    def buildProtocol(self, addr) -> _Visitor:
-        return _Visitor(self)
+    def buildProtocol(self, addr) -> _AdminConnection:
+        return _AdminConnection(self)
 
     def answer(self, request: Request):
         try:
-            return self._ways.answer(request)
+            return self._calls.answer(request)
         except Exception:  # a failing admin call must not stop the front
             log.exception("fault in an admin call")
             return Said(500, b"{}\n")
@@ -85,7 +89,7 @@
         """Listen at this address and return it with the actual port.
 
         Raises:
-            Closed: The address cannot be used.
+            AdminEndpointError: The address cannot be used.
         """
         try:
             if where.startswith("unix:"):
@@ -98,7 +102,7 @@
             self._port = self.reactor.listenTCP(int(port), self, 16, host)
             return f"{host}:{self._port.getHost().port}"
         except Exception as error:
-            raise Closed(f"{where}: {error}") from None
+            raise AdminEndpointError(f"{where}: {error}") from None
 
     def stop(self) -> None:
         if self._port is not None:
@@ -111,16 +115,16 @@
     """Return the token in this file.
 
     Raises:
-        Closed: The file cannot be read, is readable by others, or its token is too short.
+        AdminEndpointError: The file is unreadable, readable by others, or the token too short.
     """
     try:
         mode = os.stat(path).st_mode
         with open(path) as file:
             token = file.read(4096).strip()
     except OSError as error:
-        raise Closed(f"token {path}: {error.strerror}") from None
+        raise AdminEndpointError(f"token {path}: {error.strerror}") from None
     if mode & 0o077:
-        raise Closed(f"token {path}: others may read it; expected mode 600")
+        raise AdminEndpointError(f"token {path}: others may read it; expected mode 600")
     if len(token) < TOKEN_LEAST:
-        raise Closed(f"token {path}: expected at least {TOKEN_LEAST} characters")
+        raise AdminEndpointError(f"token {path}: expected at least {TOKEN_LEAST} characters")
     return token
--- a/umbermoor/front/server/capture_writer.py
+++ b/umbermoor/front/server/capture_writer.py
@@ -10,12 +10,12 @@
 from umbermoor.front.own_settings import CaptureTo
 
 SECOND = 1_000_000
-_CLOSED = {0: "left", 200: "done", 429: "denied", 503: "denied", 502: "abandoned"}
+_OUTCOMES = {0: "left", 200: "done", 429: "denied", 503: "denied", 502: "abandoned"}
 
 
 class Capturing:
-    def __init__(self, reactor, clock, station: Configuration, to: CaptureTo) -> None:
-        names = sorted(station.profiles, key=station.profiles.__getitem__)
+    def __init__(self, reactor, clock, configuration: Configuration, to: CaptureTo) -> None:
+        names = sorted(configuration.profiles, key=configuration.profiles.__getitem__)
         profiles = tuple(
             {
                 "name": name,
@@ -24,10 +24,10 @@
                 "late_value": row.late_value,
                 "repeat": "once" if row.repeat.value == "binding" else "repeatable",
             }
-            for name, row in zip(names, station.charter.profiles)
+            for name, row in zip(names, configuration.charter.profiles)
         )
         self._reactor = reactor
-        header = Header(station.name, clock(), profiles)
+        header = Header(configuration.name, clock(), profiles)
         self._files = Segments(to.path, round(to.most_mb * 2**20), lambda: self._recorder.begin())
         self._recorder = Recorder(clock, header, self._files.write)
         self._timer = reactor.callLater(FRAME_EVERY / SECOND, self._flush)
@@ -45,7 +45,7 @@
         self._recorder.ended(query, machine, ending, took)
 
     def closed(self, query: str, status: int) -> None:
-        self._recorder.closed(query, _CLOSED.get(status, "failed"))
+        self._recorder.closed(query, _OUTCOMES.get(status, "failed"))
 
     def _flush(self) -> None:
         self._recorder.flush()
--- a/umbermoor/front/server/clients.py
+++ b/umbermoor/front/server/clients.py
@@ -16,7 +16,7 @@
 from umbermoor.front.facade import Asked
 from umbermoor.front.interface import Repeat
 from umbermoor.front.server.connections import SECOND
-from umbermoor.front.server.descriptor_budget import OVER_MOST, Budget
+from umbermoor.front.server.descriptor_budget import MAX_OVER_BUDGET, Budget
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Fault, Reader, Request
 from umbermoor.http1.writer import write_response
@@ -27,16 +27,16 @@
 _ID = re.compile(r"[!-+\--~]{1,128}")  # no comma: a repeated header is joined with one
 _DECIMAL = re.compile(r"[0-9]{1,15}(?:\.[0-9]{0,15})?")
 
-WAY = 2_000  # microseconds allowed for an answer to reach its client
-LONGEST = 3600.0  # seconds; a larger X-Remaining is rejected
-QUEUED = 16  # requests that may wait behind the current one on a connection
+ANSWER_TRANSIT = 2_000  # microseconds allowed for an answer to reach its client
+MAX_REMAINING = 3600.0  # seconds; a larger X-Remaining is rejected
+MAX_PIPELINED = 16  # requests that may wait behind the current one on a connection
 LINGER = 1.0  # seconds for a client to close its side after its last answer
 # seconds from connecting, or from a request's first byte, until that request is complete
-READ_WITHIN = 2.5
-READ_LEAST = 0.01  # seconds more to read bytes that had arrived by then, in the next reactor turn
+REQUEST_TIMEOUT = 2.5
+UNREAD_GRACE = 0.01  # seconds more to read bytes that had arrived by then, in the next reactor turn
 # idle connections with a single request so far: at most this fraction of the budget, or this many
-ONCE_PART, ONCE_LEAST = 6, 16
-STALE = 2 * SECOND  # idle time after which a connection may be closed in favour of another
+SINGLE_REQUEST_DIVISOR, SINGLE_REQUEST_MIN = 6, 16
+STALE_AFTER = 2 * SECOND  # idle time after which a connection may be closed in favour of another
 
 
 class Answer(NamedTuple):
@@ -89,8 +89,9 @@
         self.keeper: Keeper | None = None
         self.in_hand: Callable[[], int] = lambda: 0
         self._accepting = True
-        budget.freed = self.settle
-        self.once: dict[Client, None] = {}  # idle since their first answer, longest idle first
+        budget.on_release = self.update_accepting
+        # idle since their first answer, longest idle first
+        self.single_request: dict[Client, None] = {}
         self.accept: Callable[[bool], None] = lambda on: None  # turns accepting on or off
         self.open: dict[Client, None] = {}  # in order of last activity, most recent last
 
@@ -98,14 +99,16 @@
         return Client(self)
 
     @property
-    def crowded(self) -> bool:
+    def too_many_single_request(self) -> bool:
         """Whether too many connections are idle after a single request.
 
         Clients that send one request and keep the connection could use up the budget, and then no
         client could connect. Connections with repeated requests are not counted or closed: opening
         them anew would cost more than keeping them.
         """
-        return len(self.once) > max(ONCE_LEAST, self.budget.most // ONCE_PART)
+        return len(self.single_request) > max(
+            SINGLE_REQUEST_MIN, self.budget.limit // SINGLE_REQUEST_DIVISOR
+        )
 
     def admits(self) -> bool:
         """Whether the front's lifecycle state permits another query.
@@ -115,34 +118,35 @@
         return self.keeper is None or self.keeper.admits(self.clock(), self.in_hand())
 
     def close_stale(self) -> bool:
-        """Close a connection that has been idle for at least STALE, if there is one.
+        """Close a connection that has been idle for at least STALE_AFTER, if there is one.
 
         Otherwise idle clients would take descriptors that connections to machines need.
         """
-        return self.close_one(STALE)
+        return self.close_longest_idle(STALE_AFTER)
 
-    def close_one(self, after: int = 0) -> bool:
+    def close_longest_idle(self, after: int = 0) -> bool:
         """Close the connection that has been idle longest, if for at least `after` microseconds."""
         since = self.clock() - after
         idle = next(
-            (one for one in self.open if one.idle and one.since <= since and not one.unread), None
+            (one for one in self.open if one.idle and one.idle_since <= since and not one.unread),
+            None,
         )
         if idle is not None:
             idle.close()
         return idle is not None
 
-    def settle(self) -> None:
+    def update_accepting(self) -> None:
         """Turn accepting on or off, according to the budget.
 
         A burst of connections could take the last descriptor, and connections accepted then would
         be closed without an answer. While accepting is off, the kernel queues new connections.
         """
-        accepting = self.budget.over < OVER_MOST and self.budget.room > 0
+        accepting = self.budget.over_budget < MAX_OVER_BUDGET and self.budget.available > 0
         if accepting != self._accepting:
             self._accepting = accepting
             self.accept(accepting)
 
-    def bound(self, port: Port) -> None:
+    def limit_accepts(self, port: Port) -> None:
         """Limit the accepts of each reactor turn to the available descriptors.
 
         Twisted accepts up to a hundred connections in one turn, even if accepting was turned off
@@ -150,7 +154,7 @@
         """
 
         def turn() -> None:
-            port.numberAccepts = max(1, self.budget.room)
+            port.numberAccepts = max(1, self.budget.available)
             type(port).doRead(port)
 
         port.doRead = turn
@@ -170,7 +174,7 @@
             if not client.closing:
                 client.transport.abortConnection()
 
-    def read(self, request: Request, came: int) -> Query | Answer:
+    def read(self, request: Request, received_at: int) -> Query | Answer:
         path = request.target.partition("?")[0]
         if path == "/up" and request.method == "GET":
             served = self.up and not self.leaving and (self.keeper is None or self.keeper.up)
@@ -186,7 +190,7 @@
             not _ID.fullmatch(query)
             or profile is None
             or remaining is None
-            or not 0 < remaining <= LONGEST
+            or not 0 < remaining <= MAX_REMAINING
         ):
             return Answer(400)
         if (request.method == "GET") != (self.repeats[profile] is Repeat.RETRIABLE):
@@ -194,7 +198,7 @@
         if request.method == "GET" and request.body:
             return Answer(400)
         cost = _number(headers.get("x-estimate", ""))
-        due = came + max(0, round(remaining * SECOND) - WAY)
+        due = received_at + max(0, round(remaining * SECOND) - ANSWER_TRANSIT)
         return Query(
             Asked(
                 query,
@@ -214,9 +218,9 @@
         # with the time at which each was complete
         self._waiting: deque[tuple[Request | Fault, int]] = deque()
         self._working: Deferred[Answer] | None = None
-        self._counted = self._closing = self._full = False
+        self._counted = self._closing = self._paused = False
         self._first = True  # no answer was sent yet
-        self.since = 0  # time of connecting, or of the last answer
+        self.idle_since = 0  # time of connecting, or of the last answer
         self._timer = None
 
     @property
@@ -245,26 +249,29 @@
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self._counted = self._clients.budget.take()
+        self._counted = self._clients.budget.acquire()
         if not self._counted:
-            self._clients.budget.over += 1
-        self._clients.settle()
+            self._clients.budget.over_budget += 1
+        self._clients.update_accepting()
         self._clients.open[self] = None
-        self.since = self._clients.clock()
-        self._timer = self._clients.reactor.callLater(READ_WITHIN, self._too_slow)
+        self.idle_since = self._clients.clock()
+        self._timer = self._clients.reactor.callLater(REQUEST_TIMEOUT, self._too_slow)
         self.transport.registerProducer(self, True)
 
     def dataReceived(self, data: bytes) -> None:
         if self._closing:
             return
         self._clients.open[self] = self._clients.open.pop(self, None)
-        self._clients.once.pop(self, None)
+        self._clients.single_request.pop(self, None)
         now = self._clients.clock()
         found = self._reader.feed(data)
         self._waiting.extend((read, now) for read in found)
-        if len(self._waiting) > QUEUED:
+        if len(self._waiting) > MAX_PIPELINED:
             self._waiting = deque(
-                [*list(self._waiting)[:QUEUED], (Fault(400, "too many requests at once"), now)]
+                [
+                    *list(self._waiting)[:MAX_PIPELINED],
+                    (Fault(400, "too many requests at once"), now),
+                ]
             )
         if found:
             self._drop_timer()
@@ -277,21 +284,21 @@
         self._reader.drop()
         self._waiting.clear()
         self._clients.open.pop(self, None)
-        self._clients.once.pop(self, None)
+        self._clients.single_request.pop(self, None)
         if self._counted:
-            self._clients.budget.give()
+            self._clients.budget.release()
         else:
-            self._clients.budget.over -= 1
-            self._clients.settle()
+            self._clients.budget.over_budget -= 1
+            self._clients.update_accepting()
         if self._working is not None:
             self._working.cancel()
 
     def pauseProducing(self) -> None:
         """Stop answering: a client that never reads its answers must not fill the memory."""
-        self._full = True
+        self._paused = True
 
     def resumeProducing(self) -> None:
-        self._full = False
+        self._paused = False
         if self._closing:
             self.transport.unregisterProducer()
         else:
@@ -305,8 +312,8 @@
         self.transport.loseConnection()
 
     def _work(self) -> None:
-        while self._waiting and self._working is None and not (self._closing or self._full):
-            read, came = self._waiting.popleft()
+        while self._waiting and self._working is None and not (self._closing or self._paused):
+            read, received_at = self._waiting.popleft()
             if isinstance(read, Fault):
                 note(log, "bad request", logging.DEBUG, status=read.status, why=read.reason)
                 self._answer(Answer(read.status), False)
@@ -317,7 +324,7 @@
             if "expect" in read.headers:
                 self._answer(Answer(417), False)
                 continue
-            found = self._clients.read(read, came)
+            found = self._clients.read(read, received_at)
             if isinstance(found, Answer):
                 self._answer(found, read.keep_alive)
                 continue
@@ -346,15 +353,15 @@
     def _answer(self, answer: Answer, keep: bool) -> None:
         if keep and self._first:
             self._first = False
-            self._clients.once[self] = None
-            if self._clients.crowded:
+            self._clients.single_request[self] = None
+            if self._clients.too_many_single_request:
                 keep = False
                 self._clients.close_stale()
         keeper = self._clients.keeper
-        going = self._clients.leaving or (keeper is not None and keeper.closes)
+        shutting_down = self._clients.leaving or (keeper is not None and keeper.closes)
         # after a client error the connection is closed
-        keep = keep and not going and not 400 <= answer.status < 500
-        self.since = self._clients.clock()
+        keep = keep and not shutting_down and not 400 <= answer.status < 500
+        self.idle_since = self._clients.clock()
         self.transport.write(write_response(answer.status, answer.body, keep, answer.headers))
         if not keep:
             self._linger()
@@ -372,14 +379,14 @@
 
     def _await_rest(self) -> None:
         if self._timer is None and self._reader.mid_message and self._working is None:
-            self._timer = self._clients.reactor.callLater(READ_WITHIN, self._too_slow)
+            self._timer = self._clients.reactor.callLater(REQUEST_TIMEOUT, self._too_slow)
 
-    def _too_slow(self, looked: bool = False) -> None:
+    def _too_slow(self, extended: bool = False) -> None:
         self._timer = None
         if self._working is None and not self._closing:
             # after a long turn the timeout may fire before bytes that arrived in time are read
-            if self.unread and not looked:
-                self._timer = self._clients.reactor.callLater(READ_LEAST, self._too_slow, True)
+            if self.unread and not extended:
+                self._timer = self._clients.reactor.callLater(UNREAD_GRACE, self._too_slow, True)
             elif self._reader.mid_message:
                 self._answer(Answer(408), False)
             else:
--- a/umbermoor/front/server/connections.py
+++ b/umbermoor/front/server/connections.py
@@ -22,25 +22,25 @@
 
 
 @implementer(IPullProducer)
-class Line(Protocol):
+class Connection(Protocol):
     """An outgoing connection.
 
     It is a pull producer: the transport asks for more once everything is written, so the
     connection knows when the last byte of its request is out.
     """
 
-    def __init__(self, buffers: Buffers, piece: Callable[[bytes], None] | None = None) -> None:
-        self._reader = Reader(buffers, responses=True, stream_body=piece is not None)
-        self._piece = piece
+    def __init__(self, buffers: Buffers, on_body: Callable[[bytes], None] | None = None) -> None:
+        self._reader = Reader(buffers, responses=True, stream_body=on_body is not None)
+        self._on_body = on_body
         self._answer: Deferred[Outcome] | None = None
-        self._rest = b""
+        self._unsent = b""
         self.progress = Progress.UNCONNECTED
         self.open = False
         self.idle_since = 0  # while it is kept for reuse
         self.on_close: Callable[[], None] = lambda: None
 
     @property
-    def clean(self) -> bool:
+    def reusable(self) -> bool:
         """Whether another request may be sent on it."""
         return self.open and self._answer is None and not self._reader.mid_message
 
@@ -50,7 +50,7 @@
 
     def ask(self, data: bytes) -> "Deferred[Outcome]":
         self._answer = answer = Deferred()
-        self._rest, self.progress = data, Progress.PART
+        self._unsent, self.progress = data, Progress.PART
         if self.open:
             self.transport.registerProducer(self, False)
         else:
@@ -58,8 +58,8 @@
         return answer
 
     def resumeProducing(self) -> None:
-        if self._rest:
-            data, self._rest = self._rest, b""
+        if self._unsent:
+            data, self._unsent = self._unsent, b""
             self.transport.write(data)
         else:
             self.transport.unregisterProducer()
@@ -77,16 +77,16 @@
             self.progress = Progress.ANSWERING
         reads = self._reader.feed(data)
         while reads and isinstance(reads[0], BodyPart):
-            self._piece(reads.pop(0).data)
+            self._on_body(reads.pop(0).data)
         if not reads:
             return
-        read, *behind = reads
+        read, *following = reads
         if early or isinstance(read, Fault):
             self.give_up(Cause.GARBLED)
             return
         # Bytes after a response must not be taken for the response to the next request, which may
         # be sent while this one settles.
-        if behind or self._reader.mid_message or not read.keep_alive:
+        if following or self._reader.mid_message or not read.keep_alive:
             self.close()
         self._settle(read)
 
@@ -124,59 +124,59 @@
     def __init__(self, reactor, data: bytes, limit: int) -> None:
         self._reactor, self._data = reactor, data
         self._connecting: Deferred | None = None
-        self.line: Line | None = None
+        self.connection: Connection | None = None
         # cancelling it stops the request
-        self.outcome: Deferred[Outcome] = Deferred(lambda _: self._end(Cause.STOPPED))
-        self._timer = reactor.callLater(max(0, limit) / SECOND, self._end, Cause.LATE)
+        self.outcome: Deferred[Outcome] = Deferred(lambda _: self._abort(Cause.STOPPED))
+        self._timer = reactor.callLater(max(0, limit) / SECOND, self._abort, Cause.LATE)
 
-    def on(self, line: Line) -> None:
-        self.line = line
-        line.ask(self._data).addCallback(self._settle)
+    def send_on(self, connection: Connection) -> None:
+        self.connection = connection
+        connection.ask(self._data).addCallback(self._settle)
 
     def connect(
         self,
         address: tuple[str, int],
-        within: int,
-        line: Callable[[], Line],
+        timeout: int,
+        protocol: Callable[[], Connection],
         may_go: Callable[[], bool] = lambda: True,
-        lost: Callable[[], None] = lambda: None,
+        on_lost: Callable[[], None] = lambda: None,
     ) -> None:
         """Connect and send the request, if `may_go` still permits it once connected.
 
-        `lost` is called once, when connecting fails or the connection is lost.
+        `on_lost` is called once, when connecting fails or the connection is lost.
         """
-        factory = Factory.forProtocol(line)
+        factory = Factory.forProtocol(protocol)
         factory.noisy = False
 
-        def connected(made: Line) -> None:
-            self._connecting, made.on_close = None, lost
-            self.line = made
+        def connected(made: Connection) -> None:
+            self._connecting, made.on_close = None, on_lost
+            self.connection = made
             if self.outcome.called:
                 made.close()
             elif may_go():
-                self.on(made)
+                self.send_on(made)
             else:
                 self._settle(Failed(Progress.UNCONNECTED, Cause.WITHDRAWN))
 
         def failed(_reason: Failure) -> None:
             self._connecting = None
-            lost()
+            on_lost()
             self._settle(Failed(Progress.UNCONNECTED, Cause.REFUSED))
 
-        endpoint = TCP4ClientEndpoint(self._reactor, *address, timeout=within / SECOND)
+        endpoint = TCP4ClientEndpoint(self._reactor, *address, timeout=timeout / SECOND)
         self._connecting = endpoint.connect(factory)
         self._connecting.addCallbacks(connected, failed).addErrback(self._faulted)
 
     def _faulted(self, failure: Failure) -> None:
         note_failure(log, "fault on a new connection", failure)
-        self._end(Cause.BROKEN)
+        self._abort(Cause.BROKEN)
 
     def refuse(self) -> None:
         self._settle(Failed(Progress.UNCONNECTED, Cause.REFUSED))
 
-    def _end(self, cause: Cause) -> None:
-        if self.line is not None:
-            self.line.give_up(cause)
+    def _abort(self, cause: Cause) -> None:
+        if self.connection is not None:
+            self.connection.give_up(cause)
         self._settle(Failed(Progress.UNCONNECTED, cause))
         if self._connecting is not None:
             self._connecting.cancel()
--- a/umbermoor/front/server/descriptor_budget.py
+++ b/umbermoor/front/server/descriptor_budget.py
@@ -5,46 +5,46 @@
 # descriptors for control connections, the listener, the log, the reactor itself, and clients beyond
 # the budget
 RESERVE = 32
-OVER_MOST = 6  # clients beyond the budget, which only get a 503 with Retry-After
+MAX_OVER_BUDGET = 6  # clients beyond the budget, which only get a 503 with Retry-After
 # taken in place of connections that are closing: these hold their descriptors until the end of the
 # reactor turn
-CLOSING_MOST = 6
+MAX_CLOSING = 6
 
 
 class Budget:
     def __init__(self, sockets: int) -> None:
         self.used = self.peak = 0
-        self.over = 0  # clients beyond the budget
-        self.freed: Callable[[], None] = lambda: None
+        self.over_budget = 0  # clients beyond the budget
+        self.on_release: Callable[[], None] = lambda: None
         self.resize(sockets)
         # each closes one idle connection, if it has any; tried in this order
-        self.spare: list[Callable[[], bool]] = []
+        self.reclaimers: list[Callable[[], bool]] = []
 
     def resize(self, sockets: int) -> None:
-        self.most = sockets - RESERVE
+        self.limit = sockets - RESERVE
 
     @property
-    def room(self) -> int:
+    def available(self) -> int:
         """The number of descriptors that may still be opened now, by clients or machines."""
-        return self.most + CLOSING_MOST + OVER_MOST - self.used - self.over
+        return self.limit + MAX_CLOSING + MAX_OVER_BUDGET - self.used - self.over_budget
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Count one more socket, closing an idle one if the budget is used up.
 
-        Sockets that are closed stay open until the end of the reactor turn, so at most CLOSING_MOST
+        Sockets that are closed stay open until the end of the reactor turn, so at most MAX_CLOSING
         are replaced within one turn; without that bound, the process could run out of descriptors.
 
         Returns:
             Whether the socket may be opened.
         """
-        if self.used >= self.most + CLOSING_MOST or (
-            self.used >= self.most and not any(close() for close in self.spare)
+        if self.used >= self.limit + MAX_CLOSING or (
+            self.used >= self.limit and not any(close() for close in self.reclaimers)
         ):
             return False
         self.used += 1
         self.peak = max(self.peak, self.used)
         return True
 
-    def give(self) -> None:
+    def release(self) -> None:
         self.used -= 1
-        self.freed()
+        self.on_release()
--- a/umbermoor/front/server/exchange.py
+++ b/umbermoor/front/server/exchange.py
@@ -15,8 +15,8 @@
     DecisionModule,
     Denied,
     Ended,
+    FrontEvent,
     Go,
-    Heard,
     Held,
     Left,
     Listed,
@@ -41,10 +41,10 @@
 
 log = logging.getLogger(__name__)
 
-LOST_EVERY = SECOND  # minimum time between two log lines about the same machine
+LOSS_LOG_INTERVAL = SECOND  # minimum time between two log lines about the same machine
 
 
-class _Held(NamedTuple):
+class _PendingQuery(NamedTuple):
     """A query that has not been answered yet."""
 
     query: Query
@@ -57,7 +57,7 @@
     votes: bool
 
 
-class Witness(Protocol):
+class Observer(Protocol):
     """Receives every query, hand-off and outcome, e.g. for captures and metrics."""
 
     def listed(self, whole: bool, entries: list[Entry]) -> None: ...
@@ -72,34 +72,41 @@
         self,
         reactor,
         clock: Callable[[], int],
-        desk: DecisionModule,
+        decision_module: DecisionModule,
         machines: Machines,
         load_fields: tuple[str, ...],
     ) -> None:
-        self._reactor, self._clock, self._desk, self._machines = reactor, clock, desk, machines
+        self._reactor, self._clock, self._decision_module, self._machines = (
+            reactor,
+            clock,
+            decision_module,
+            machines,
+        )
         self._load_fields = load_fields
         self.platform: Platform | None = None
-        self.witness: Witness | None = None  # notified of queries and their outcomes, if set
-        self.watch: Callable[[], None] = lambda: None
+        self.observer: Observer | None = None  # notified of queries and their outcomes, if set
+        self.start_watch: Callable[[], None] = lambda: None
         self.keeper: Keeper | None = None
-        self.held: dict[str, _Held] = {}
+        self.pending: dict[str, _PendingQuery] = {}
         self.counts: Counter[str] = Counter()  # since the last "counts" line in the log
         self._giving_up = ""
-        self._ran: set[str] = set()  # pending queries with an ended hand-off that may have run
-        self._out: dict[tuple[str, int], Deferred] = {}  # hand-offs in flight, by query and number
+        # pending queries with an ended hand-off that may have run
+        self._may_have_run: set[str] = set()
+        # hand-offs in flight, by query and number
+        self._in_flight: dict[tuple[str, int], Deferred] = {}
         self._steps: deque[Step] = deque()
-        self._following = False
+        self._executing = False
         self._timer = None
         self._timer_at = 0
         self._stage: tuple | None = None
-        self._lost: dict[str, int] = {}  # by machine, when its last loss was logged
-        self._do: dict[type, Callable] = {
-            Go: self._go,
+        self._loss_logged_at: dict[str, int] = {}  # by machine, when its last loss was logged
+        self._handlers: dict[type, Callable] = {
+            Go: self._hand_off,
             Stop: self._stop,
             Denied: self._denied,
             Abandoned: self._abandoned,
             Vote: self._vote,
-            Watch: lambda _: self.watch(),
+            Watch: lambda _: self.start_watch(),
             Probe: self._probe,
             Held: lambda _: None,
             Tell: lambda _: None,  # the interface documents no way for fronts to reach each other
@@ -110,27 +117,27 @@
 
     def ask(self, query: Query) -> "Deferred[Answer]":
         id = query.asked.query
-        answer: Deferred[Answer] = Deferred(lambda _: self._left(id))
-        if id in self.held:
+        answer: Deferred[Answer] = Deferred(lambda _: self._client_left(id))
+        if id in self.pending:
             answer.callback(Answer(409))
             return answer
-        self.held[id] = _Held(query, answer)
+        self.pending[id] = _PendingQuery(query, answer)
         self.counts["asked"] += 1
-        if self.witness is not None:
-            self.witness.asked(query.asked)
+        if self.observer is not None:
+            self.observer.asked(query.asked)
         try:
-            fate = self._desk.pick(query.asked)
+            step = self._decision_module.pick(query.asked)
         except Exception:
             log.exception("fault in a query")
             self._give_up(id)
         else:
-            self._follow([fate])
+            self._execute([step])
         return answer
 
-    def _left(self, id: str) -> None:
-        if self.held.pop(id, None):
-            if self.witness is not None:
-                self.witness.closed(id, 0)
+    def _client_left(self, id: str) -> None:
+        if self.pending.pop(id, None):
+            if self.observer is not None:
+                self.observer.closed(id, 0)
             self.report(Left(id))
 
     def give_up_all(self) -> None:
@@ -139,28 +146,30 @@
         The answer is 503 only where a retry is harmless: for a GET, or if no hand-off may have run.
         Otherwise it is 502.
         """
-        for id in list(self.held):
-            held, self._giving_up = self.held.pop(id), id
+        for id in list(self.pending):
+            waiting, self._giving_up = self.pending.pop(id), id
             self.report(Left(id))  # the decision module makes no more hand-offs for it
-            for key in [key for key in self._out if key[0] == id]:
-                self._out[key].cancel()
-            harmless = held.query.request.method == "GET" or id not in self._ran
-            self._ran.discard(id)
+            for key in [key for key in self._in_flight if key[0] == id]:
+                self._in_flight[key].cancel()
+            harmless = waiting.query.request.method == "GET" or id not in self._may_have_run
+            self._may_have_run.discard(id)
             self._giving_up = ""
-            if self.witness is not None:
-                self.witness.closed(id, 503 if harmless else 502)
-            held.answer.callback(
+            if self.observer is not None:
+                self.observer.closed(id, 503 if harmless else 502)
+            waiting.answer.callback(
                 Answer(503, headers={"Retry-After": "1"}) if harmless else Answer(502)
             )
 
     def forget(self) -> None:
-        self._desk.forget()
+        self._decision_module.forget()
 
     def remember(self) -> tuple:
-        return self._desk.remember()
+        return self._decision_module.remember()
 
     def recall(self, memory, machines) -> None:
-        self._desk.recall(memory.took, memory.work, memory.carried, memory.usual, machines)
+        self._decision_module.recall(
+            memory.took, memory.work, memory.carried, memory.usual, machines
+        )
 
     @property
     def stage(self) -> tuple | None:
@@ -170,18 +179,18 @@
     def _give_up(self, id: str) -> None:
         """Answer 500 after an internal fault and cancel the query's hand-offs."""
         self._answer(id, Answer(500))
-        for key in [key for key in self._out if key[0] == id]:
-            self._out[key].cancel()
+        for key in [key for key in self._in_flight if key[0] == id]:
+            self._in_flight[key].cancel()
 
     # Reports from other sources.
 
-    def report(self, heard: Heard) -> None:
-        self._follow(self._desk.report(heard))
+    def report(self, event: FrontEvent) -> None:
+        self._execute(self._decision_module.report(event))
 
     def listed(self, kind: Listing, news: lists.News) -> None:
         whole = kind is not Listing.CHANGES
-        if self.witness is not None:
-            self.witness.listed(whole, news.entries)
+        if self.observer is not None:
+            self.observer.listed(whole, news.entries)
         self._machines.listed(
             whole,
             {
@@ -205,7 +214,7 @@
             )
         self.report(Listed(kind, news.entries))
 
-    def told(self, news: Heard) -> None:
+    def platform_news(self, news: FrontEvent) -> None:
         """Report a message that the platform sent unasked."""
         if isinstance(news, News):
             self._note_stage(news)
@@ -234,25 +243,25 @@
 
     # Execution of the decision module's steps.
 
-    def _follow(self, steps: list[Step]) -> None:
+    def _execute(self, steps: list[Step]) -> None:
         self._steps.extend(steps)
-        if self._following:
+        if self._executing:
             return
-        self._following = True
+        self._executing = True
         try:
             while self._steps:
                 step = self._steps.popleft()
                 try:
-                    self._do[type(step)](step)
+                    self._handlers[type(step)](step)
                 except Exception:  # a fault must not stop the steps of other queries
                     log.exception("fault in a step")
                     self._give_up(getattr(step, "query", ""))
         finally:
-            self._following = False
-            self._arm()
+            self._executing = False
+            self._schedule_tick()
 
-    def _arm(self) -> None:
-        at = self._desk.next_tick
+    def _schedule_tick(self) -> None:
+        at = self._decision_module.next_tick
         if self._timer is not None and self._timer.active():
             if self._timer_at == at:
                 return
@@ -262,7 +271,7 @@
 
     def tick(self) -> None:
         try:
-            self._follow(self._desk.tick())
+            self._execute(self._decision_module.tick())
         except Exception:
             log.exception("fault in a tick")
             self._timer = self._reactor.callLater(0.1, self.tick)
@@ -272,12 +281,12 @@
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
-    def _go(self, step: Go) -> None:
-        held = self.held.get(step.query)
-        if held is None:  # its client has disconnected
+    def _hand_off(self, step: Go) -> None:
+        waiting = self.pending.get(step.query)
+        if waiting is None:  # its client has disconnected
             self.report(Ended(step.query, step.number, step.machine, Ending.MOOT, 0))
             return
-        request, sent, key = held.query.request, self._clock(), (step.query, step.number)
+        request, sent, key = waiting.query.request, self._clock(), (step.query, step.number)
         headers = {
             "X-Txn": step.query,
             "X-Lane": request.headers["x-lane"],
@@ -290,45 +299,47 @@
             headers,
             request.body,
             step.limit,
-            lambda: bool(self._desk.report(Connected(step))),
+            lambda: bool(self._decision_module.report(Connected(step))),
         )
-        self._out[key] = outcome
+        self._in_flight[key] = outcome
         self.counts["handed"] += 1
-        if self.witness is not None:
-            self.witness.handed(step.query, step.machine)
+        if self.observer is not None:
+            self.observer.handed(step.query, step.machine)
         outcome.addCallback(self._ended, step, sent).addErrback(self._faulted, step.query)
 
     def _ended(self, outcome: Outcome, step: Go, sent: int) -> None:
-        self._out.pop((step.query, step.number), None)
-        how = ending(outcome)
-        self.counts[how.name.lower()] += 1
-        if self.witness is not None:
-            self.witness.ended(step.query, step.machine, how, self._clock() - sent)
-        if how is not Ending.OK and how not in NEVER_RAN:
-            self._ran.add(step.query)
-        if how is Ending.OK and isinstance(outcome, Response):
+        self._in_flight.pop((step.query, step.number), None)
+        how_ended = ending(outcome)
+        self.counts[how_ended.name.lower()] += 1
+        if self.observer is not None:
+            self.observer.ended(step.query, step.machine, how_ended, self._clock() - sent)
+        if how_ended is not Ending.OK and how_ended not in NEVER_RAN:
+            self._may_have_run.add(step.query)
+        if how_ended is Ending.OK and isinstance(outcome, Response):
             self._answer(step.query, Answer(200, outcome.body))
-        elif how in (Ending.CONNECT_FAILED, Ending.RESET):
-            self._note_loss(step.machine, how)
-        self.report(Ended(step.query, step.number, step.machine, how, self._clock() - sent))
-        if step.query not in self.held and step.query != self._giving_up:
-            self._ran.discard(step.query)
-
-    def _note_loss(self, machine: str, how: Ending) -> None:
-        if self._clock() > self._lost.get(machine, 0) + LOST_EVERY:
+        elif how_ended in (Ending.CONNECT_FAILED, Ending.RESET):
+            self._note_loss(step.machine, how_ended)
+        self.report(Ended(step.query, step.number, step.machine, how_ended, self._clock() - sent))
+        if step.query not in self.pending and step.query != self._giving_up:
+            self._may_have_run.discard(step.query)
+
+    def _note_loss(self, machine: str, how_ended: Ending) -> None:
+        if self._clock() > self._loss_logged_at.get(machine, 0) + LOSS_LOG_INTERVAL:
             # drop old entries, or every machine that ever existed would stay recorded
-            since = self._clock() - LOST_EVERY
-            self._lost = {one: at for one, at in self._lost.items() if at > since} | {
-                machine: self._clock()
-            }
-            note(log, "machine lost", logging.WARNING, machine=machine, ending=how.name.lower())
+            since = self._clock() - LOSS_LOG_INTERVAL
+            self._loss_logged_at = {
+                one: at for one, at in self._loss_logged_at.items() if at > since
+            } | {machine: self._clock()}
+            note(
+                log, "machine lost", logging.WARNING, machine=machine, ending=how_ended.name.lower()
+            )
 
     def _faulted(self, failure, id: str) -> None:
         note_failure(log, "fault in a hand-off", failure)
         self._give_up(id)
 
     def _stop(self, step: Stop) -> None:
-        if outcome := self._out.get((step.query, step.number)):
+        if outcome := self._in_flight.get((step.query, step.number)):
             outcome.cancel()
 
     def _denied(self, step: Denied) -> None:
@@ -339,11 +350,11 @@
         self._answer(step.query, Answer(502))
 
     def _answer(self, id: str, answer: Answer) -> None:
-        if held := self.held.pop(id, None):
+        if waiting := self.pending.pop(id, None):
             self.counts[str(answer.status)] += 1
-            if self.witness is not None:
-                self.witness.closed(id, answer.status)
-            held.answer.callback(answer)
+            if self.observer is not None:
+                self.observer.closed(id, answer.status)
+            waiting.answer.callback(answer)
 
     def _vote(self, step: Vote) -> None:
         if self.keeper is not None and not self.keeper.votes:
--- a/umbermoor/front/server/formats.py
+++ b/umbermoor/front/server/formats.py
@@ -12,7 +12,7 @@
 _SPECIAL = re.compile(r"[^A-Za-z0-9._~-]+")
 _ESCAPES = re.compile(r"(?:%[0-9A-Fa-f]{2})+")
 _NAMED = {"lt": "<", "gt": ">", "amp": "&", "quot": '"', "apos": "'"}
-LINE_MOST = 64 * 1024  # bytes of a line of an event stream; longer lines are dropped
+MAX_LINE_BYTES = 64 * 1024  # bytes of a line of an event stream; longer lines are dropped
 
 
 class Element(NamedTuple):
@@ -77,7 +77,9 @@
             if not stack or done.name != tag[2]:
                 return None
             stack[-1].inner.append(
-                done._replace(text="" if done.inner else _ENTITY.sub(_plain, between).strip())
+                done._replace(
+                    text="" if done.inner else _ENTITY.sub(_decode_entity, between).strip()
+                )
             )
         elif tag[4]:
             stack[-1].inner.append(Element(tag[2], "", []))
@@ -87,7 +89,7 @@
     return stack[0].inner[0] if whole else None
 
 
-def _plain(entity: re.Match[str]) -> str:
+def _decode_entity(entity: re.Match[str]) -> str:
     name = entity[1]
     if name in _NAMED:
         return _NAMED[name]
@@ -104,14 +106,14 @@
     """Splits a byte stream, received in pieces, into events (server-sent events)."""
 
     def __init__(self) -> None:
-        self._rest, self._kind, self._data = b"", "", []
+        self._partial, self._kind, self._data = b"", "", []
 
     def feed(self, piece: bytes) -> list[Event]:
         events = []
         # a \r at the end may be the first half of \r\n
-        *lines, self._rest = re.split(rb"\r\n|\n|\r(?!\Z)", self._rest + piece)
-        if len(self._rest) > LINE_MOST:
-            self._rest = b""
+        *lines, self._partial = re.split(rb"\r\n|\n|\r(?!\Z)", self._partial + piece)
+        if len(self._partial) > MAX_LINE_BYTES:
+            self._partial = b""
         for line in lines:
             name, _, value = line.decode("utf-8", "replace").partition(":")
             value = value.removeprefix(" ")
--- a/umbermoor/front/server/machines.py
+++ b/umbermoor/front/server/machines.py
@@ -7,25 +7,25 @@
 
 from twisted.internet.defer import Deferred
 
-from umbermoor.front.server.connections import SECOND, Attempt, Line
+from umbermoor.front.server.connections import SECOND, Attempt, Connection
 from umbermoor.front.server.descriptor_budget import Budget
 from umbermoor.front.server.outcomes import Cause, Failed, Outcome, Progress
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Response
 from umbermoor.http1.writer import write_request
 
-IDLE_SAFE = 2 * SECOND  # connections are not reused this close to the machine's own idle timeout
-PROBE_LIMIT = SECOND // 4
+IDLE_MARGIN = 2 * SECOND  # connections are not reused this close to the machine's own idle timeout
+PROBE_TIMEOUT = SECOND // 4
 
 
 @dataclass(slots=True)
-class _Place:
+class _Endpoint:
     address: tuple[str, int]
     ready: bool = True
-    idle: list[Line] = field(default_factory=list)
+    idle: list[Connection] = field(default_factory=list)
 
 
-class Carrier(Protocol):
+class StreamTransport(Protocol):
     """An alternative to one connection for each hand-off; see streams.py."""
 
     def listed(
@@ -42,7 +42,7 @@
         body: bytes,
         limit: int,
         may_go: Callable[[], bool],
-        plain: "Callable[[], Deferred[Outcome]]",
+        hand_off_http1: "Callable[[], Deferred[Outcome]]",
     ) -> "Deferred[Outcome]": ...
     def stop(self) -> None: ...
 
@@ -65,41 +65,41 @@
             budget,
             host,
         )
-        self._connect_within, self._idle_most = (
+        self._connect_within, self._max_idle = (
             connect_within,
-            max(idle_close // 2, idle_close - IDLE_SAFE),
+            max(idle_close // 2, idle_close - IDLE_MARGIN),
         )
-        self._places: dict[str, _Place] = {}
-        self.carrier: Carrier | None = None
+        self._endpoints: dict[str, _Endpoint] = {}
+        self.stream_transport: StreamTransport | None = None
         self.counts: Counter[str] = Counter()
 
     def listed(
         self,
         whole: bool,
-        places: Mapping[str, tuple[tuple[str, int], bool] | None],
+        endpoints: Mapping[str, tuple[tuple[str, int], bool] | None],
         speaks: Mapping[str, str] = {},
     ) -> None:
         """Apply a list: the address and readiness of each machine, or None for a removed one."""
-        gone = [id for id in self._places if id not in places] if whole else []
-        if self.carrier is not None:
+        gone = [id for id in self._endpoints if id not in endpoints] if whole else []
+        if self.stream_transport is not None:
             for id in gone:
-                self.carrier.listed(id, None, False, "")
-            for id, given in places.items():
-                self.carrier.listed(id, *(given or (None, False)), speaks.get(id, ""))
-        for id in [*gone, *(id for id, place in places.items() if place is None)]:
-            if place := self._places.pop(id, None):
-                self._hang_up(place)
-        for id, given in places.items():
+                self.stream_transport.listed(id, None, False, "")
+            for id, given in endpoints.items():
+                self.stream_transport.listed(id, *(given or (None, False)), speaks.get(id, ""))
+        for id in [*gone, *(id for id, endpoint in endpoints.items() if endpoint is None)]:
+            if endpoint := self._endpoints.pop(id, None):
+                self._close_idle(endpoint)
+        for id, given in endpoints.items():
             if given is None:
                 continue
             address, ready = given
-            place = self._places.get(id)
-            if place and (place.address != address or not ready):
-                self._hang_up(place)
+            endpoint = self._endpoints.get(id)
+            if endpoint and (endpoint.address != address or not ready):
+                self._close_idle(endpoint)
             # connections to the old address must not be kept for the new one
-            if place is None or place.address != address:
-                self._places[id] = place = _Place(address)
-            place.ready = ready
+            if endpoint is None or endpoint.address != address:
+                self._endpoints[id] = endpoint = _Endpoint(address)
+            endpoint.ready = ready
 
     def hand_off(
         self,
@@ -115,25 +115,29 @@
 
         Cancelling the result stops the request; the outcome is still delivered.
         """
-        place = self._places.get(machine)
-        if self.carrier is not None and place is not None and self.carrier.speaks(machine):
+        endpoint = self._endpoints.get(machine)
+        if (
+            self.stream_transport is not None
+            and endpoint is not None
+            and self.stream_transport.speaks(machine)
+        ):
             until = self._clock() + limit
-            return self.carrier.hand_off(
+            return self.stream_transport.hand_off(
                 machine,
-                place.address,
+                endpoint.address,
                 method,
                 target,
                 headers,
                 body,
                 limit,
                 may_go,
-                lambda: self._plain(
+                lambda: self._hand_off_http1(
                     machine, method, target, headers, body, until - self._clock(), may_go
                 ),
             )
-        return self._plain(machine, method, target, headers, body, limit, may_go)
+        return self._hand_off_http1(machine, method, target, headers, body, limit, may_go)
 
-    def _plain(
+    def _hand_off_http1(
         self,
         machine: str,
         method: str,
@@ -144,25 +148,25 @@
         may_go: Callable[[], bool],
     ) -> "Deferred[Outcome]":
         """Send the request over HTTP/1.1, on a connection of its own."""
-        place = self._places.get(machine)
+        endpoint = self._endpoints.get(machine)
         attempt = Attempt(
             self._reactor, write_request(method, target, self._host, headers, body), limit
         )
-        line = place and self._kept(place)
-        if line:
-            attempt.on(line)
-        elif place and self._budget.take():
+        connection = endpoint and self._reuse_idle(endpoint)
+        if connection:
+            attempt.send_on(connection)
+        elif endpoint and self._budget.acquire():
             self.counts["opened"] += 1
             attempt.connect(
-                place.address,
+                endpoint.address,
                 self._connect_within,
-                lambda: Line(self._buffers),
+                lambda: Connection(self._buffers),
                 may_go,
-                self._budget.give,
+                self._budget.release,
             )
         else:
             attempt.refuse()
-        return attempt.outcome.addCallback(self._over, machine, place, attempt)
+        return attempt.outcome.addCallback(self._ended, machine, endpoint, attempt)
 
     def probe(self, machine: str, reports: bool) -> "Deferred[Outcome]":
         return self.hand_off(
@@ -171,53 +175,53 @@
             "/metrics/load" if reports else "/alive",
             {},
             b"",
-            PROBE_LIMIT,
+            PROBE_TIMEOUT,
             lambda: True,
         )
 
     def close(self) -> None:
-        for place in self._places.values():
-            self._hang_up(place)
-        if self.carrier is not None:
-            self.carrier.stop()
+        for endpoint in self._endpoints.values():
+            self._close_idle(endpoint)
+        if self.stream_transport is not None:
+            self.stream_transport.stop()
 
-    def _over(
-        self, outcome: Outcome, machine: str, place: _Place | None, attempt: Attempt
+    def _ended(
+        self, outcome: Outcome, machine: str, endpoint: _Endpoint | None, attempt: Attempt
     ) -> Outcome:
-        line = attempt.line
-        if line and line.open:
+        connection = attempt.connection
+        if connection and connection.open:
             unused = outcome == Failed(Progress.UNCONNECTED, Cause.WITHDRAWN)
-            known = place is self._places.get(machine) and place.ready
-            if known and line.clean and (unused or isinstance(outcome, Response)):
-                line.idle_since = self._clock()
-                place.idle.append(line)
+            current = endpoint is self._endpoints.get(machine) and endpoint.ready
+            if current and connection.reusable and (unused or isinstance(outcome, Response)):
+                connection.idle_since = self._clock()
+                endpoint.idle.append(connection)
             else:
-                line.close()
+                connection.close()
         return outcome
 
-    def _kept(self, place: _Place) -> Line | None:
-        while place.idle:
-            line = place.idle.pop()
-            if line.clean and self._clock() - line.idle_since < self._idle_most:
-                return line
-            line.close()
+    def _reuse_idle(self, endpoint: _Endpoint) -> Connection | None:
+        while endpoint.idle:
+            connection = endpoint.idle.pop()
+            if connection.reusable and self._clock() - connection.idle_since < self._max_idle:
+                return connection
+            connection.close()
         return None
 
-    def _hang_up(self, place: _Place) -> None:
-        for line in place.idle:
-            line.close()
-        place.idle.clear()
+    def _close_idle(self, endpoint: _Endpoint) -> None:
+        for connection in endpoint.idle:
+            connection.close()
+        endpoint.idle.clear()
 
-    def close_one(self) -> bool:
+    def close_longest_idle(self) -> bool:
         """Close the connection that has been idle longest, ignoring those already closed.
 
         Returns:
             Whether there was one.
         """
-        for place in self._places.values():
-            place.idle = [line for line in place.idle if line.open]
-        places = [place for place in self._places.values() if place.idle]
-        if not places:
+        for endpoint in self._endpoints.values():
+            endpoint.idle = [connection for connection in endpoint.idle if connection.open]
+        endpoints = [endpoint for endpoint in self._endpoints.values() if endpoint.idle]
+        if not endpoints:
             return False
-        min(places, key=lambda place: place.idle[0].idle_since).idle.pop(0).close()
+        min(endpoints, key=lambda endpoint: endpoint.idle[0].idle_since).idle.pop(0).close()
         return True
--- a/umbermoor/front/server/members.py
+++ b/umbermoor/front/server/members.py
@@ -28,10 +28,10 @@
 
 log = logging.getLogger(__name__)
 
-LIST = "list"
-FILE_EVERY = 0.5  # seconds between two checks of a file
-SAVE_EVERY = 2.0
-ANSWER_MOST = 65_535
+LIST_SOURCE = "list"
+FILE_CHECK_INTERVAL = 0.5  # seconds between two checks of a file
+SAVE_INTERVAL = 2.0
+MAX_ANSWER_BYTES = 65_535
 
 
 class _Datagram(DatagramProtocol):
@@ -42,9 +42,12 @@
     """
 
     def __init__(
-        self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
+        self,
+        ask: Ask,
+        on_result: Callable[[Ask, bytes], None],
+        on_failure: Callable[[Ask, str], None],
     ) -> None:
-        self._ask, self._told, self._broke = ask, told, broke
+        self._ask, self._on_result, self._failed = ask, on_result, on_failure
 
     def startProtocol(self) -> None:
         host, _, port = self._ask.server.rpartition(":")
@@ -52,19 +55,28 @@
         self.transport.write(self._ask.data)
 
     def datagramReceived(self, data: bytes, addr) -> None:
-        self._told(self._ask, data)
+        self._on_result(self._ask, data)
 
     def connectionRefused(self) -> None:
-        self._broke(self._ask, "refused")
+        self._failed(self._ask, "refused")
 
 
 class _Stream(Protocol):
     """A DNS query over TCP: two bytes of length, then the message (RFC 7766)."""
 
     def __init__(
-        self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
+        self,
+        ask: Ask,
+        on_result: Callable[[Ask, bytes], None],
+        on_failure: Callable[[Ask, str], None],
     ) -> None:
-        self._ask, self._told, self._broke, self._data, self._done = ask, told, broke, b"", False
+        self._ask, self._on_result, self._failed, self._data, self._done = (
+            ask,
+            on_result,
+            on_failure,
+            b"",
+            False,
+        )
 
     def connectionMade(self) -> None:
         self.transport.write(len(self._ask.data).to_bytes(2) + self._ask.data)
@@ -77,15 +89,15 @@
             and not self._done
         ):
             self._done = True
-            self._told(self._ask, self._data[2 : 2 + int.from_bytes(self._data[:2])])
+            self._on_result(self._ask, self._data[2 : 2 + int.from_bytes(self._data[:2])])
             self.transport.loseConnection()
-        elif len(self._data) > ANSWER_MOST + 2:
+        elif len(self._data) > MAX_ANSWER_BYTES + 2:
             self.transport.abortConnection()
 
     def connectionLost(self, reason) -> None:
         if not self._done:
             self._done = True
-            self._broke(self._ask, "the connection ended")
+            self._failed(self._ask, "the connection ended")
 
 
 class SrvSource:
@@ -95,14 +107,19 @@
         clock,
         given: SrvFrom,
         chance,
-        told: Callable[[str, There | NotThere | Failed], None],
+        on_result: Callable[[str, There | NotThere | Failed], None],
     ) -> None:
-        self._reactor, self._clock, self._name, self._told = reactor, clock, given.called, told
+        self._reactor, self._clock, self._name, self._on_result = (
+            reactor,
+            clock,
+            given.called,
+            on_result,
+        )
         self._asker = Asker(given.name, [Server(one) for one in given.servers], chance)
         self._port = self._timer = None
 
     def start(self) -> None:
-        self._look()
+        self._poll()
 
     def stop(self) -> None:
         if self._timer is not None and self._timer.active():
@@ -114,13 +131,13 @@
             port, self._port = self._port, None
             port.stopListening()
 
-    def _look(self) -> None:
-        was = self._asker.out
+    def _poll(self) -> None:
+        previous = self._asker.out
         ask = self._asker.due(self._clock())
-        if was is not None and self._asker.out is not was:
+        if previous is not None and self._asker.out is not previous:
             self._close()
             if self._asker.out is None:
-                self._told(self._name, Failed(self._asker.why))
+                self._on_result(self._name, Failed(self._asker.why))
         if ask is not None:
             self._send(ask)
         self._arm()
@@ -129,36 +146,36 @@
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         wait = max(0.01, (self._asker.next_at() - self._clock()) / SECOND)
-        self._timer = self._reactor.callLater(wait, self._look)
+        self._timer = self._reactor.callLater(wait, self._poll)
 
     def _send(self, ask: Ask) -> None:
         self._close()
         if ask.tcp:
             factory = Factory()
             factory.noisy = False
-            factory.buildProtocol = lambda _: _Stream(ask, self._heard, self._broke)
+            factory.buildProtocol = lambda _: _Stream(ask, self._answered, self._failed)
             host, _, port = ask.server.rpartition(":")
             made: Deferred = TCP4ClientEndpoint(self._reactor, host, int(port), timeout=2).connect(
                 factory
             )
-            made.addErrback(lambda failure: self._broke(ask, "refused over TCP"))
+            made.addErrback(lambda failure: self._failed(ask, "refused over TCP"))
         else:
             self._port = self._reactor.listenUDP(
-                0, _Datagram(ask, self._heard, self._broke), "127.0.0.1", ANSWER_MOST
+                0, _Datagram(ask, self._answered, self._failed), "127.0.0.1", MAX_ANSWER_BYTES
             )
 
-    def _heard(self, ask: Ask, data: bytes) -> None:
-        self._take(self._asker.heard(self._clock(), ask, data))
+    def _answered(self, ask: Ask, data: bytes) -> None:
+        self._handle(self._asker.heard(self._clock(), ask, data))
 
-    def _broke(self, ask: Ask, why: str) -> None:
-        self._take(self._asker.broke(self._clock(), ask, why))
+    def _failed(self, ask: Ask, why: str) -> None:
+        self._handle(self._asker.broke(self._clock(), ask, why))
 
-    def _take(self, found) -> None:
+    def _handle(self, found) -> None:
         if isinstance(found, Ask):
             self._send(found)
         elif found is not None:
             self._close()
-            self._told(self._name, found)
+            self._on_result(self._name, found)
         self._arm()
 
 
@@ -198,18 +215,20 @@
     """Combines the membership sources and passes changes on to the exchange."""
 
     def __init__(
-        self, reactor, clock, given: MembersFrom, told: Callable[[Listing, News], None]
+        self, reactor, clock, given: MembersFrom, on_result: Callable[[Listing, News], None]
     ) -> None:
-        self._reactor, self._clock, self._given, self._told = reactor, clock, given, told
+        self._reactor, self._clock, self._given, self._on_result = reactor, clock, given, on_result
         keep = round(given.keep_s * SECOND)
         order = list(given.order) or [
-            LIST,
+            LIST_SOURCE,
             *(one.called for one in given.srv),
             *(one.called for one in given.file),
         ]
-        sure = {one.called: one.authoritative for one in (*given.srv, *given.file)} | {LIST: True}
+        authoritative = {one.called: one.authoritative for one in (*given.srv, *given.file)} | {
+            LIST_SOURCE: True
+        }
         self.concluder = Concluder(
-            Book([(name, sure[name], keep) for name in order]),
+            Book([(name, authoritative[name], keep) for name in order]),
             given.rule,
             given.quorum,
             given.existence,
@@ -232,7 +251,7 @@
                 note(log, "last list not used", logging.WARNING, why=lasting.why)
             elif lasting is not None:
                 note(log, "last list used", machines=len(lasting.seen))
-                self._told(
+                self._on_result(
                     Listing.CACHED,
                     self._news(
                         [
@@ -250,11 +269,11 @@
                         {one.name: one.address for one in lasting.seen},
                     ),
                 )
-            self._repeat(SAVE_EVERY, self._save)
+            self._repeat(SAVE_INTERVAL, self._save)
         for one in self._srv:
             one.start()
         for one in self._given.file:
-            self._repeat(FILE_EVERY, self._look_at, one.called, one.path, {})
+            self._repeat(FILE_CHECK_INTERVAL, self._check_file, one.called, one.path, {})
         self._repeat(0.2, self._conclude)
 
     def stop(self) -> None:
@@ -264,12 +283,12 @@
             if timer[0].active():
                 timer[0].cancel()
 
-    def _repeat(self, every: float, call: Callable, *words) -> None:
+    def _repeat(self, every: float, call: Callable, *arguments) -> None:
         timer: list = [None]
 
         def again() -> None:
             timer[0] = self._reactor.callLater(every, again)
-            call(*words)
+            call(*arguments)
 
         timer[0] = self._reactor.callLater(0, again)
         self._timers.append(timer)
@@ -293,9 +312,9 @@
         ]
         self._speaks = {**(self._speaks if kind is Listing.CHANGES else {}), **news.speaks}
         if kind is Listing.CHANGES:
-            self.concluder.book.changes(self._clock(), LIST, seen)
+            self.concluder.book.changes(self._clock(), LIST_SOURCE, seen)
         elif kind is not Listing.FAILED:
-            self.concluder.book.whole(self._clock(), LIST, seen)
+            self.concluder.book.whole(self._clock(), LIST_SOURCE, seen)
         self._conclude()
 
     def _srv_told(self, name: str, found: There | NotThere | Failed) -> None:
@@ -307,7 +326,7 @@
             book.whole(now, name, [Seen(label, address, weight=None) for label, address, _ in rows])
         self._conclude()
 
-    def _look_at(self, name: str, path: str, marks: dict) -> None:
+    def _check_file(self, name: str, path: str, marks: dict) -> None:
         book, now = self.concluder.book, self._clock()
         try:
             mark = os.stat(path).st_mtime_ns, os.stat(path).st_size
@@ -331,7 +350,7 @@
         self._members, self._first = found.members, False
         if entries or kind is Listing.FULL:
             note(log, "members", machines=len(found.members), changes=len(entries))
-            self._told(
+            self._on_result(
                 kind,
                 self._news(
                     entries, {name: one.seen.address for name, one in found.members.items()}
--- a/umbermoor/front/server/operations.py
+++ b/umbermoor/front/server/operations.py
@@ -22,13 +22,13 @@
     write,
 )
 from umbermoor.front.own_settings import OwnSettings
-from umbermoor.front.server.admin_endpoint import AdminEndpoint, Closed, read_token
+from umbermoor.front.server.admin_endpoint import AdminEndpoint, AdminEndpointError, read_token
 from umbermoor.logs import note
 
 log = logging.getLogger(__name__)
 
-PRESSED = 0.8  # of the query capacity; above it, background work waits
-STATUSES = {0: "left", 200: "done", 429: "denied", 503: "denied", 502: "abandoned"}
+BUSY_FRACTION = 0.8  # of the query capacity; above it, background work waits
+OUTCOMES = {0: "left", 200: "done", 429: "denied", 503: "denied", 502: "abandoned"}
 
 
 def note_background_work(task: Task, detail: str) -> None:
@@ -37,37 +37,42 @@
 
 
 class Operations:
-    """Runs the front's operations, and counts queries as a witness of the exchange."""
+    """Runs the front's operations, and counts queries as an observer of the exchange."""
 
     def __init__(
         self,
         reactor,
         clock,
-        station: Configuration,
-        house: OwnSettings,
+        configuration: Configuration,
+        own_settings: OwnSettings,
         buffers,
         exchange,
         clients,
         machines,
     ) -> None:
-        self._reactor, self._clock, self._station, self._house = reactor, clock, station, house
+        self._reactor, self._clock, self._configuration, self._own_settings = (
+            reactor,
+            clock,
+            configuration,
+            own_settings,
+        )
         self._exchange, self._clients, self._machines = exchange, clients, machines
-        self._room = max(8, (station.sockets - 32) // 3)
-        self.keeper = exchange.keeper = clients.keeper = DrainKeeper(clock(), self._room)
-        self._names = sorted(station.profiles, key=station.profiles.__getitem__)
+        self._query_capacity = max(8, (configuration.sockets - 32) // 3)
+        self.keeper = exchange.keeper = clients.keeper = DrainKeeper(clock(), self._query_capacity)
+        self._profile_names = sorted(configuration.profiles, key=configuration.profiles.__getitem__)
         self._open: dict[str, tuple[int, int, int]] = {}  # query: profile, arrival time, due time
         self._counts: Counter[tuple[str, str]] = Counter()
         self._listed: dict[str, tuple[int, int]] = {}
         self.members = None  # the membership sources, if configured
-        self._timer = self._work_timer = None
+        self._timer = self._background_timer = None
         self._scheduler = Scheduler(
             clock,
             told=note_background_work,
         )
-        self._door = self._where = None
-        if house.door is not None:
-            token = read_token(house.door.token) if house.door.token else ""
-            self._door = AdminEndpoint(
+        self._admin_endpoint = self._address = None
+        if own_settings.door is not None:
+            token = read_token(own_settings.door.token) if own_settings.door.token else ""
+            self._admin_endpoint = AdminEndpoint(
                 reactor,
                 buffers,
                 AdminCalls(
@@ -76,7 +81,7 @@
                         "hands": self.hands,
                         "config": self.config,
                         "metrics": self.metrics,
-                        "members": self.explained,
+                        "members": self.explain_members,
                         "drain": self.drain,
                         "resume": self.resume,
                     },
@@ -85,47 +90,47 @@
             )
 
     def start(self) -> None:
-        if self._door is not None:
+        if self._admin_endpoint is not None:
             try:
-                self._where = self._door.listen(self._house.door.where)
-                note(log, "door", where=self._where)
-            except Closed as fault:
+                self._address = self._admin_endpoint.listen(self._own_settings.door.where)
+                note(log, "door", where=self._address)
+            except AdminEndpointError as fault:
                 note(log, "the door stays shut", logging.ERROR, why=fault)
-        if self._house.remember is not None:
-            self._recall(self._house.remember.path)
+        if self._own_settings.remember is not None:
+            self._recall(self._own_settings.remember.path)
             self._scheduler.add(
                 "snapshot",
                 1,
                 self._snapshot,
-                every=round(self._house.remember.every_s * SECOND),
-                after=round(self._house.remember.every_s * SECOND),
+                every=round(self._own_settings.remember.every_s * SECOND),
+                after=round(self._own_settings.remember.every_s * SECOND),
             )
-        self._look()
-        self._work()
+        self._run_keeper()
+        self._run_background_work()
 
     def stop(self) -> None:
-        for timer in (self._timer, self._work_timer):
+        for timer in (self._timer, self._background_timer):
             if timer is not None and timer.active():
                 timer.cancel()
-        if self._door is not None:
-            self._door.stop()
-        if self._house.remember is not None:
+        if self._admin_endpoint is not None:
+            self._admin_endpoint.stop()
+        if self._own_settings.remember is not None:
             for _ in self._snapshot():
                 pass
 
     # Admin calls.
 
     def drain(self, within: int | None) -> str:
-        said = self.keeper.drain(self._clock(), within)
-        note(log, "drain asked", answer=said, in_hand=len(self._exchange.held))
-        self._look()
-        return said
+        answer = self.keeper.drain(self._clock(), within)
+        note(log, "drain asked", answer=answer, in_hand=len(self._exchange.pending))
+        self._run_keeper()
+        return answer
 
     def resume(self) -> str:
-        said = self.keeper.resume(self._clock())
-        note(log, "resume asked", answer=said)
-        self._look()
-        return said
+        answer = self.keeper.resume(self._clock())
+        note(log, "resume asked", answer=answer)
+        self._run_keeper()
+        return answer
 
     def ready(self) -> None:
         self.keeper.ready(self._clock())
@@ -139,13 +144,13 @@
         for profile, came, _ in self._open.values():
             ages.setdefault(profile, []).append(now - came)
         return {
-            "name": self._station.name,
+            "name": self._configuration.name,
             "state": keeper.state.value,
             "up": self._clients.up and keeper.up,
             "deadline_s": None
             if keeper.deadline is None
             else round((keeper.deadline - now) / SECOND, 3),
-            "in_hand": len(self._exchange.held),
+            "in_hand": len(self._exchange.pending),
             "clients": len(self._clients.open),
             "machines": len(self._listed),
             "stage": str(self._exchange.stage),
@@ -155,7 +160,7 @@
                     "in_hand": len(ages.get(at, ())),
                     "oldest_ms": round(max(ages.get(at, (0,))) / 1000, 1),
                 }
-                for at, name in enumerate(self._names)
+                for at, name in enumerate(self._profile_names)
             },
             "history": [
                 [round((now - one.at) / SECOND, 1), one.state.value, one.why]
@@ -168,7 +173,7 @@
         return [
             {
                 "query": query,
-                "profile": self._names[profile],
+                "profile": self._profile_names[profile],
                 "age_ms": round((now - came) / 1000, 1),
                 "left_ms": round((due - now) / 1000, 1),
             }
@@ -176,18 +181,18 @@
         ]
 
     def config(self) -> dict[str, Any]:
-        station = self._station
+        configuration = self._configuration
         return {
-            "name": station.name,
-            "listen": "{}:{}".format(*station.listen),
-            "sockets": station.sockets,
-            "memory_mb": station.memory >> 20,
-            "profiles": self._names,
-            "fronts": station.charter.fronts,
+            "name": configuration.name,
+            "listen": "{}:{}".format(*configuration.listen),
+            "sockets": configuration.sockets,
+            "memory_mb": configuration.memory >> 20,
+            "profiles": self._profile_names,
+            "fronts": configuration.charter.fronts,
             "fleet": self._fleet(),
         }
 
-    def explained(self) -> list[str]:
+    def explain_members(self) -> list[str]:
         return self.members.explain() if self.members is not None else ["the platform's list alone"]
 
     def metrics(self) -> bytes:
@@ -202,7 +207,7 @@
             for (profile, kind), count in sorted(self._counts.items())
         ]
         rows += [
-            ("in_hand", "gauge", "Queries in hand.", {}, len(self._exchange.held)),
+            ("in_hand", "gauge", "Queries in hand.", {}, len(self._exchange.pending)),
             ("clients", "gauge", "Clients' connections.", {}, len(self._clients.open)),
             ("machines", "gauge", "Machines listed.", {}, len(self._listed)),
             (
@@ -247,18 +252,18 @@
 
     def closed(self, query: str, status: int) -> None:
         if (one := self._open.pop(query, None)) is not None:
-            self._counts[self._names[one[0]], STATUSES.get(status, "failed")] += 1
+            self._counts[self._profile_names[one[0]], OUTCOMES.get(status, "failed")] += 1
 
     # Timers.
 
-    def _look(self) -> None:
+    def _run_keeper(self) -> None:
         """Execute what the drain keeper has due, and schedule its next check."""
         now = self._clock()
-        for due in self.keeper.tick(now, len(self._exchange.held)):
+        for due in self.keeper.tick(now, len(self._exchange.pending)):
             if due is Due.CLOSE_IDLE:
                 self._clients.close_idle()
             elif due is Due.GIVE_UP:
-                note(log, "deadline", given_up=len(self._exchange.held))
+                note(log, "deadline", given_up=len(self._exchange.pending))
                 self._exchange.give_up_all()
             elif due is Due.FORGET:
                 self._exchange.forget()
@@ -268,20 +273,22 @@
         self._timer = None
         if at is not None:
             self._timer = self._reactor.callLater(
-                max(0.005, min(0.05, (at - now) / SECOND)), self._look
+                max(0.005, min(0.05, (at - now) / SECOND)), self._run_keeper
             )
 
-    def _work(self) -> None:
-        self._scheduler.run(len(self._exchange.held) > PRESSED * self._room)
+    def _run_background_work(self) -> None:
+        self._scheduler.run(len(self._exchange.pending) > BUSY_FRACTION * self._query_capacity)
         at = self._scheduler.next_at()
         wait = 1.0 if at is None else max(0.005, min(1.0, (at - self._clock()) / SECOND))
-        self._work_timer = self._reactor.callLater(wait, self._work)
+        self._background_timer = self._reactor.callLater(wait, self._run_background_work)
 
     # Snapshots.
 
     def _fleet(self) -> str:
         return blake2b(
-            repr((self._station.charter._replace(seed=0, me=0), self._names)).encode(),
+            repr(
+                (self._configuration.charter._replace(seed=0, me=0), self._profile_names)
+            ).encode(),
             digest_size=8,
         ).hexdigest()
 
@@ -294,7 +301,7 @@
                 yield 0
         memory = Memory(
             time.time_ns() // 1000,
-            self._station.name,
+            self._configuration.name,
             self._fleet(),
             took,
             work,
@@ -303,7 +310,7 @@
             tuple(machines),
         )
         try:
-            yield write(self._house.remember.path, memory)
+            yield write(self._own_settings.remember.path, memory)
         except OSError as error:
             note(log, "snapshot not written", logging.WARNING, why=error.strerror)
 
@@ -315,7 +322,7 @@
         wrong = (
             memory
             if isinstance(memory, UnusableFile)
-            else fit(memory, now, self._station.name, self._fleet())
+            else fit(memory, now, self._configuration.name, self._fleet())
         )
         if wrong is not None:
             note(log, "snapshot not used", logging.WARNING, path=path, why=wrong.why)
--- a/umbermoor/front/server/outcomes.py
+++ b/umbermoor/front/server/outcomes.py
@@ -32,7 +32,7 @@
 
 Outcome = Response | Failed
 
-_AFTER = {
+_AFTER_WRITTEN = {
     Cause.REFUSED: Ending.RESET,
     Cause.BROKEN: Ending.RESET,
     Cause.GARBLED: Ending.RESET,
@@ -42,7 +42,7 @@
     Cause.TURNED_AWAY: Ending.FULL,
     Cause.UNRUN: Ending.MOOT,
 }
-_BEFORE = dict.fromkeys(Cause, Ending.CONNECT_FAILED) | {
+_BEFORE_WRITTEN = dict.fromkeys(Cause, Ending.CONNECT_FAILED) | {
     Cause.STOPPED: Ending.CANCELLED,
     Cause.WITHDRAWN: Ending.MOOT,
     Cause.TURNED_AWAY: Ending.FULL,
@@ -52,7 +52,9 @@
 # A hand-off that may have run must never be reported as one that did not. Once its last byte is
 # written, it may have run.
 ENDINGS: dict[Failed, Ending] = {
-    Failed(progress, cause): (_AFTER if progress >= Progress.WHOLE else _BEFORE)[cause]
+    Failed(progress, cause): (_AFTER_WRITTEN if progress >= Progress.WHOLE else _BEFORE_WRITTEN)[
+        cause
+    ]
     for progress in Progress
     for cause in Cause
 }
@@ -71,5 +73,5 @@
         return ENDINGS[outcome]
     if outcome.status == 200:
         return Ending.OK
-    away = outcome.status in (503, 504) and outcome.headers.get("x-turned-away") == "1"
-    return Ending.FULL if away else Ending.ERROR
+    turned_away = outcome.status in (503, 504) and outcome.headers.get("x-turned-away") == "1"
+    return Ending.FULL if turned_away else Ending.ERROR
--- a/umbermoor/front/server/platform.py
+++ b/umbermoor/front/server/platform.py
@@ -12,7 +12,7 @@
 from umbermoor.front.configuration import Address
 from umbermoor.front.facade import Complaint, Tally, Vote
 from umbermoor.front.interface import Ending, News, Phase, Verdict
-from umbermoor.front.server.connections import SECOND, Attempt, Line
+from umbermoor.front.server.connections import SECOND, Attempt, Connection
 from umbermoor.front.server.formats import Event, EventStream, read_form, read_xml, write_form
 from umbermoor.front.server.outcomes import Failed, Outcome, Progress, shown
 from umbermoor.front.start_settings import micros
@@ -22,10 +22,10 @@
 
 log = logging.getLogger(__name__)
 
-SILENT = 3.5  # seconds without data until a second stream is opened beside the first
-AGAIN_FIRST, AGAIN_MOST = 0.1, 1.0  # seconds until a lost stream is reopened, doubling
-CONNECT_WITHIN = 2 * SECOND
-FOR_EVER = 366 * 86400 * SECOND
+SILENCE_TIMEOUT = 3.5  # seconds without data until a second stream is opened beside the first
+RETRY_INITIAL, RETRY_MAX = 0.1, 1.0  # seconds until a lost stream is reopened, doubling
+CONNECT_TIMEOUT = 2 * SECOND
+UNLIMITED = 366 * 86400 * SECOND
 
 _PHASES = {
     "trial": Phase.TRIAL,
@@ -122,8 +122,8 @@
         address: Address,
         vote_wait: int,
         profiles: Mapping[str, int],
-        told: Callable[[News | Tally | Complaint], None],
-        chance: Callable[[], float],
+        on_message: Callable[[News | Tally | Complaint], None],
+        uniform: Callable[[], float],
     ) -> None:
         self._reactor, self._buffers, self._address, self._vote_wait = (
             reactor,
@@ -131,9 +131,9 @@
             address,
             vote_wait,
         )
-        self._profiles, self._told = profiles, told
+        self._profiles, self._on_message = profiles, on_message
         self._streams: list[_Stream] = []  # usually one; two while the older one is silent
-        self._backoff = Backoff(AGAIN_FIRST, AGAIN_MOST, chance)
+        self._backoff = Backoff(RETRY_INITIAL, RETRY_MAX, uniform)
         self._stopped = False
         self.counts: Counter[str] = Counter()
 
@@ -150,7 +150,7 @@
         attempt = Attempt(
             self._reactor, write_request("POST", "/v1/", "platform", headers, body), self._vote_wait
         )
-        attempt.connect(self._address, self._vote_wait, lambda: Line(self._buffers))
+        attempt.connect(self._address, self._vote_wait, lambda: Connection(self._buffers))
         return attempt.outcome.addCallback(lambda outcome: self._voted(outcome, attempt))
 
     def start(self) -> None:
@@ -166,7 +166,7 @@
         """
         self._address = address
         self._backoff.reset()
-        self._keep(*self._streams[:1])
+        self._stop_others(*self._streams[:1])
         self.start()
 
     def stop(self) -> None:
@@ -175,27 +175,27 @@
             stream.stop()
 
     def _voted(self, outcome: Outcome, attempt: Attempt) -> News:
-        if attempt.line is not None:
-            attempt.line.close()
+        if attempt.connection is not None:
+            attempt.connection.close()
         return read_vote(outcome)
 
-    def _keep(self, *kept: "_Stream") -> None:
+    def _stop_others(self, *kept: "_Stream") -> None:
         for other in [one for one in self._streams if one not in kept]:
             self._streams.remove(other)
             other.stop()
 
-    def heard(self, stream: "_Stream", events: list[Event]) -> None:
+    def received(self, stream: "_Stream", events: list[Event]) -> None:
         self._backoff.reset()
         if (
             stream.address == self._address
         ):  # otherwise the new stream, to the current address, keeps connecting
-            self._keep(stream)
+            self._stop_others(stream)
         for event in events:
             news = read_event(event, self._profiles)
             if news is None:
                 note(log, "event not read", logging.WARNING, kind=event.kind, data=event.data[:120])
             else:
-                self._told(news)
+                self._on_message(news)
 
     def silent(self) -> None:
         """Open a second stream beside the silent one.
@@ -204,7 +204,7 @@
         dead.
         """
         if not self._stopped:
-            self._keep(*self._streams[:1])
+            self._stop_others(*self._streams[:1])
             self.start()
 
     def lost(self, stream: "_Stream", outcome: Outcome) -> None:
@@ -222,30 +222,32 @@
     def __init__(self, platform: Platform) -> None:
         self._platform, self._events, self.address = platform, EventStream(), platform._address
         self._attempt = Attempt(
-            platform._reactor, write_request("GET", "/v1/bulletin", "platform"), FOR_EVER
+            platform._reactor, write_request("GET", "/v1/bulletin", "platform"), UNLIMITED
         )
         self._attempt.connect(
-            platform._address, CONNECT_WITHIN, lambda: Line(platform._buffers, self._piece)
+            platform._address,
+            CONNECT_TIMEOUT,
+            lambda: Connection(platform._buffers, self._received),
         )
-        self._quiet = platform._reactor.callLater(SILENT, self._silent)
-        self._attempt.outcome.addCallback(self._over)
+        self._silence_timer = platform._reactor.callLater(SILENCE_TIMEOUT, self._silent)
+        self._attempt.outcome.addCallback(self._ended)
 
     def stop(self) -> None:
         self._attempt.outcome.cancel()
 
-    def _piece(self, data: bytes) -> None:
-        if self._quiet.active():
-            self._quiet.reset(SILENT)
-        self._platform.heard(self, self._events.feed(data))
+    def _received(self, data: bytes) -> None:
+        if self._silence_timer.active():
+            self._silence_timer.reset(SILENCE_TIMEOUT)
+        self._platform.received(self, self._events.feed(data))
 
     def _silent(self) -> None:
-        self._quiet = self._platform._reactor.callLater(SILENT, self._silent)
+        self._silence_timer = self._platform._reactor.callLater(SILENCE_TIMEOUT, self._silent)
         if self._platform._streams[:1] == [self]:
             self._platform.silent()
 
-    def _over(self, outcome: Outcome) -> None:
-        if self._quiet.active():
-            self._quiet.cancel()
-        if self._attempt.line is not None:
-            self._attempt.line.close()
+    def _ended(self, outcome: Outcome) -> None:
+        if self._silence_timer.active():
+            self._silence_timer.cancel()
+        if self._attempt.connection is not None:
+            self._attempt.connection.close()
         self._platform.lost(self, outcome)
--- a/umbermoor/front/server/service.py
+++ b/umbermoor/front/server/service.py
@@ -28,18 +28,20 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 1024  # connections that the kernel queues while the front is busy
-UP_WITHIN = (
+UP_TIMEOUT = (
     1.0  # seconds until it is up with its initial data, if discovery and platform have not answered
 )
-LISTEN_ON = 0.5  # seconds after SIGTERM during which new connections are still accepted
+LISTEN_GRACE = 0.5  # seconds after SIGTERM during which new connections are still accepted
 ACCEPT_TURNS = (
     3  # final accept calls, each for what was queued during the one before; the last find nothing
 )
-READ_ON = 0.1  # seconds to read requests of these last connections
+READ_GRACE = 0.1  # seconds to read requests of these last connections
 DROP_AFTER = 1.5  # seconds after which incomplete requests are dropped
 DRAIN_CHECK = 0.02  # seconds between two checks whether the drain is complete
-PAUSES = 0x70  # keeps the random jitter of delays independent of the decision module's choices
-COUNT_EVERY = 5.0  # seconds between two "counts" lines in the log
+JITTER_SEED_MASK = (
+    0x70  # keeps the random jitter of delays independent of the decision module's choices
+)
+COUNT_INTERVAL = 5.0  # seconds between two "counts" lines in the log
 
 
 class Clock:
@@ -52,127 +54,147 @@
         return (self._offset + time.monotonic_ns()) // 1000
 
 
-class Both:
-    """Passes each notification of the exchange to several witnesses."""
+class Observers:
+    """Passes each notification of the exchange to several observers."""
 
-    def __init__(self, *witnesses) -> None:
-        self._witnesses = witnesses
+    def __init__(self, *observers) -> None:
+        self._observers = observers
 
     def __getattr__(self, name: str):
-        def tell(*words) -> None:
-            for one in self._witnesses:
-                getattr(one, name)(*words)
+        def notify(*arguments) -> None:
+            for one in self._observers:
+                getattr(one, name)(*arguments)
 
-        return tell
+        return notify
 
 
 class Service:
-    def __init__(self, reactor, station: Configuration, clock: Clock, house=None) -> None:
-        self._reactor, self._station = reactor, station
+    def __init__(
+        self, reactor, configuration: Configuration, clock: Clock, own_settings=None
+    ) -> None:
+        self._reactor, self._configuration = reactor, configuration
         buffers, budget = self._buffers, self._budget = (
-            Buffers(station.memory),
-            Budget(station.sockets),
+            Buffers(configuration.memory),
+            Budget(configuration.sockets),
+        )
+        charter, uniform = (
+            configuration.charter,
+            random.Random(configuration.charter.seed ^ JITTER_SEED_MASK).random,
         )
-        charter, chance = station.charter, random.Random(station.charter.seed ^ PAUSES).random
         self._machines = Machines(
             reactor,
             clock,
             buffers,
             budget,
-            station.connect_within,
-            station.idle_close,
-            station.service,
+            configuration.connect_within,
+            configuration.idle_close,
+            configuration.service,
         )
         self._exchange = exchange = Exchange(
-            reactor, clock, DecisionModule(charter, clock), self._machines, station.load_fields
+            reactor,
+            clock,
+            DecisionModule(charter, clock),
+            self._machines,
+            configuration.load_fields,
         )
         self._clients = Clients(
             reactor,
             clock,
             buffers,
             budget,
-            station.profiles,
+            configuration.profiles,
             [row.repeat for row in charter.profiles],
             exchange.ask,
         )
-        budget.spare = [
+        budget.reclaimers = [
             self._clients.close_stale,
-            self._machines.close_one,
-            self._clients.close_one,
+            self._machines.close_longest_idle,
+            self._clients.close_longest_idle,
         ]
         self._platform = exchange.platform = Platform(
             reactor,
             buffers,
-            station.platform,
+            configuration.platform,
             charter.vote_wait,
-            station.profiles,
-            self._told,
-            chance,
+            configuration.profiles,
+            self._platform_news,
+            uniform,
         )
         self._discovery = Discovery(
             reactor,
             buffers,
-            station.discovery,
-            station.zones,
+            configuration.discovery,
+            configuration.zones,
             self._listed,
-            ListPolling(charter.fronts, charter.list_asked, chance),
+            ListPolling(charter.fronts, charter.list_asked, uniform),
         )
-        exchange.watch = self._discovery.start
+        exchange.start_watch = self._discovery.start
         self._machines.counts = self._discovery.counts = self._platform.counts = exchange.counts
-        if house is not None and house.http2 is not None:
+        if own_settings is not None and own_settings.http2 is not None:
             from umbermoor.front.server.streams import Streams  # imported only if used, as captures
 
-            streams = self._machines.carrier = Streams(
+            streams = self._machines.stream_transport = Streams(
                 reactor,
                 clock,
                 buffers,
                 budget,
-                station.connect_within,
-                station.service,
-                house.http2.machines == "listed",
+                configuration.connect_within,
+                configuration.service,
+                own_settings.http2.machines == "listed",
             )
-            budget.spare.insert(1, streams.close_one)
+            budget.reclaimers.insert(1, streams.close_longest_idle)
         self._capture = None
-        if house is not None and house.capture is not None:
+        if own_settings is not None and own_settings.capture is not None:
             # imported only if used, to save memory
             from umbermoor.front.server.capture_writer import Capturing
 
-            self._capture = exchange.witness = Capturing(reactor, clock, station, house.capture)
+            self._capture = exchange.observer = Capturing(
+                reactor, clock, configuration, own_settings.capture
+            )
         self._membership = None
-        if house is not None and house.members is not None:
+        if own_settings is not None and own_settings.members is not None:
             # imported only if used, as captures
             from umbermoor.front.server.members import Membership
 
-            self._membership = Membership(reactor, clock, house.members, self._concluded)
+            self._membership = Membership(reactor, clock, own_settings.members, self._apply_list)
         self._operations = None
-        if house is not None and (house.door is not None or house.remember is not None):
+        if own_settings is not None and (
+            own_settings.door is not None or own_settings.remember is not None
+        ):
             # imported only if used, as captures
             from umbermoor.front.server.operations import Operations
 
             self._operations = Operations(
-                reactor, clock, station, house, buffers, exchange, self._clients, self._machines
+                reactor,
+                clock,
+                configuration,
+                own_settings,
+                buffers,
+                exchange,
+                self._clients,
+                self._machines,
             )
             self._operations.members = self._membership
-            self._clients.in_hand = lambda: len(exchange.held)
-            exchange.witness = (
+            self._clients.in_hand = lambda: len(exchange.pending)
+            exchange.observer = (
                 self._operations
-                if exchange.witness is None
-                else Both(exchange.witness, self._operations)
+                if exchange.observer is None
+                else Observers(exchange.observer, self._operations)
             )
-        self._heard: set[str] = set()
-        self._port = self._counting = None
+        self._received_parts: set[str] = set()
+        self._port = self._count_timer = None
         self._drop_at = 0.0
         self.status = 0  # exit status of the process
 
     def start(self) -> None:
-        station, charter = self._station, self._station.charter
+        configuration, charter = self._configuration, self._configuration.charter
         note(
             log,
             "start",
-            name=station.name,
-            listen="{}:{}".format(*station.listen),
+            name=configuration.name,
+            listen="{}:{}".format(*configuration.listen),
             fronts=charter.fronts,
-            sockets=station.sockets,
+            sockets=configuration.sockets,
         )
         if charter.may_tell:
             note(
@@ -180,25 +202,29 @@
                 "fronts may send each other messages here, but no page says how: none are sent",
                 logging.WARNING,
             )
-        known = read_list(station.known, station.zones) if station.known else None
-        if station.known and not known:
+        known = (
+            read_list(configuration.initial_list, configuration.zones)
+            if configuration.initial_list
+            else None
+        )
+        if configuration.initial_list and not known:
             note(log, "the list at the start cannot be read", logging.WARNING)
         if known:
             self._exchange.listed(Listing.CACHED, known)
             if charter.list_asked and known.whole:  # the first answer may take long
-                self._heard.add("list")
+                self._received_parts.add("list")
         if self._membership is not None:
             self._membership.start()
-        news = read_stage(station.news) if station.news else None
-        if station.news and not news:
+        news = read_stage(configuration.initial_stage) if configuration.initial_stage else None
+        if configuration.initial_stage and not news:
             note(log, "the platform's news at the start cannot be read", logging.WARNING)
         if news:
-            self._exchange.told(news)
+            self._exchange.platform_news(news)
         if self._operations is not None:
             self._operations.start()
         self._discovery.start(known.version if known and known.whole else None)
         self._platform.start()
-        host, port = station.listen
+        host, port = configuration.listen
         try:
             self._port = self._reactor.listenTCP(port, self._clients, BACKLOG, host)
         except CannotListenError as error:
@@ -206,12 +232,12 @@
             self.status = 1
             self._reactor.stop()
             return
-        self._clients.bound(self._port)
+        self._clients.limit_accepts(self._port)
         self._clients.accept = lambda on: (
             self._port.startReading if on else self._port.stopReading
         )()
-        self._reactor.callLater(UP_WITHIN, self._go_up)
-        self._counting = self._reactor.callLater(COUNT_EVERY, self._count)
+        self._reactor.callLater(UP_TIMEOUT, self._go_up)
+        self._count_timer = self._reactor.callLater(COUNT_INTERVAL, self._count)
         self._exchange.tick()
 
     def _count(self) -> None:
@@ -220,27 +246,27 @@
         if counts:
             note(log, "counts", **counts)
             counts.clear()
-        self._counting = self._reactor.callLater(COUNT_EVERY, self._count)
+        self._count_timer = self._reactor.callLater(COUNT_INTERVAL, self._count)
 
     def _listed(self, kind, news) -> None:
         if self._membership is not None:
             self._membership.list_told(kind, news)
         else:
-            self._concluded(kind, news)
+            self._apply_list(kind, news)
 
-    def _concluded(self, kind, news) -> None:
+    def _apply_list(self, kind, news) -> None:
         self._exchange.listed(kind, news)
-        self._hear("list")
+        self._received("list")
 
-    def _told(self, news) -> None:
-        self._exchange.told(news)
+    def _platform_news(self, news) -> None:
+        self._exchange.platform_news(news)
         if isinstance(news, News):
-            self._hear("stage")
+            self._received("stage")
 
-    def _hear(self, what: str) -> None:
+    def _received(self, what: str) -> None:
         if not self._clients.up:
-            self._heard.add(what)
-            if self._heard >= {"list", "stage"}:
+            self._received_parts.add(what)
+            if self._received_parts >= {"list", "stage"}:
                 self._go_up()
 
     def _go_up(self) -> None:
@@ -248,7 +274,7 @@
             self._clients.up = True
             if self._operations is not None:
                 self._operations.ready()
-            note(log, "up", heard=" ".join(sorted(self._heard)))
+            note(log, "up", heard=" ".join(sorted(self._received_parts)))
 
     def reload(self, read: Callable[[], Configuration]) -> None:
         """Apply the parts of a newly read configuration that may change without a restart.
@@ -258,14 +284,14 @@
         if self._clients.leaving:
             return
         try:
-            station = read()
+            configuration = read()
         except ConfigurationError as fault:
             note(log, "configuration not taken, the old one goes on", logging.WARNING, fault=fault)
             return
-        old, self._station = self._station, station
+        old, self._configuration = self._configuration, configuration
 
         def changed(*names: str) -> list[str]:
-            return [name for name in names if getattr(old, name) != getattr(station, name)]
+            return [name for name in names if getattr(old, name) != getattr(configuration, name)]
 
         moved = changed("discovery", "platform", "sockets", "memory")
         kept = changed(
@@ -282,20 +308,20 @@
         note(
             log, "configuration read again", changed=" ".join(moved), needs_a_restart=" ".join(kept)
         )
-        self._budget.resize(station.sockets)
-        self._buffers.resize(station.memory)
+        self._budget.resize(configuration.sockets)
+        self._buffers.resize(configuration.memory)
         if "discovery" in moved:
-            self._discovery.move(station.discovery)
+            self._discovery.move(configuration.discovery)
         if "platform" in moved:
-            self._platform.move(station.platform)
+            self._platform.move(configuration.platform)
 
     def drain(self) -> None:
         if not self._clients.leaving:
-            note(log, "drain", queries=len(self._exchange.held), clients=len(self._clients.open))
+            note(log, "drain", queries=len(self._exchange.pending), clients=len(self._clients.open))
             self._clients.leaving = True
             if self._operations is not None:
                 self._operations.leave()
-            self._reactor.callLater(LISTEN_ON, self._stop_listening)
+            self._reactor.callLater(LISTEN_GRACE, self._stop_listening)
 
     def _stop_listening(self) -> None:
         # Closing the listener resets connections that the kernel has queued, so all of these are
@@ -305,17 +331,17 @@
         self._clients.accept = lambda on: None
         self._port.stopListening()
         self._drop_at = self._reactor.seconds() + DROP_AFTER
-        self._reactor.callLater(READ_ON, self._leave)
+        self._reactor.callLater(READ_GRACE, self._finish_drain)
 
-    def _leave(self) -> None:
+    def _finish_drain(self) -> None:
         self._clients.close_idle()
-        if not self._exchange.held and self._reactor.seconds() >= self._drop_at:
+        if not self._exchange.pending and self._reactor.seconds() >= self._drop_at:
             # incomplete requests, and clients that do not read their answers
             self._clients.drop()
         if self._clients.open:
-            self._reactor.callLater(DRAIN_CHECK, self._leave)
+            self._reactor.callLater(DRAIN_CHECK, self._finish_drain)
             return
-        self._counting.cancel()
+        self._count_timer.cancel()
         note(log, "counts", **self._exchange.counts)
         usage = resource.getrusage(resource.RUSAGE_SELF)
         note(
@@ -338,9 +364,11 @@
         self._reactor.callLater(0, self._reactor.stop)
 
 
-def serve(station: Configuration, read: Callable[[], Configuration], house=None) -> int:
+def serve(
+    configuration: Configuration, read: Callable[[], Configuration], own_settings=None
+) -> int:
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
-    service = Service(reactor, station, Clock(), house)
+    service = Service(reactor, configuration, Clock(), own_settings)
     reactor.callWhenRunning(service.start)
     signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(service.drain))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(service.reload, read))
