--- a/umbermoor/front/server/clients.py
+++ b/umbermoor/front/server/clients.py
@@ -34,7 +34,7 @@
 # seconds from connecting, or from a request's first byte, until that request is complete
 REQUEST_TIMEOUT = 2.5
 UNREAD_GRACE = 0.01  # seconds more to read bytes that had arrived by then, in the next reactor turn
-# idle connections with a single request so far: at most this fraction of the budget, or this many
+# idle connections with one request so far: at most budget / divisor of them, or the minimum
 SINGLE_REQUEST_DIVISOR, SINGLE_REQUEST_MIN = 6, 16
 STALE_AFTER = 2 * SECOND  # idle time after which a connection may be closed in favour of another
 
