--- a/umbermoor/front/configuration.py
+++ b/umbermoor/front/configuration.py
@@ -47,6 +47,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
+    """A checked configuration, with its defaults filled in; times in microseconds."""
+
     name: str
     listen: Address
     discovery: Address
--- a/umbermoor/front/facade.py
+++ b/umbermoor/front/facade.py
@@ -156,6 +156,8 @@
 
 
 class DecisionModule:
+    """The synchronous interface to one front's decisions."""
+
     def __init__(self, charter: Charter, clock: Callable[[], int]) -> None:
         self._front, self._clock = Front(charter), clock
         self._steps: deque[Step] = deque()  # decided during a pick, and not returned yet
--- a/umbermoor/front/list_polling.py
+++ b/umbermoor/front/list_polling.py
@@ -40,6 +40,8 @@
 
 @dataclass(slots=True)
 class ListPolling:
+    """The schedule of one front's calls for the list."""
+
     fronts: int
     on_request: bool  # changes are not pushed, but must be asked for
     uniform: Callable[[], float]
--- a/umbermoor/front/server/admin_endpoint.py
+++ b/umbermoor/front/server/admin_endpoint.py
@@ -68,6 +68,8 @@
 
 
 class AdminEndpoint(Factory):
+    """The listener for admin calls."""
+
     noisy = False
 
     def __init__(self, reactor, buffers: Buffers, calls: AdminCalls) -> None:
--- a/umbermoor/front/server/capture_writer.py
+++ b/umbermoor/front/server/capture_writer.py
@@ -14,6 +14,8 @@
 
 
 class Capturing:
+    """Observer of the exchange that writes a capture."""
+
     def __init__(self, reactor, clock, configuration: Configuration, to: CaptureTo) -> None:
         names = sorted(configuration.profiles, key=configuration.profiles.__getitem__)
         profiles = tuple(
--- a/umbermoor/front/server/clients.py
+++ b/umbermoor/front/server/clients.py
@@ -65,6 +65,8 @@
 
 
 class Clients(Factory):
+    """The listener for clients, and what their connections share."""
+
     noisy = False
 
     def __init__(
@@ -213,9 +215,11 @@
 
 
 class Client(Protocol):
+    """A client connection; answers pipelined requests in order, one at a time."""
+
     def __init__(self, clients: Clients) -> None:
         self._clients, self._reader = clients, Reader(clients.buffers)
-        # with the time at which each was complete
+        # complete requests, each with the time at which its last byte arrived
         self._waiting: deque[tuple[Request | Fault, int]] = deque()
         self._working: Deferred[Answer] | None = None
         self._counted = self._closing = self._paused = False
--- a/umbermoor/front/server/descriptor_budget.py
+++ b/umbermoor/front/server/descriptor_budget.py
@@ -12,6 +12,8 @@
 
 
 class Budget:
+    """Counts the open sockets of clients and machines against the limit."""
+
     def __init__(self, sockets: int) -> None:
         self.used = self.peak = 0
         self.over_budget = 0  # clients beyond the budget
--- a/umbermoor/front/server/discovery.py
+++ b/umbermoor/front/server/discovery.py
@@ -28,13 +28,14 @@
 
 
 class News(NamedTuple):
+    """A list of machines, or changes to it."""
+
     version: int
     whole: bool
     entries: list[Entry]
     addresses: dict[str, Address]
-    speaks: dict[
-        str, str
-    ] = {}  # by machine, the protocol that its entry states, if any: h2c or http/1.1
+    # by machine, the protocol that its entry states, if any: h2c or http/1.1
+    speaks: dict[str, str] = {}
 
 
 def read_list(given: Any, zones: Mapping[str, int]) -> News | None:
@@ -92,6 +93,8 @@
 
 
 class Discovery:
+    """Polls the discovery service for the list of machines."""
+
     def __init__(
         self,
         reactor,
@@ -175,9 +178,8 @@
 
     def _answered(self, outcome: Outcome, attempt: Attempt, address: Address) -> None:
         self._call_in_progress, self._connection = None, attempt.connection
-        if (
-            self._stopped or address != self._address
-        ):  # a list of the old address must not be taken for one of the new
+        # a list of the old address must not be taken for one of the new
+        if self._stopped or address != self._address:
             if self._connection is not None:
                 self._connection.close()
             return
--- a/umbermoor/front/server/exchange.py
+++ b/umbermoor/front/server/exchange.py
@@ -68,6 +68,8 @@
 
 
 class Exchange:
+    """Holds the pending queries and the hand-offs in flight."""
+
     def __init__(
         self,
         reactor,
--- a/umbermoor/front/server/machines.py
+++ b/umbermoor/front/server/machines.py
@@ -48,6 +48,8 @@
 
 
 class Machines:
+    """Sends hand-offs and probes to machines."""
+
     def __init__(
         self,
         reactor,
--- a/umbermoor/front/server/members.py
+++ b/umbermoor/front/server/members.py
@@ -101,12 +101,14 @@
 
 
 class SrvSource:
+    """Machines from DNS SRV records; queries the servers when its `Asker` says."""
+
     def __init__(
         self,
         reactor,
         clock,
         given: SrvFrom,
-        chance,
+        uniform,
         on_result: Callable[[str, There | NotThere | Failed], None],
     ) -> None:
         self._reactor, self._clock, self._name, self._on_result = (
@@ -115,7 +117,7 @@
             given.called,
             on_result,
         )
-        self._asker = Asker(given.name, [Server(one) for one in given.servers], chance)
+        self._asker = Asker(given.name, [Server(one) for one in given.servers], uniform)
         self._port = self._timer = None
 
     def start(self) -> None:
@@ -238,8 +240,8 @@
         self._first = True
         self._saved = None
         self._timers: list = []
-        chance = SystemRandom().random
-        self._srv = [SrvSource(reactor, clock, one, chance, self._srv_told) for one in given.srv]
+        uniform = SystemRandom().random
+        self._srv = [SrvSource(reactor, clock, one, uniform, self._srv_told) for one in given.srv]
         self._speaks: dict[str, str] = {}
 
     def start(self) -> None:
--- a/umbermoor/front/server/platform.py
+++ b/umbermoor/front/server/platform.py
@@ -115,6 +115,8 @@
 
 
 class Platform:
+    """The connections to the release platform."""
+
     def __init__(
         self,
         reactor,
@@ -186,9 +188,8 @@
 
     def received(self, stream: "_Stream", events: list[Event]) -> None:
         self._backoff.reset()
-        if (
-            stream.address == self._address
-        ):  # otherwise the new stream, to the current address, keeps connecting
+        # otherwise the new stream, to the current address, keeps connecting
+        if stream.address == self._address:
             self._stop_others(stream)
         for event in events:
             news = read_event(event, self._profiles)
@@ -219,6 +220,8 @@
 
 
 class _Stream:
+    """One connection to the platform's stream of messages."""
+
     def __init__(self, platform: Platform) -> None:
         self._platform, self._events, self.address = platform, EventStream(), platform._address
         self._attempt = Attempt(
--- a/umbermoor/front/server/service.py
+++ b/umbermoor/front/server/service.py
@@ -32,15 +32,13 @@
     1.0  # seconds until it is up with its initial data, if discovery and platform have not answered
 )
 LISTEN_GRACE = 0.5  # seconds after SIGTERM during which new connections are still accepted
-ACCEPT_TURNS = (
-    3  # final accept calls, each for what was queued during the one before; the last find nothing
-)
+# final accept calls, each for what was queued during the one before; the last find nothing
+ACCEPT_TURNS = 3
 READ_GRACE = 0.1  # seconds to read requests of these last connections
 DROP_AFTER = 1.5  # seconds after which incomplete requests are dropped
 DRAIN_CHECK = 0.02  # seconds between two checks whether the drain is complete
-JITTER_SEED_MASK = (
-    0x70  # keeps the random jitter of delays independent of the decision module's choices
-)
+# keeps the random jitter of delays independent of the decision module's choices
+JITTER_SEED_MASK = 0x70
 COUNT_INTERVAL = 5.0  # seconds between two "counts" lines in the log
 
 
@@ -69,6 +67,8 @@
 
 
 class Service:
+    """The parts of one front, and their start, reload and drain."""
+
     def __init__(
         self, reactor, configuration: Configuration, clock: Clock, own_settings=None
     ) -> None:
@@ -131,7 +131,8 @@
         exchange.start_watch = self._discovery.start
         self._machines.counts = self._discovery.counts = self._platform.counts = exchange.counts
         if own_settings is not None and own_settings.http2 is not None:
-            from umbermoor.front.server.streams import Streams  # imported only if used, as captures
+            # imported only if used, to save memory
+            from umbermoor.front.server.streams import Streams
 
             streams = self._machines.stream_transport = Streams(
                 reactor,
@@ -153,7 +154,7 @@
             )
         self._membership = None
         if own_settings is not None and own_settings.members is not None:
-            # imported only if used, as captures
+            # imported only if used, to save memory
             from umbermoor.front.server.members import Membership
 
             self._membership = Membership(reactor, clock, own_settings.members, self._apply_list)
@@ -161,7 +162,7 @@
         if own_settings is not None and (
             own_settings.door is not None or own_settings.remember is not None
         ):
-            # imported only if used, as captures
+            # imported only if used, to save memory
             from umbermoor.front.server.operations import Operations
 
             self._operations = Operations(
@@ -316,6 +317,7 @@
             self._platform.move(configuration.platform)
 
     def drain(self) -> None:
+        """Stop accepting after LISTEN_GRACE, and end the process once no client is connected."""
         if not self._clients.leaving:
             note(log, "drain", queries=len(self._exchange.pending), clients=len(self._clients.open))
             self._clients.leaving = True
@@ -367,6 +369,11 @@
 def serve(
     configuration: Configuration, read: Callable[[], Configuration], own_settings=None
 ) -> int:
+    """Run a front until SIGTERM or SIGINT; SIGHUP reloads the configuration.
+
+    Returns:
+        The exit status.
+    """
     globalLogBeginner.beginLoggingTo([STDLibLogObserver()], redirectStandardIO=False)
     service = Service(reactor, configuration, Clock(), own_settings)
     reactor.callWhenRunning(service.start)
--- a/umbermoor/front/server/streams.py
+++ b/umbermoor/front/server/streams.py
@@ -182,6 +182,8 @@
 
 
 class Streams:
+    """The HTTP/2 connections to all machines, and the hand-offs on them."""
+
     def __init__(
         self,
         reactor,
