--- a/umbermoor/front/server/discovery.py
+++ b/umbermoor/front/server/discovery.py
@@ -1,4 +1,4 @@
-"""The list of machines: one whole answer first, then a watch that asks again at once."""
+"""Discovery of machines: fetches the full list, then watches for changes by long polling."""
 
 import logging
 from collections import Counter
@@ -12,7 +12,7 @@
 from umbermoor.front.configuration import Address, read_address
 from umbermoor.front.interface import Entry, Listing, Readiness
 from umbermoor.front.list_polling import ListPolling
-from umbermoor.front.server.connections import SECOND, Attempt, Line
+from umbermoor.front.server.connections import SECOND, Attempt, Connection
 from umbermoor.front.server.outcomes import Outcome, shown
 from umbermoor.http1.buffers import Buffers
 from umbermoor.http1.reader import Response
@@ -22,28 +22,35 @@
 log = logging.getLogger(__name__)
 
 PATH = "/discovery/hosts"
-CONNECT_WITHIN = SECOND
+CONNECT_TIMEOUT = SECOND
 
 _STATES = {"SERVING": Readiness.READY, "DRAINING": Readiness.DRAINING, "DELETED": Readiness.GONE}
 
 
 class News(NamedTuple):
+    """A list of machines, or changes to it."""
+
     version: int
     whole: bool
     entries: list[Entry]
     addresses: dict[str, Address]
-    speaks: dict[
-        str, str
-    ] = {}  # what a machine's entry says that it speaks: h2c, or http/1.1; where it says so
+    # by machine, the protocol that its entry states, if any: h2c or http/1.1
+    speaks: dict[str, str] = {}
 
 
 def read_list(given: Any, zones: Mapping[str, int]) -> News | None:
-    """A list in discovery's form; none where it cannot be read. An entry that cannot be read says
-    nothing, not even that a machine which the whole list lacks is gone."""
+    """Parse a list in discovery's format.
+
+    A malformed entry is skipped and the list then counts as partial, so that a machine missing from
+    it is not taken for removed.
+
+    Returns:
+        The list, or None if it is malformed.
+    """
     if (
         not isinstance(given, dict)
         or not isinstance(given.get("hosts"), list)
-        or not _whole(given.get("seq"))
+        or not _is_integer(given.get("seq"))
     ):
         return None
     entries, addresses, speaks, whole = [], {}, {}, given.get("whole") is True
@@ -56,25 +63,29 @@
         entries.append(entry)
         if address := read_address(str(host.get("dial", ""))):
             addresses[entry.machine] = address
-        if isinstance(said := host.get("speaks"), str):
-            speaks[entry.machine] = said
+        if isinstance(protocol := host.get("speaks"), str):
+            speaks[entry.machine] = protocol
     return News(given["seq"], whole, entries, addresses, speaks)
 
 
-def _whole(value: Any) -> bool:
+def _is_integer(value: Any) -> bool:
     return isinstance(value, int) and not isinstance(value, bool)
 
 
 def _entry(host: dict[str, Any], zones: Mapping[str, int]) -> Entry | None:
     name, build, state = host.get("host"), host.get("build"), _STATES.get(host.get("health"))
-    if not isinstance(name, str) or state is None or not (_whole(build) or state is Readiness.GONE):
+    if (
+        not isinstance(name, str)
+        or state is None
+        or not (_is_integer(build) or state is Readiness.GONE)
+    ):
         return None
     born, cell, share = host.get("born_ms") or 0, host.get("block") or 0, host.get("share")
     return Entry(
         name,
-        build if _whole(build) else 0,
+        build if _is_integer(build) else 0,
         zones.get(host.get("site"), 0),
-        cell if _whole(cell) else 0,
+        cell if _is_integer(cell) else 0,
         state,
         float(share) if isinstance(share, (int, float)) else 1.0,
         round(born * 1000) if isinstance(born, (int, float)) else 0,
@@ -82,61 +93,68 @@
 
 
 class Discovery:
+    """Polls the discovery service for the list of machines."""
+
     def __init__(
         self,
         reactor,
         buffers: Buffers,
         address: Address,
         zones: Mapping[str, int],
-        told: Callable[[Listing, News], None],
-        watching: ListPolling,
+        on_list: Callable[[Listing, News], None],
+        polling: ListPolling,
     ) -> None:
-        self._reactor, self._buffers, self._address, self._zones, self._told = (
+        self._reactor, self._buffers, self._address, self._zones, self._on_list = (
             reactor,
             buffers,
             address,
             zones,
-            told,
+            on_list,
         )
-        self._watching = watching
-        self._line: Line | None = None
-        self._next: IDelayedCall | None = None
-        self._asking: Deferred[Outcome] | None = None
+        self._polling = polling
+        self._connection: Connection | None = None
+        self._next_call: IDelayedCall | None = None
+        self._call_in_progress: Deferred[Outcome] | None = None
         self._started = self._stopped = False
         self.counts: Counter[str] = Counter()
 
-    def start(self, held: int | None = None) -> None:
-        """The watch goes on from here for good, by a front that was given a list of that version; a
-        further call changes nothing."""
+    def start(self, version: int | None = None) -> None:
+        """Start polling; further calls have no effect.
+
+        Args:
+            version: The version of the full list that the front already has, if any.
+        """
         if not self._started:
             self._started = True
-            self._ask_in(self._watching.first(held))
+            self._ask_in(self._polling.first_delay(version))
 
     def move(self, address: Address) -> None:
-        """The list is asked for at another address from now on, whole at first: its numbers may be
-        others."""
+        """Poll another address from now on.
+
+        The full list is requested first, as the other service may number its versions differently.
+        """
         self._address = address
-        pause = self._watching.moved()
-        if self._asking is not None:
-            self._asking.cancel()
+        pause = self._polling.address_changed()
+        if self._call_in_progress is not None:
+            self._call_in_progress.cancel()
         self._ask_in(pause)
 
     def stop(self) -> None:
         self._stopped = True
-        self._drop_next()
-        if self._asking is not None:
-            self._asking.cancel()
-        if self._line is not None:
-            self._line.close()
+        self._cancel_next_call()
+        if self._call_in_progress is not None:
+            self._call_in_progress.cancel()
+        if self._connection is not None:
+            self._connection.close()
 
-    def _drop_next(self) -> None:
-        if self._next is not None and self._next.active():
-            self._next.cancel()
+    def _cancel_next_call(self) -> None:
+        if self._next_call is not None and self._next_call.active():
+            self._next_call.cancel()
 
     def _ask_in(self, pause: int) -> None:
-        self._drop_next()
+        self._cancel_next_call()
         if pause:
-            self._next = self._reactor.callLater(pause / SECOND, self._ask)
+            self._next_call = self._reactor.callLater(pause / SECOND, self._ask)
         else:
             self._ask()
 
@@ -144,35 +162,36 @@
         if self._stopped:
             return
         self.counts["list_calls"] += 1
-        call = self._watching.call()
+        call = self._polling.call()
         target = (
             PATH if call.after is None else f"{PATH}?after={call.after}&wait_ms={call.wait // 1000}"
         )
         attempt = Attempt(self._reactor, write_request("GET", target, "discovery"), call.limit)
-        self._asking = attempt.outcome
-        if self._line is not None and self._line.clean:
-            attempt.on(self._line)
+        self._call_in_progress = attempt.outcome
+        if self._connection is not None and self._connection.reusable:
+            attempt.send_on(self._connection)
         else:
-            attempt.connect(self._address, CONNECT_WITHIN, lambda: Line(self._buffers))
+            attempt.connect(self._address, CONNECT_TIMEOUT, lambda: Connection(self._buffers))
         attempt.outcome.addCallback(self._answered, attempt, self._address).addErrback(
             self._faulted
         )
 
     def _answered(self, outcome: Outcome, attempt: Attempt, address: Address) -> None:
-        self._asking, self._line = None, attempt.line
-        if self._stopped or address != self._address:  # threat: an old list taken for the new one's
-            if self._line is not None:
-                self._line.close()
+        self._call_in_progress, self._connection = None, attempt.connection
+        # a list of the old address must not be taken for one of the new
+        if self._stopped or address != self._address:
+            if self._connection is not None:
+                self._connection.close()
             return
         news = self._read(outcome)
         if news is None:
             note(log, "list not read", logging.WARNING, outcome=shown(outcome))
-            if self._line is not None:
-                self._line.close()
-            self._ask_in(self._watching.failed())
+            if self._connection is not None:
+                self._connection.close()
+            self._ask_in(self._polling.failed())
             return
-        self._ask()  # at once: what changes in between counts as told
-        self._told(Listing.FULL if news.whole else Listing.CHANGES, news)
+        self._ask()  # immediately: the front counts as informed of changes made in between
+        self._on_list(Listing.FULL if news.whole else Listing.CHANGES, news)
 
     def _read(self, outcome: Outcome) -> News | None:
         if not isinstance(outcome, Response) or outcome.status != 200:
@@ -182,8 +201,8 @@
         except orjson.JSONDecodeError:
             return None
         if news is None:
-            self._watching.unread()
-        return news if news is not None and self._watching.answered(news.version) else None
+            self._polling.unreadable()
+        return news if news is not None and self._polling.answered(news.version) else None
 
     def _faulted(self, failure) -> None:
         note_failure(log, "fault in the list", failure)
