--- a/benchmarks/soak/__main__.py
+++ b/benchmarks/soak/__main__.py
@@ -1,7 +1,7 @@
 """python -m benchmarks.soak [--seeds N] [--first N] [--seconds S] [--folder FOLDER]
     [--controllers N] [--proxies N]
 
-Plays days one after another. The folders of days that broke something are kept, with all logs.
+Runs one day per seed, one after another. Keeps the folder of a day with violations, with all logs.
 """
 
 import argparse
--- a/benchmarks/soak/instances.py
+++ b/benchmarks/soak/instances.py
@@ -1,4 +1,4 @@
-"""Stand-in instances that record what they execute, each behind a relay."""
+"""Stand-in instances that record the requests they execute, each behind a relay."""
 
 import time
 
@@ -9,7 +9,7 @@
 
 
 class RecordedInstance(LocalInstance):
-    """An instance whose address is its relay's."""
+    """Local instance that registers the address of its relay instead of its own."""
 
     def __init__(
         self,
@@ -24,7 +24,10 @@
         self._records = records
 
     async def send_heartbeat(self) -> bool:
-        """The first one starts the relay, so that no proxy learns the address behind it."""
+        """Send a heartbeat; start the relay before the first one.
+
+        The relay starts first so that no proxy learns the address behind it.
+        """
         if self.relay is None:
             self.relay = Relay(self._host, self.address)
             await self.relay.start()
@@ -42,7 +45,7 @@
             execution.over_at = time.monotonic()
 
     def crash(self) -> None:
-        """Ends without a word, its relay too."""
+        """Stop the instance and its relay without deregistering."""
         super().crash()
         if self.relay is not None:
             self.relay.stop()
