--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,2 +1,4 @@
-"""Long measurements, as commands. Each prints a table and, with --json FILE, keeps its rows. See
-docs/measurements.md."""
+"""Long-running measurements as commands. Each prints a table; --json FILE also saves its rows.
+
+See docs/measurements.md.
+"""
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -1,4 +1,4 @@
-"""What the measurements share."""
+"""Functions shared by the measurements."""
 
 import statistics
 from collections.abc import Sequence
@@ -11,6 +11,7 @@
 
 
 def show(title: str, rows: list[dict[str, Any]], out: str | None = None) -> None:
+    """Print rows as a table; write them to the JSON file `out` if given."""
     table = Table(title=title)
     for name in rows[0]:
         table.add_column(name)
@@ -24,5 +25,5 @@
 
 
 def spread(values: Sequence[float]) -> str:
-    """Median, and from the least to the most."""
+    """Format values as their median, minimum and maximum."""
     return f"{statistics.median(values):.4g} [{min(values):.4g}, {max(values):.4g}]"
