--- a/benchmarks/control_calls.py
+++ b/benchmarks/control_calls.py
@@ -131,7 +131,8 @@
                 target for status, (_, target) in zip(statuses, sent) if status == 200
             ]
         print(
-            f"{min(pairs, services)} pairs of roll-outs of one service, two targets: both confirmed {both_rollouts_confirmed}"
+            f"{min(pairs, services)} pairs of roll-outs of one service, two targets: "
+            f"both confirmed {both_rollouts_confirmed}"
         )
     return 1 if both_confirmed or both_rollouts_confirmed or confirmed_not_in_force else 0
 
--- a/benchmarks/drawn_days.py
+++ b/benchmarks/drawn_days.py
@@ -284,7 +284,8 @@
         f'name = "drawn-{seed}"',
         f"seed = {500000 + seed}",
         f"length_s = {length}",
-        f'closing = {{ kind = "{closing}", down_s = {round(rng.uniform(0.6, 2.0), 2)}{closing_variant} }}',
+        f'closing = {{ kind = "{closing}", down_s = {round(rng.uniform(0.6, 2.0), 2)}'
+        f"{closing_variant} }}",
     ]
     return _as_toml(lines, plan, faults)
 
--- a/benchmarks/member_storms.py
+++ b/benchmarks/member_storms.py
@@ -34,7 +34,8 @@
             changes.append(world.newest[1].number)
             puts += world.model.puts
     print(
-        f"{options.last - options.first + 1} storms of {options.members} members: {broken} broken; changes in force "
+        f"{options.last - options.first + 1} storms of {options.members} members: "
+        f"{broken} broken; changes in force "
         f"{sum(changes)}, at the least {min(changes, default=0)}; {puts} puts told; {time.monotonic() - began:.0f} s"
     )
     return 1 if broken else 0
--- a/benchmarks/revisions.py
+++ b/benchmarks/revisions.py
@@ -60,7 +60,7 @@
 
 
 async def listens_after(host: str, port: int, within: float = 15.0) -> float:
-    """Return the seconds until the address accepts connections; raise TimeoutError after `within`."""
+    """Return the seconds until the address accepts connections, or raise TimeoutError."""
     began = time.monotonic()
     async with asyncio.timeout(within):
         while True:
