--- a/umbermoor/__main__.py
+++ b/umbermoor/__main__.py
@@ -45,8 +45,10 @@
 
 
 def extra(words: list[str]) -> int:
-    """A sub-command of its own, with its own words. Threat: what serve does not use, in its
-    memory."""
+    """Run a sub-command that parses its own arguments.
+
+    It is imported here only, to keep its modules out of the memory of `serve`.
+    """
     try:
         command = importlib.import_module(EXTRAS[words[0]])
     except ModuleNotFoundError as error:
@@ -69,28 +71,32 @@
         return 0
     read = partial(read_configuration, os.environ, given["--config"])
     try:
-        station = read()
+        configuration = read()
         if given["--log"] not in ("DEBUG", "INFO", "WARNING", "ERROR"):
             raise ConfigurationError(f"--log: no such level: {given['--log']}")
-        house = _house(given["--sheet"])
+        own_settings = _read_own_settings(given["--sheet"])
     except ConfigurationError as fault:
         print(f"umbermoor: {fault}", file=sys.stderr)
         return 2
     if given["check"]:
         print(
-            f"{station.name}: listens at {':'.join(map(str, station.listen))}, "
-            f"{len(station.profiles)} profiles, {station.charter.fronts} fronts, {station.sockets} sockets"
+            f"{configuration.name}: listens at {':'.join(map(str, configuration.listen))}, "
+            f"{len(configuration.profiles)} profiles, {configuration.charter.fronts} fronts, "
+            f"{configuration.sockets} sockets"
         )
         return 0
-    from umbermoor.front.server.service import serve  # only here: the others need no reactor
+    # imported here, as other commands need no reactor
+    from umbermoor.front.server.service import serve
+
+    configure_logging(given["--log"], own_settings.logs.form if own_settings else "pairs")
+    return serve(configuration, read, own_settings)
 
-    configure_logging(given["--log"], house.logs.form if house else "pairs")
-    return serve(station, read, house)
 
+def _read_own_settings(path: str | None):
+    """Read the front's own settings, if a sheet is given.
 
-def _house(path: str | None):
-    """Our own settings, if there are any. Threat: their libraries in the memory of a front that has
-    none."""
+    Their libraries are imported here only, to save the memory of a front without them.
+    """
     if path is None:
         return None
     try:
--- a/umbermoor/front/capture/frames.py
+++ b/umbermoor/front/capture/frames.py
@@ -1,13 +1,13 @@
-"""The capture's form on disk, version 1, without I/O. Little-endian throughout.
+"""File format of a capture, version 1, without I/O. All integers are little-endian.
 
     file    "UMCAP" version:u8 reserved:u16, then frames
     frame   "Fr" kind:u8 reserved:u8 length:u32 crc32:u32 (of kind and payload), payload
     kind H  JSON: name of the front, begun (microseconds of its clock), profiles
     kind R  zlib of: base:u64 machines:u16 rows:u32, the machines (length:u8 name build:u16
-born:u64), the rows
+            born:u64), the rows
 
-Each frame of rows stands by itself: it has the machines that its rows name. A file that ends in the
-middle of a frame loses that frame alone.
+Each frame of rows is self-contained: it includes the machines that its rows refer to. A file that
+ends in the middle of a frame loses only that frame.
 """
 
 import zlib
@@ -25,49 +25,51 @@
 _ROWS = Struct("<QHI")
 _MACHINE = Struct("<HQ")
 _ROW = Struct("<IBBBBIIHHIII")
-MARK = b"Fr"
+FRAME_MARK = b"Fr"
 HEAD, ROWS = ord("H"), ord("R")
-MOST = 4 << 20  # bytes of a payload; a length beyond that is damage
-UNPACKED_MOST = 32 << 20
+MAX_PAYLOAD = 4 << 20  # bytes; a longer frame is treated as damage
+MAX_UNPACKED = 32 << 20
 NO_MACHINE = 0xFFFF
 REPEATED, HINTED = 1, 2
 
 ENDINGS = ("open", "done", "denied", "abandoned", "left", "failed")
 
 
-class Seen(NamedTuple):
-    """A machine as a frame names it."""
+class SeenMachine(NamedTuple):
+    """A machine in a frame."""
 
     name: str
     build: int
-    born: int  # microseconds of the front's clock; 0: long ago
+    born: int  # start time, microseconds of the front's clock; 0: long ago
 
 
 class Row(NamedTuple):
-    """One query. Times are microseconds; ``came`` by the front's clock, the others from there."""
+    """One query. Times are microseconds: `came` by the front's clock, the others since `came`."""
 
     came: int
     profile: int
     repeated: bool
-    hint: int | None  # what its work was said to be
+    hint: int | None  # work estimate that came with it
     ending: str
     hand_offs: int
-    took: int  # until its final answer
-    patience: int  # what its client had left when it came
-    machine: Seen | None  # of the last hand-off
-    ahead: int  # other hand-offs of this front that were out at that machine then
+    took: int  # until its final response
+    patience: int  # time left to its deadline when it came
+    machine: SeenMachine | None  # of the last hand-off
+    ahead: int  # this front's other open hand-offs to that machine at that time
     sent: int  # when the last hand-off was decided
-    served: int  # what that hand-off took; 0: it was not done
+    served: int  # duration of that hand-off; 0: it was not completed
 
 
 class Damage(NamedTuple):
-    """What could not be read, and where. All rows before it were read."""
+    """Data that could not be read; all rows before it were read."""
 
-    at: int  # byte of the file
+    at: int  # byte offset in the file
     what: str
 
 
 class Header(NamedTuple):
+    """Header of a capture: the front, its start time and its profiles."""
+
     name: str
     begun: int
     profiles: tuple[dict[str, Any], ...]
@@ -77,14 +79,17 @@
 
 
 def file_head() -> bytes:
+    """Return the bytes that a file begins with."""
     return _FILE.pack(MAGIC, VERSION, 0)
 
 
 def frame(kind: int, payload: bytes) -> bytes:
-    return _FRAME.pack(MARK, kind, 0, len(payload), zlib.crc32(payload, kind)) + payload
+    """Return a frame with its checksum."""
+    return _FRAME.pack(FRAME_MARK, kind, 0, len(payload), zlib.crc32(payload, kind)) + payload
 
 
 def header_frame(header: Header) -> bytes:
+    """Return the frame of a header."""
     return frame(
         HEAD,
         orjson.dumps(
@@ -94,10 +99,10 @@
 
 
 def rows_frame(rows: Iterable[Row]) -> bytes:
-    """Rows of less than an hour, of at most 65,535 machines."""
+    """Return a frame of rows that span less than an hour and at most 65,535 machines."""
     rows = list(rows)
     base = min(row.came for row in rows)
-    places: dict[Seen, int] = {}
+    places: dict[SeenMachine, int] = {}
     packed = []
     for row in rows:
         place = NO_MACHINE if row.machine is None else places.setdefault(row.machine, len(places))
@@ -129,7 +134,7 @@
 
 
 def read(data: bytes) -> Iterator[Header | list[Row] | Damage]:
-    """Frames in turn; the first damage is the last thing told."""
+    """Yield the frames' contents in order; the first damage ends the iteration."""
     if len(data) < _FILE.size:
         yield Damage(0, "ends before the file's head does")
         return
@@ -146,7 +151,7 @@
             yield Damage(at, "ends within a frame's head")
             return
         mark, kind, _, length, checksum = _FRAME.unpack_from(data, at)
-        if mark != MARK or length > MOST:
+        if mark != FRAME_MARK or length > MAX_PAYLOAD:
             yield Damage(at, "no frame begins here")
             return
         payload = data[at + _FRAME.size : at + _FRAME.size + length]
@@ -173,7 +178,7 @@
 
 def _read_rows(payload: bytes) -> list[Row]:
     unpacker = zlib.decompressobj()
-    body = unpacker.decompress(payload, UNPACKED_MOST)
+    body = unpacker.decompress(payload, MAX_UNPACKED)
     if unpacker.unconsumed_tail:
         raise ValueError("more than a frame may hold")
     base, machines, count = _ROWS.unpack_from(body)
@@ -181,7 +186,7 @@
     for _ in range(machines):
         size = body[at]
         name = body[at + 1 : at + 1 + size].decode()
-        seen.append(Seen(name, *_MACHINE.unpack_from(body, at + 1 + size)))
+        seen.append(SeenMachine(name, *_MACHINE.unpack_from(body, at + 1 + size)))
         at += 1 + size + _MACHINE.size
     if len(body) - at != count * _ROW.size:
         raise ValueError(f"{len(body) - at} bytes for {count} rows")
--- a/umbermoor/front/facade.py
+++ b/umbermoor/front/facade.py
@@ -1,10 +1,9 @@
-"""The decision module in blocking style, for any front: pick, report, tick. It translates and
-decides nothing.
+"""A synchronous interface to the decision module, for any front: pick, report and tick.
 
-pick says where a query goes, that it is denied, abandoned or held. report tells what became of a
-hand-off, or anything else that was heard, and answers what to do next. tick does what time brings;
-the time at which it wants to be called again stands in ``next_tick``. Times are whole microseconds
-of the clock that the host gives.
+It only translates; the decisions are made by `rules.Front`. pick returns where a query goes, or
+that it is denied, abandoned or held. report takes the outcome of a hand-off or any other event, and
+returns what to do next. tick handles what is due by time; ``next_tick`` is when to call it next.
+Times are whole microseconds of the clock that the caller provides.
 """
 
 from collections import deque
@@ -15,11 +14,11 @@
 from umbermoor.front.records import Contrast, Pace
 from umbermoor.front.rules import Front
 
-# What a front is asked to do next.
+# Steps that a front has to execute.
 
 
 class Go(NamedTuple):
-    """Hand the query to this machine, and wait no longer than the limit for its answer."""
+    """Hand the query to this machine; wait for its answer for at most `limit` microseconds."""
 
     query: str
     number: int
@@ -28,7 +27,7 @@
 
 
 class Stop(NamedTuple):
-    """Wait no longer for this hand-off."""
+    """Cancel this hand-off."""
 
     query: str
     number: int
@@ -36,7 +35,7 @@
 
 class Denied(NamedTuple):
     query: str
-    wait: int  # when to come back; 0: no advice
+    wait: int  # microseconds after which the client may retry; 0: unspecified
 
 
 class Abandoned(NamedTuple):
@@ -54,7 +53,7 @@
 
 
 class Watch(NamedTuple):
-    """Ask for the list of machines and its changes."""
+    """Request the list of machines and watch it for changes."""
 
 
 class Probe(NamedTuple):
@@ -70,11 +69,11 @@
     text: str
 
 
-Fate = Go | Denied | Abandoned | Held
+PickResult = Go | Denied | Abandoned | Held
 Step = Go | Stop | Denied | Abandoned | Vote | Watch | Probe | Tell | Note
 
 
-# What a front reports.
+# Events that a front reports.
 
 
 class Asked(NamedTuple):
@@ -82,13 +81,15 @@
     profile: int
     key: str | None
     due: int
-    cost: int | None  # a guess at the work, in microseconds
+    cost: int | None  # the client's estimate of the work, in microseconds
     repeated: bool
 
 
 class Connected(NamedTuple):
-    """This hand-off had to wait for its connection. The answer holds it again if it may still be
-    sent."""
+    """The connection for this hand-off is established.
+
+    The answer contains the hand-off again if it may still be sent.
+    """
 
     go: Go
 
@@ -102,7 +103,7 @@
 
 
 class Left(NamedTuple):
-    """The client has gone."""
+    """The client has disconnected."""
 
     query: str
 
@@ -134,13 +135,13 @@
 
 
 class Told(NamedTuple):
-    """A peer's message."""
+    """A message from a peer."""
 
     peer: int
     payload: bytes
 
 
-Heard = Connected | Ended | Left | Listed | News | Tally | Complaint | Probed | Told
+FrontEvent = Connected | Ended | Left | Listed | News | Tally | Complaint | Probed | Told
 
 _STEPS: dict[Do, Callable[..., Step]] = {
     Do.CANCEL: Stop,
@@ -155,69 +156,79 @@
 
 
 class DecisionModule:
+    """The synchronous interface to one front's decisions."""
+
     def __init__(self, charter: Charter, clock: Callable[[], int]) -> None:
         self._front, self._clock = Front(charter), clock
-        self._steps: deque[Step] = deque()  # decided beside a pick, and not told yet
-        self._numbers: dict[str, int] = {}  # hand-offs so far, of the queries held
-        self._wake = clock()
+        self._steps: deque[Step] = deque()  # decided during a pick, and not returned yet
+        self._hand_off_counts: dict[str, int] = {}  # number of hand-offs so far, by pending query
+        self._wake_at = clock()
 
     @property
     def next_tick(self) -> int:
-        return self._clock() if self._steps else self._wake
+        return self._clock() if self._steps else self._wake_at
 
-    def pick(self, asked: Asked) -> Fate:
-        self._numbers[asked.query] = 0
+    def pick(self, asked: Asked) -> PickResult:
+        self._hand_off_counts[asked.query] = 0
         self._front.take_query(self._clock(), *asked)
-        self._pull()
+        self._collect_steps()
         for step in self._steps:
             if isinstance(step, Go | Denied | Abandoned) and step.query == asked.query:
                 self._steps.remove(step)
                 return step
         return Held(asked.query)
 
-    def report(self, heard: Heard) -> list[Step]:
+    def report(self, event: FrontEvent) -> list[Step]:
         now, front = self._clock(), self._front
-        match heard:
+        match event:
             case Connected(go):
                 return [go] if front.may_still(now, go.query, go.number) else []
             case Ended(query, number, machine, ending, took):
                 front.hand_off_ended(now, query, number, machine, ending, took, ending is Ending.OK)
                 if ending is Ending.OK:
-                    self._numbers.pop(query, None)
+                    self._hand_off_counts.pop(query, None)
             case Left(query):
-                self._numbers.pop(query, None)
+                self._hand_off_counts.pop(query, None)
                 front.client_left(now, query)
             case Listed(kind, entries):
                 front.list_news(now, kind, entries)
             case News():
-                front.release_news(now, heard)
+                front.release_news(now, event)
             case Tally():
-                front.tally(now, *heard)
+                front.tally(now, *event)
             case Complaint():
-                front.complaint(now, *heard)
+                front.complaint(now, *event)
             case Probed():
-                front.probe_ended(now, *heard)
+                front.probe_ended(now, *event)
             case Told(peer, payload):
-                front.peer_told(now, peer, payload)
-        return self._next()
+                front.peer_message(now, peer, payload)
+        return self._take_steps()
 
     def forget(self) -> None:
-        """What was seen of the stage is too old to vote on."""
+        """Discard the observations of the current stage, which are too old to vote on."""
         front = self._front
-        front.stage, front.trial, front.paces = front.stage.next(), Contrast(), (Pace(), Pace())
+        front.stage, front.past_stages, front.paces = (
+            front.stage.next_stage(),
+            Contrast(),
+            (Pace(), Pace()),
+        )
 
     def remember(self) -> tuple[float, float, float, tuple[float, ...], list[tuple]]:
-        """What is worth keeping over a restart: the fleet's pace, what a machine carried, usual
-        work, and by machine its
-        id, build, start, answer times, work ahead of them, usual silence and failures."""
+        """Return the state to keep over a restart.
+
+        Returns:
+            The fleet's answer time and work, the peak work rate of a machine, the usual work by
+            profile, and by machine its id, build, start, answer time, work, usual gap between
+            answers and failure rate.
+        """
         front = self._front
         return (
             front.took,
             front.work,
-            front.carried,
-            tuple(front.usual),
+            front.peak_work_rate,
+            tuple(front.usual_work),
             [
-                (one.id, one.build, one.born, one.took, one.work, one.gap, one.fails)
+                (one.id, one.build, one.born, one.took, one.work, one.gap, one.failure_rate)
                 for one in front.machines.values()
             ],
         )
@@ -230,39 +241,42 @@
         usual: Sequence[float],
         machines: Sequence[tuple],
     ) -> None:
-        """The same, after a restart. Of machines those are taken that are listed; their times are
-        as of now."""
+        """Restore the state of `remember` after a restart.
+
+        Machines that are not listed with the same build and start are skipped; the others count as
+        updated now.
+        """
         front, now = self._front, self._clock()
-        if took > 0 < work and len(usual) == len(front.usual):
-            front.took, front.work, front.usual = took, work, list(usual)
-            front.carried = max(front.carried, carried)
+        if took > 0 < work and len(usual) == len(front.usual_work):
+            front.took, front.work, front.usual_work = took, work, list(usual)
+            front.peak_work_rate = max(front.peak_work_rate, carried)
         for id, build, born, *seen in machines:
-            known = front.machines.get(id)
-            if known and (known.build, known.born) == (build, born):
-                known.took, known.work, known.gap, known.fails = seen
-                known.seen = now
+            machine = front.machines.get(id)
+            if machine and (machine.build, machine.born) == (build, born):
+                machine.took, machine.work, machine.gap, machine.failure_rate = seen
+                machine.updated_at = now
 
     def tick(self) -> list[Step]:
         self._front.woken(self._clock())
-        return self._next()
+        return self._take_steps()
 
-    def _next(self) -> list[Step]:
-        self._pull()
+    def _take_steps(self) -> list[Step]:
+        self._collect_steps()
         steps = list(self._steps)
         self._steps.clear()
         return steps
 
-    def _pull(self) -> None:
+    def _collect_steps(self) -> None:
         while decision := self._front.decide(now := self._clock()):
             do, *values = decision
             if do is Do.WAKE:
-                self._wake = values[0] if self._wake <= now else min(self._wake, values[0])
+                self._wake_at = values[0] if self._wake_at <= now else min(self._wake_at, values[0])
             elif do is Do.HAND_OFF:
                 query, machine, limit = values
-                number = self._numbers.get(query, 0)
-                self._numbers[query] = number + 1
+                number = self._hand_off_counts.get(query, 0)
+                self._hand_off_counts[query] = number + 1
                 self._steps.append(Go(query, number, machine, limit))
             else:
                 if do in (Do.DENY, Do.ABANDON):
-                    self._numbers.pop(values[0], None)
+                    self._hand_off_counts.pop(values[0], None)
                 self._steps.append(_STEPS[do](*values))
--- a/umbermoor/front/lifecycle/admin_calls.py
+++ b/umbermoor/front/lifecycle/admin_calls.py
@@ -1,12 +1,14 @@
-"""What operators may ask of a front, and the answers, without I/O: the door on sockets only carries
-them.
-
-GET  /status   state, deadline, work in hand, machines, stage
-GET  /hands    each query in hand: profile, age, machine, time left
-GET  /metrics  counters in the Prometheus text form
-GET  /config   what the front runs with
-GET  /members  who said what of the machines, and what was concluded
-POST /drain    {"deadline_s": 30}; POST /resume
+"""Admin calls of a front and their responses, without I/O.
+
+`server.admin_endpoint` receives the requests on a socket and sends the responses.
+
+GET  /status   state, deadline, queries in flight, machines, stage
+GET  /hands    each query in flight: profile, age, machine, time left
+GET  /metrics  counters and gauges in the Prometheus text format
+GET  /config   the configuration that the front runs with
+GET  /members  what each membership source reported, and the resulting machine list
+POST /drain    {"deadline_s": 30}; the body is optional
+POST /resume
 """
 
 import hmac
@@ -17,27 +19,35 @@
 
 from umbermoor.http1.reader import Request
 
-TOKEN_LEAST = 16  # characters
-DEADLINE_MOST = 3600.0
+MIN_TOKEN_LENGTH = 16  # characters
+MAX_DEADLINE_S = 3600.0
+
 
+class AdminResponse(NamedTuple):
+    """HTTP response of an admin call."""
 
-class Said(NamedTuple):
     status: int
     body: bytes
-    kind: str = "application/json"
+    content_type: str = "application/json"
 
 
 class AdminCalls:
-    """``front`` answers each of the names; ``token`` is asked for where it is not empty."""
+    """Dispatcher of the admin calls.
+
+    Args:
+        front: function for each call, by the call's path without the leading slash.
+        token: bearer token that each request must carry; empty if none is required.
+    """
 
     def __init__(self, front: Mapping[str, Callable[..., Any]], token: str = "") -> None:
         self._front, self._token = front, token
 
-    def answer(self, request: Request) -> Said:
+    def answer(self, request: Request) -> AdminResponse:
+        """Run the call that `request` names and return its response."""
         if self._token and not self._allowed(request.headers.get("authorization", "")):
-            return _said(401, {"error": "a token is needed: Authorization: Bearer TOKEN"})
+            return _json_response(401, {"error": "a token is needed: Authorization: Bearer TOKEN"})
         path = request.target.partition("?")[0]
-        known = {
+        methods = {
             "/status": "GET",
             "/members": "GET",
             "/hands": "GET",
@@ -46,55 +56,57 @@
             "/drain": "POST",
             "/resume": "POST",
         }
-        if path not in known:
-            return _said(404, {"error": f"no such way; there are {', '.join(sorted(known))}"})
-        if request.method != known[path]:
-            return _said(405, {"error": f"{path} is asked with {known[path]}"})
+        if path not in methods:
+            return _json_response(
+                404, {"error": f"no such way; there are {', '.join(sorted(methods))}"}
+            )
+        if request.method != methods[path]:
+            return _json_response(405, {"error": f"{path} is asked with {methods[path]}"})
         if path == "/metrics":
-            return Said(200, self._front["metrics"](), "text/plain; version=0.0.4")
+            return AdminResponse(200, self._front["metrics"](), "text/plain; version=0.0.4")
         if path == "/drain":
-            within = self._deadline(request.body)
-            if isinstance(within, Said):
-                return within
-            return _said(200, {"answer": self._front["drain"](within)})
+            deadline = self._deadline(request.body)
+            if isinstance(deadline, AdminResponse):
+                return deadline
+            return _json_response(200, {"answer": self._front["drain"](deadline)})
         if path == "/resume":
-            return _said(200, {"answer": self._front["resume"]()})
-        return _said(200, self._front[path[1:]]())
+            return _json_response(200, {"answer": self._front["resume"]()})
+        return _json_response(200, self._front[path[1:]]())
 
     def _allowed(self, given: str) -> bool:
-        """In constant time, whatever was given."""
+        """Compare in constant time, so that the duration tells nothing about the token."""
         return hmac.compare_digest(
             given.encode("utf-8", "replace"), f"Bearer {self._token}".encode()
         )
 
-    def _deadline(self, body: bytes) -> int | None | Said:
+    def _deadline(self, body: bytes) -> int | None | AdminResponse:
+        """Return the drain deadline in microseconds, None if none is given, or an error."""
         if not body:
             return None
         try:
             given = orjson.loads(body)
-            within = given.get("deadline_s") if isinstance(given, dict) else given
+            deadline = given.get("deadline_s") if isinstance(given, dict) else given
         except orjson.JSONDecodeError as error:
-            return _said(400, {"error": f"no JSON: {error}"})
-        if within is None and isinstance(given, dict):
+            return _json_response(400, {"error": f"no JSON: {error}"})
+        if deadline is None and isinstance(given, dict):
             return None
         if (
-            isinstance(within, bool)
-            or not isinstance(within, int | float)
-            or not 0 <= within <= DEADLINE_MOST
+            isinstance(deadline, bool)
+            or not isinstance(deadline, int | float)
+            or not 0 <= deadline <= MAX_DEADLINE_S
         ):
-            return _said(
-                400, {"error": f"deadline_s: expected seconds from 0 to {DEADLINE_MOST:g}"}
+            return _json_response(
+                400, {"error": f"deadline_s: expected seconds from 0 to {MAX_DEADLINE_S:g}"}
             )
-        return round(within * 1e6)
+        return round(deadline * 1e6)
 
 
-def _said(status: int, given: Any) -> Said:
-    return Said(status, orjson.dumps(given) + b"\n")
+def _json_response(status: int, given: Any) -> AdminResponse:
+    return AdminResponse(status, orjson.dumps(given) + b"\n")
 
 
 def metrics_text(rows: list[tuple[str, str, str, dict[str, str], float]]) -> bytes:
-    """Rows of (name, kind, help, labels, value) in the Prometheus text form, by its client
-    library."""
+    """Return rows of (name, kind, help, labels, value) in the Prometheus text format."""
     from prometheus_client import CollectorRegistry, generate_latest
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
@@ -109,7 +121,7 @@
 
 
 class _Rows:
-    """What the client library asks for what it writes."""
+    """Collector that returns fixed metric families to the Prometheus client library."""
 
     def __init__(self, families: list[Any]) -> None:
         self._families = families
--- a/umbermoor/front/membership/dns_queries.py
+++ b/umbermoor/front/membership/dns_queries.py
@@ -1,10 +1,8 @@
-"""When to ask which server for a service's records, and what to make of the answers; decisions
-without I/O.
+"""Schedule of the DNS queries for a service's SRV records, and the state of the lookup; no I/O.
 
-A host sends what ``due`` says, over UDP from a port of its own for each question, and tells
-``heard`` and ``broke``. Ids and
-ports are drawn by chance that is given. Times are microseconds. Source: RFC 1035 section 7, 5452,
-7766.
+The host sends what `next_query` returns, over UDP from a separate port for each query, and reports
+to `handle_answer` and `handle_failure`. Query ids come from the given random source. Times are
+microseconds. Sources: RFC 1035 section 7, RFC 5452, RFC 7766.
 """
 
 from collections.abc import Callable
@@ -13,24 +11,33 @@
 
 from umbermoor.backoff import Backoff
 from umbermoor.front.membership import dns_messages
-from umbermoor.front.membership.dns_messages import Cut, Failed, NotOurs, NotThere, Target, There
+from umbermoor.front.membership.dns_messages import (
+    Failed,
+    ServiceAbsent,
+    ServiceFound,
+    Target,
+    Truncated,
+    Unrelated,
+)
 
 SECOND = 1_000_000
-WAIT_LEAST, WAIT_MOST = SECOND // 5, 2 * SECOND  # for one answer
-WAIT_TIMES = 6.0  # so many usual answer times
-LEARN = 0.3
-REFRESH_PART, REFRESH_SPREAD = (
+MIN_WAIT, MAX_WAIT = SECOND // 5, 2 * SECOND  # timeout of one query
+WAIT_FACTOR = 6.0  # timeout as a multiple of the server's average response time
+SMOOTHING = 0.3  # weight of the newest response time in the average
+REFRESH_SHARE, REFRESH_SPREAD = (
     0.7,
     0.2,
-)  # of a lifetime, after which it is asked again; so many fronts not at once
-AGAIN_FIRST, AGAIN_MOST = (
+)  # of the TTL after which it is queried again, and random spread so that fronts don't synchronize
+FIRST_RETRY_DELAY, MAX_RETRY_DELAY = (
     SECOND // 2,
     8 * SECOND,
-)  # after a round in which no server answered, doubling
-HOSTS_MOST = 64  # whose addresses are asked for by themselves
+)  # delay after a round in which no server answered; doubles
+MAX_HOSTS = 64  # hosts whose addresses are queried separately
 
 
-class Ask(NamedTuple):
+class DnsQuery(NamedTuple):
+    """A query for the host to send to `server`."""
+
     server: str
     id: int
     data: bytes
@@ -39,23 +46,26 @@
 
 @dataclass(slots=True)
 class Server:
-    """What is known of one server."""
+    """State of one DNS server."""
 
     address: str
-    usual: float = 0.0  # its answer time
-    failures: int = 0
+    usual_time: float = 0.0  # average response time; 0: none yet
+    failures: int = 0  # in sequence
 
     def wait(self) -> int:
+        """Return the timeout of a query to this server."""
         return (
-            round(min(WAIT_MOST, max(WAIT_LEAST, WAIT_TIMES * self.usual)))
-            if self.usual
-            else WAIT_MOST // 2
+            round(min(MAX_WAIT, max(MIN_WAIT, WAIT_FACTOR * self.usual_time)))
+            if self.usual_time
+            else MAX_WAIT // 2
         )
 
 
 @dataclass(slots=True)
-class _Out:
-    ask: Ask
+class _Outstanding:
+    """A query that was sent and not answered yet."""
+
+    query: DnsQuery
     server: Server
     sent: int
     name: str
@@ -63,139 +73,176 @@
 
 
 @dataclass(slots=True)
-class Asker:
+class SrvResolver:
+    """Resolves the SRV records of one service, and the addresses of their hosts, again and again.
+
+    Attributes:
+        name: service name.
+        servers: DNS servers; those with fewer failures and shorter response times go first.
+        random: returns numbers from 0 to 1.
+        next_round: when the next lookup starts.
+        outstanding: the query that waits for an answer.
+        addresses: addresses of hosts that were queried separately.
+        why: reason of the last failure.
+    """
+
     name: str
     servers: list[Server]
-    chance: Callable[[], float]
+    random: Callable[[], float]
     next_round: int = 0
-    out: _Out | None = None
+    outstanding: _Outstanding | None = None
     addresses: dict[str, tuple[str, ...]] = field(default_factory=dict)
-    _found: There | None = None  # whose hosts' addresses are still asked for
+    _partial: ServiceFound | None = None  # result whose host addresses are still being queried
     _hosts: list[str] = field(default_factory=list)
     _tried: list[Server] = field(default_factory=list)
     _backoff: Backoff = field(init=False)
     why: str = ""
 
     def __post_init__(self) -> None:
-        self._backoff = Backoff(AGAIN_FIRST, AGAIN_MOST, self.chance)
+        self._backoff = Backoff(FIRST_RETRY_DELAY, MAX_RETRY_DELAY, self.random)
 
-    def due(self, now: int) -> Ask | None:
-        """What is to be sent now."""
-        if self.out is not None:
-            if now < self.out.sent + self.out.server.wait():
+    def next_query(self, now: int) -> DnsQuery | None:
+        """Return the query to send now, if any; also registers a timeout of the last one."""
+        if self.outstanding is not None:
+            if now < self.outstanding.sent + self.outstanding.server.wait():
                 return None
-            self._missed(self.out.server, "no answer")
+            self._record_failure(self.outstanding.server, "no answer")
         if now < self.next_round:
             return None
-        return self._ask(now, False)
+        return self._query_server(now, False)
 
     def next_at(self) -> int:
-        return self.next_round if self.out is None else self.out.sent + self.out.server.wait()
+        """Return when `next_query` should be called next."""
+        return (
+            self.next_round
+            if self.outstanding is None
+            else self.outstanding.sent + self.outstanding.server.wait()
+        )
+
+    def handle_answer(
+        self, now: int, query: DnsQuery, data: bytes
+    ) -> ServiceFound | ServiceAbsent | Failed | DnsQuery | None:
+        """Process a response to `query`.
 
-    def heard(self, now: int, ask: Ask, data: bytes) -> There | NotThere | Failed | Ask | None:
-        """An answer: what it proves, or what to ask at once; None: nothing yet."""
-        out = self.out
-        if out is None or out.ask is not ask:
+        Returns:
+            The result of the lookup, or the query to send next, or None if there is no result yet.
+        """
+        out = self.outstanding
+        if out is None or out.query is not query:
             return None
-        read = dns_messages.read(data, out.name, ask.id, out.kind)
-        if isinstance(read, NotOurs):
+        read = dns_messages.read(data, out.name, query.id, out.kind)
+        if isinstance(read, Unrelated):
             return None
         took = now - out.sent
-        out.server.usual += (took - out.server.usual) * (LEARN if out.server.usual else 1.0)
-        if isinstance(read, Cut):
+        out.server.usual_time += (took - out.server.usual_time) * (
+            SMOOTHING if out.server.usual_time else 1.0
+        )
+        if isinstance(read, Truncated):
             return (
                 self._failed(now, out.server, "truncated over TCP")
-                if ask.tcp
-                else self._again_over_tcp(now, out)
+                if query.tcp
+                else self._retry_over_tcp(now, out)
             )
         if isinstance(read, Failed):
             return self._failed(now, out.server, read.why)
         out.server.failures = 0
-        self.out = None
-        return self._address(now, out, read) if out.kind == "A" else self._service(now, read)
+        self.outstanding = None
+        return (
+            self._handle_address(now, out, read)
+            if out.kind == "A"
+            else self._handle_service(now, read)
+        )
 
-    def broke(self, now: int, ask: Ask, why: str) -> Failed | Ask | None:
-        """It could not be sent, or its connection ended without an answer."""
-        if self.out is None or self.out.ask is not ask:
+    def handle_failure(self, now: int, query: DnsQuery, why: str) -> Failed | DnsQuery | None:
+        """Register that `query` could not be sent or its connection ended without a response."""
+        if self.outstanding is None or self.outstanding.query is not query:
             return None
-        return self._failed(now, self.out.server, why)
+        return self._failed(now, self.outstanding.server, why)
 
-    # Within.
+    # Internals.
 
-    def _ask(self, now: int, tcp: bool) -> Ask | None:
+    def _query_server(self, now: int, tcp: bool) -> DnsQuery | None:
         server = min(
             (one for one in self.servers if one not in self._tried),
             default=None,
-            key=lambda one: (one.failures, one.usual * (0.8 + 0.4 * self.chance())),
+            key=lambda one: (one.failures, one.usual_time * (0.8 + 0.4 * self.random())),
         )
         if server is None:
-            self._round_over(now)
+            self._end_round(now)
             return None
         name, kind = (self._hosts[0], "A") if self._hosts else (self.name, "SRV")
         return self._send(now, server, name, kind, tcp)
 
-    def _send(self, now: int, server: Server, name: str, kind: str, tcp: bool) -> Ask:
-        id = int(self.chance() * 65536)
-        ask = Ask(server.address, id, dns_messages.question(name, id, kind), tcp)
-        self.out = _Out(ask, server, now, name, kind)
-        return ask
+    def _send(self, now: int, server: Server, name: str, kind: str, tcp: bool) -> DnsQuery:
+        id = int(self.random() * 65536)
+        query = DnsQuery(server.address, id, dns_messages.question(name, id, kind), tcp)
+        self.outstanding = _Outstanding(query, server, now, name, kind)
+        return query
 
-    def _again_over_tcp(self, now: int, out: _Out) -> Ask:
+    def _retry_over_tcp(self, now: int, out: _Outstanding) -> DnsQuery:
         return self._send(now, out.server, out.name, out.kind, True)
 
-    def _missed(self, server: Server, why: str) -> None:
+    def _record_failure(self, server: Server, why: str) -> None:
         server.failures += 1
         self._tried.append(server)
-        self.out, self.why = None, f"{server.address}: {why}"
+        self.outstanding, self.why = None, f"{server.address}: {why}"
 
-    def _failed(self, now: int, server: Server, why: str) -> Failed | Ask | None:
-        self._missed(server, why)
-        ask = self._ask(now, False)
-        return ask if ask is not None else Failed(self.why)
+    def _failed(self, now: int, server: Server, why: str) -> Failed | DnsQuery | None:
+        self._record_failure(server, why)
+        query = self._query_server(now, False)
+        return query if query is not None else Failed(self.why)
 
-    def _round_over(self, now: int) -> None:
-        """No server answered."""
+    def _end_round(self, now: int) -> None:
+        """End a round in which no server answered, and schedule the next."""
         self._tried.clear()
-        self._hosts, self._found = [], None
+        self._hosts, self._partial = [], None
         self.next_round = now + round(self._backoff.next_delay())
 
-    def _service(self, now: int, read: There | NotThere) -> There | NotThere | Ask:
+    def _handle_service(
+        self, now: int, read: ServiceFound | ServiceAbsent
+    ) -> ServiceFound | ServiceAbsent | DnsQuery:
         self._tried.clear()
-        if isinstance(read, There) and read.unknown:
-            self._found, self._hosts = read, list(read.unknown[:HOSTS_MOST])
+        if isinstance(read, ServiceFound) and read.unknown:
+            self._partial, self._hosts = read, list(read.unknown[:MAX_HOSTS])
             self.addresses = {}
-            return self._ask(now, False)
-        return self._settled(now, read)
+            return self._query_server(now, False)
+        return self._finish(now, read)
 
-    def _address(self, now: int, out: _Out, read: There | NotThere) -> There | Ask | NotThere:
+    def _handle_address(
+        self, now: int, out: _Outstanding, read: ServiceFound | ServiceAbsent
+    ) -> ServiceFound | DnsQuery | ServiceAbsent:
         self._tried.clear()
         self._hosts.pop(0)
-        self.addresses[out.name] = read.targets[0].addresses if isinstance(read, There) else ()
-        found = self._found
-        self._found = found._replace(ttl=max(dns_messages.TTL_LEAST, min(found.ttl, read.ttl)))
+        self.addresses[out.name] = (
+            read.targets[0].addresses if isinstance(read, ServiceFound) else ()
+        )
+        found = self._partial
+        self._partial = found._replace(ttl=max(dns_messages.MIN_TTL, min(found.ttl, read.ttl)))
         if self._hosts:
-            return self._ask(now, False)
+            return self._query_server(now, False)
         targets = tuple(
             one._replace(addresses=one.addresses or self.addresses.get(one.host, ()))
-            for one in self._found.targets
+            for one in self._partial.targets
         )
-        done = There(
-            targets, self._found.ttl, tuple(one.host for one in targets if not one.addresses)
+        done = ServiceFound(
+            targets, self._partial.ttl, tuple(one.host for one in targets if not one.addresses)
         )
-        self._found = None
-        return self._settled(now, done)
+        self._partial = None
+        return self._finish(now, done)
 
-    def _settled(self, now: int, read: There | NotThere) -> There | NotThere:
+    def _finish(self, now: int, read: ServiceFound | ServiceAbsent) -> ServiceFound | ServiceAbsent:
         self._backoff.reset()
-        part = REFRESH_PART + REFRESH_SPREAD * self.chance()
+        part = REFRESH_SHARE + REFRESH_SPREAD * self.random()
         self.next_round = now + max(SECOND // 10, round(read.ttl * SECOND * part))
         return read
 
 
-def places(found: There) -> list[tuple[str, tuple[str, int], int]]:
-    """Name, address and weight of each place that the records name; of priorities only the first
-    counts, as in RFC 2782 a
-    client asks the others when none of these can be reached, which the list is there to say."""
+def srv_endpoints(found: ServiceFound) -> list[tuple[str, tuple[str, int], int]]:
+    """Return name, address and weight of each endpoint that the records list.
+
+    Only the records of the first priority count: in RFC 2782 a client uses the others when none of
+    these can be reached, and whether they can is what this list is meant to find out.
+    """
     if not found.targets:
         return []
     first = min(one.priority for one in found.targets)
@@ -207,4 +254,4 @@
     ]
 
 
-__all__ = ["Ask", "Asker", "Server", "Target", "places"]
+__all__ = ["DnsQuery", "SrvResolver", "Server", "Target", "srv_endpoints"]
--- a/umbermoor/front/membership/sources.py
+++ b/umbermoor/front/membership/sources.py
@@ -1,11 +1,9 @@
-"""What each source last said, and what of it is believed: last good sets, sudden emptiness,
-flapping. Without I/O.
-
-Sources tell whole sets, changes, or that they fail. What a failing source knew stays, with its age.
-What an authoritative
-source leaves out is gone at once; of another, a set that lost most of its machines in one answer is
-held until it says so
-again. Times are microseconds.
+"""Tracks what each membership source reported last, and which of its machines count. Without I/O.
+
+Sources report full lists, changes or failures. The last good list of a failing source is kept with
+its age. A machine that an authoritative source leaves out is removed at once. If another source
+loses most of its machines in one report, the loss is withheld until the source confirms it. A
+machine that flaps has to be listed steadily for a while. Times are microseconds.
 """
 
 from collections.abc import Iterable
@@ -15,20 +13,21 @@
 from umbermoor.front.interface import Readiness
 
 SECOND = 1_000_000
-SUDDEN_PART, SUDDEN_LEAST = 0.5, 4  # losing more than that part of so many at once is held
-CONFIRMED_AFTER = 2  # answers that say the same
-HELD_MOST = 10 * SECOND  # and in any case no longer than this
-STEADY_FIRST, STEADY_MOST = (
+# A loss of more than this share at once is withheld, if the source had at least so many machines.
+SUDDEN_LOSS_SHARE, SUDDEN_LOSS_MIN = 0.5, 4
+CONFIRMED_AFTER = 2  # further reports without the lost machines that confirm the loss
+MAX_HOLD = 10 * SECOND  # after which a withheld loss counts in any case
+STEADY_FIRST, MAX_STEADY = (
     SECOND,
     60 * SECOND,
-)  # who came back after a loss waits this long, doubling with each
-CALM = 300 * SECOND  # without a loss, after which its flapping is forgotten
-ENTRIES_MOST = 20_000  # of one source; what is beyond is left out and told
-EVENTS_MOST = 512  # kept for who asks why
+)  # time for which a machine that was lost must be listed again; doubles with each loss
+FLAP_MEMORY = 300 * SECOND  # time without a loss after which earlier losses are forgotten
+MAX_ENTRIES = 20_000  # of one source; further entries are left out, with an event
+MAX_EVENTS = 512  # kept to explain the list to operators
 
 
-class Seen(NamedTuple):
-    """A machine as a source names it. What it does not know is None."""
+class SeenMachine(NamedTuple):
+    """A machine as a source lists it; None for what the source does not know."""
 
     name: str
     address: tuple[str, int]
@@ -41,7 +40,7 @@
 
 
 class Event(NamedTuple):
-    """Something that was concluded, for who asks why."""
+    """A decision about a source or a machine, to explain the list to operators."""
 
     at: int
     source: str
@@ -51,201 +50,234 @@
 
 @dataclass(slots=True)
 class _Flap:
+    """Recent losses of one machine by one source."""
+
     losses: int = 0
     lost_at: int = 0
-    since: int = 0  # when it came back
+    since: int = 0  # when it was listed again; 0: it is not
 
 
 @dataclass(slots=True)
 class Source:
+    """State of one source."""
+
     name: str
     authoritative: bool
-    keep: int  # how old its last good set may be; 0: for ever
-    known: dict[str, Seen] = field(default_factory=dict)
-    good_at: int = 0  # 0: it never spoke
+    max_age: int  # of its last good list while it fails; 0: no limit
+    machines: dict[str, SeenMachine] = field(default_factory=dict)
+    good_at: int = 0  # time of its last good report; 0: none yet
     failing_since: int = 0
     why: str = ""
     version: int = 0
-    held: dict[str, int] = field(
+    withheld: dict[str, int] = field(
         default_factory=dict
-    )  # who it left out, and is not believed yet: since when
-    held_answers: int = 0
+    )  # machines whose loss is withheld, and since when
+    withheld_answers: int = 0
     flaps: dict[str, _Flap] = field(default_factory=dict)
 
-    def speaks(self, now: int) -> bool:
-        """Whether what it last said still counts."""
+    def is_usable(self, now: int) -> bool:
+        """Whether its last good list still counts."""
         return bool(self.good_at) and (
-            not self.failing_since or not self.keep or now - self.good_at <= self.keep
+            not self.failing_since or not self.max_age or now - self.good_at <= self.max_age
         )
 
 
-class Book:
+class SourceTracker:
+    """State of all sources.
+
+    Args:
+        sources: name, whether it is authoritative, and maximum age of each source.
+    """
+
     def __init__(self, sources: Iterable[tuple[str, bool, int]]) -> None:
         self.sources = {
-            name: Source(name, authoritative, keep) for name, authoritative, keep in sources
+            name: Source(name, authoritative, max_age) for name, authoritative, max_age in sources
         }
         self.events: list[Event] = []
 
-    # What sources say.
+    # Reports of sources.
 
-    def whole(self, now: int, name: str, entries: Iterable[Seen], version: int = 0) -> bool:
-        """All that a source knows. False: it was not believed, as its version goes back."""
+    def report_all(
+        self, now: int, name: str, entries: Iterable[SeenMachine], version: int = 0
+    ) -> bool:
+        """Process a full list; return False if its version is older than the last one's."""
         source = self.sources[name]
         if version and source.version and version < source.version:
-            self._tell(
+            self._record(
                 now,
                 source,
                 "",
                 f"an older answer, {version} after {source.version}, is passed over",
             )
             return False
-        told = self._bounded(now, source, entries)
-        lost = [one for one in source.known if one not in told]
+        reported = self._limit_entries(now, source, entries)
+        lost = [machine for machine in source.machines if machine not in reported]
         sudden = (
             not source.authoritative
-            and len(source.known) >= SUDDEN_LEAST
-            and len(lost) > SUDDEN_PART * len(source.known)
+            and len(source.machines) >= SUDDEN_LOSS_MIN
+            and len(lost) > SUDDEN_LOSS_SHARE * len(source.machines)
         )
         if sudden and not self._confirmed(now, source, lost):
-            kept = {one: source.known[one] for one in lost}
+            kept = {machine: source.machines[machine] for machine in lost}
         else:
             kept = {}
-            source.held.clear()
-            source.held_answers = 0
-        for one in lost:
-            if one not in kept:
-                self._lost(now, source, one)
-        for one in told:
-            if one not in source.known:
-                self._came(now, source, one)
-        source.known = {**kept, **told}
-        self._good(now, source, version)
+            source.withheld.clear()
+            source.withheld_answers = 0
+        for machine in lost:
+            if machine not in kept:
+                self._record_loss(now, source, machine)
+        for machine in reported:
+            if machine not in source.machines:
+                self._record_arrival(now, source, machine)
+        source.machines = {**kept, **reported}
+        self._mark_good(now, source, version)
         return True
 
-    def changes(self, now: int, name: str, entries: Iterable[Seen], version: int = 0) -> None:
-        """Single machines; GONE is a goodbye, which is obeyed at once whoever says it."""
+    def report_changes(
+        self, now: int, name: str, entries: Iterable[SeenMachine], version: int = 0
+    ) -> None:
+        """Process changes of single machines; GONE removes a machine at once, from any source."""
         source = self.sources[name]
-        for one in entries:
-            if one.readiness is Readiness.GONE:
-                if source.known.pop(one.name, None) is not None:
-                    self._lost(now, source, one.name)
-            elif len(source.known) < ENTRIES_MOST or one.name in source.known:
-                if one.name not in source.known:
-                    self._came(now, source, one.name)
-                source.known[one.name] = one
-            source.held.pop(one.name, None)
-        self._good(now, source, version)
-
-    def failed(self, now: int, name: str, why: str) -> None:
+        for machine in entries:
+            if machine.readiness is Readiness.GONE:
+                if source.machines.pop(machine.name, None) is not None:
+                    self._record_loss(now, source, machine.name)
+            elif len(source.machines) < MAX_ENTRIES or machine.name in source.machines:
+                if machine.name not in source.machines:
+                    self._record_arrival(now, source, machine.name)
+                source.machines[machine.name] = machine
+            source.withheld.pop(machine.name, None)
+        self._mark_good(now, source, version)
+
+    def report_failure(self, now: int, name: str, why: str) -> None:
+        """Process a failure of the source; its last good list stays."""
         source = self.sources[name]
         if not source.failing_since:
             source.failing_since = now
-            self._tell(now, source, "", f"fails: {why}; its last good set stays")
+            self._record(now, source, "", f"fails: {why}; its last good set stays")
         source.why = why
 
     def tick(self, now: int) -> None:
-        """What was held for long enough is believed; what flapped long ago is forgotten."""
+        """Accept losses withheld for `MAX_HOLD`, and forget old flaps."""
         for source in self.sources.values():
             if (
-                source.held
-                and now - min(source.held.values()) >= HELD_MOST
+                source.withheld
+                and now - min(source.withheld.values()) >= MAX_HOLD
                 and not source.failing_since
             ):
-                for one in list(source.held):
-                    source.known.pop(one, None)
-                    self._lost(now, source, one)
-                source.held.clear()
-                source.held_answers = 0
-            for one in [one for one, flap in source.flaps.items() if now - flap.lost_at > CALM]:
-                del source.flaps[one]
-
-    # What is believed.
-
-    def present(self, now: int, name: str) -> dict[str, Seen]:
-        """A source's machines, without those that flap and have not been steady for long enough."""
+                for machine in list(source.withheld):
+                    source.machines.pop(machine, None)
+                    self._record_loss(now, source, machine)
+                source.withheld.clear()
+                source.withheld_answers = 0
+            for machine in [
+                machine
+                for machine, flap in source.flaps.items()
+                if now - flap.lost_at > FLAP_MEMORY
+            ]:
+                del source.flaps[machine]
+
+    # The machines that count.
+
+    def present_machines(self, now: int, name: str) -> dict[str, SeenMachine]:
+        """Return a source's machines, without those that flap and are not steady yet."""
         source = self.sources[name]
-        if not source.speaks(now):
+        if not source.is_usable(now):
             return {}
         return {
-            one: seen for one, seen in source.known.items() if self.steady_at(source, one) <= now
+            machine: seen
+            for machine, seen in source.machines.items()
+            if self.steady_at(source, machine) <= now
         }
 
     def steady_at(self, source: Source, name: str) -> int:
-        """When a machine that came back is taken again; it was never lost: at once."""
+        """Return when a lost machine counts again; 0 if it was never lost or is not listed."""
         flap = source.flaps.get(name)
         if flap is None or not flap.losses or not flap.since:
             return 0
-        return flap.since + min(STEADY_MOST, STEADY_FIRST << min(20, flap.losses - 1))
+        return flap.since + min(MAX_STEADY, STEADY_FIRST << min(20, flap.losses - 1))
 
     def next_at(self, now: int) -> int | None:
-        times = [min(one.held.values()) + HELD_MOST for one in self.sources.values() if one.held]
+        """Return when the list may change next without a new report, or None."""
+        times = [
+            min(one.withheld.values()) + MAX_HOLD for one in self.sources.values() if one.withheld
+        ]
         for source in self.sources.values():
             times += [
                 at
                 for name in source.flaps
-                if name in source.known and (at := self.steady_at(source, name)) > now
+                if name in source.machines and (at := self.steady_at(source, name)) > now
             ]
-            if source.failing_since and source.keep:
-                times.append(source.good_at + source.keep + 1)
+            if source.failing_since and source.max_age:
+                times.append(source.good_at + source.max_age + 1)
         return min((one for one in times if one > now), default=None)
 
-    # Within.
+    # Internals.
 
-    def _bounded(self, now: int, source: Source, entries: Iterable[Seen]) -> dict[str, Seen]:
-        told: dict[str, Seen] = {}
-        for one in entries:
-            if len(told) >= ENTRIES_MOST and one.name not in told:
-                self._tell(
+    def _limit_entries(
+        self, now: int, source: Source, entries: Iterable[SeenMachine]
+    ) -> dict[str, SeenMachine]:
+        reported: dict[str, SeenMachine] = {}
+        for machine in entries:
+            if len(reported) >= MAX_ENTRIES and machine.name not in reported:
+                self._record(
                     now,
                     source,
                     "",
-                    f"names more than {ENTRIES_MOST} machines: the rest is left out",
+                    f"names more than {MAX_ENTRIES} machines: the rest is left out",
                 )
                 break
-            if one.readiness is not Readiness.GONE:
-                told[one.name] = one
-        return told
+            if machine.readiness is not Readiness.GONE:
+                reported[machine.name] = machine
+        return reported
 
     def _confirmed(self, now: int, source: Source, lost: list[str]) -> bool:
-        source.held_answers += 1
-        for one in lost:
-            source.held.setdefault(one, now)
-        source.held = {one: at for one, at in source.held.items() if one in lost}
-        if source.held_answers == 1:
-            self._tell(
+        """Withhold the loss of `lost`; return whether it is confirmed or withheld long enough."""
+        source.withheld_answers += 1
+        for machine in lost:
+            source.withheld.setdefault(machine, now)
+        source.withheld = {
+            machine: at for machine, at in source.withheld.items() if machine in lost
+        }
+        if source.withheld_answers == 1:
+            self._record(
                 now,
                 source,
                 "",
-                f"left out {len(lost)} of {len(source.known)} at once: held until it says so again",
+                f"left out {len(lost)} of {len(source.machines)} at once: "
+                "held until it says so again",
             )
-        return source.held_answers > CONFIRMED_AFTER or now - min(source.held.values()) >= HELD_MOST
+        return (
+            source.withheld_answers > CONFIRMED_AFTER
+            or now - min(source.withheld.values()) >= MAX_HOLD
+        )
 
-    def _good(self, now: int, source: Source, version: int) -> None:
+    def _mark_good(self, now: int, source: Source, version: int) -> None:
         if source.failing_since:
-            self._tell(
+            self._record(
                 now, source, "", f"speaks again after {(now - source.failing_since) / SECOND:.1f} s"
             )
         source.good_at, source.failing_since, source.why = max(1, now), 0, ""
         source.version = version or source.version
 
-    def _lost(self, now: int, source: Source, name: str) -> None:
+    def _record_loss(self, now: int, source: Source, name: str) -> None:
         flap = source.flaps.setdefault(name, _Flap())
         flap.losses, flap.lost_at, flap.since = flap.losses + 1, now, 0
-        if len(source.flaps) > 2 * ENTRIES_MOST:
+        if len(source.flaps) > 2 * MAX_ENTRIES:
             source.flaps.pop(next(iter(source.flaps)))
-        self._tell(now, source, name, "is gone")
+        self._record(now, source, name, "is gone")
 
-    def _came(self, now: int, source: Source, name: str) -> None:
+    def _record_arrival(self, now: int, source: Source, name: str) -> None:
         flap = source.flaps.get(name)
         if flap is not None:
             flap.since = now
-        self._tell(
+        self._record(
             now,
             source,
             name,
             "is there" if flap is None else f"is back, after {flap.losses} losses",
         )
 
-    def _tell(self, now: int, source: Source, machine: str, what: str) -> None:
+    def _record(self, now: int, source: Source, machine: str, what: str) -> None:
         self.events.append(Event(now, source.name, machine, what))
-        del self.events[:-EVENTS_MOST]
+        del self.events[:-MAX_EVENTS]
--- a/umbermoor/front/server/members.py
+++ b/umbermoor/front/server/members.py
@@ -1,5 +1,7 @@
-"""Sources of membership on sockets: DNS over UDP and TCP, a file that is watched, and the list; one
-conclusion for the front."""
+"""Sources of membership: DNS over UDP and TCP, a watched file, and the platform's list.
+
+Their data is combined into one list of machines for the front.
+"""
 
 import logging
 import os
@@ -14,11 +16,16 @@
 from umbermoor.front.configuration import read_address
 from umbermoor.front.interface import Entry, Listing, Readiness
 from umbermoor.front.kdl_sheet import Record, SheetError, read_sheet
-from umbermoor.front.membership.conclusion import Concluder, difference, entry_of, explained
-from umbermoor.front.membership.dns_messages import Failed, NotThere, There
-from umbermoor.front.membership.dns_queries import Ask, Asker, Server, places
-from umbermoor.front.membership.saved_list import Lasting, load, save
-from umbermoor.front.membership.sources import SECOND, Book, Seen
+from umbermoor.front.membership.conclusion import (
+    Concluder,
+    describe_membership,
+    difference,
+    entry_of,
+)
+from umbermoor.front.membership.dns_messages import Failed, ServiceAbsent, ServiceFound
+from umbermoor.front.membership.dns_queries import DnsQuery, Server, SrvResolver, srv_endpoints
+from umbermoor.front.membership.saved_list import SavedList, load, save
+from umbermoor.front.membership.sources import SECOND, SeenMachine, SourceTracker
 from umbermoor.front.own_settings import MembersFrom, SrvFrom
 from umbermoor.front.sealed_files import UnusableFile
 from umbermoor.front.server.discovery import News
@@ -26,20 +33,26 @@
 
 log = logging.getLogger(__name__)
 
-LIST = "list"
-FILE_EVERY = 0.5  # seconds between two looks at a file
-SAVE_EVERY = 2.0
-ANSWER_MOST = 65_535
+LIST_SOURCE = "list"
+FILE_CHECK_INTERVAL = 0.5  # seconds between two checks of a file
+SAVE_INTERVAL = 2.0
+MAX_ANSWER_BYTES = 65_535
 
 
 class _Datagram(DatagramProtocol):
-    """A port of its own for one question. Threat: answers by who only guesses; what comes from
-    elsewhere is passed over."""
+    """A DNS query over UDP from a port of its own.
+
+    The socket is connected to the server, so datagrams from other addresses are ignored; a random
+    port makes spoofed answers harder to guess.
+    """
 
     def __init__(
-        self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
+        self,
+        ask: DnsQuery,
+        on_result: Callable[[DnsQuery, bytes], None],
+        on_failure: Callable[[DnsQuery, str], None],
     ) -> None:
-        self._ask, self._told, self._broke = ask, told, broke
+        self._ask, self._on_result, self._failed = ask, on_result, on_failure
 
     def startProtocol(self) -> None:
         host, _, port = self._ask.server.rpartition(":")
@@ -47,19 +60,28 @@
         self.transport.write(self._ask.data)
 
     def datagramReceived(self, data: bytes, addr) -> None:
-        self._told(self._ask, data)
+        self._on_result(self._ask, data)
 
     def connectionRefused(self) -> None:
-        self._broke(self._ask, "refused")
+        self._failed(self._ask, "refused")
 
 
 class _Stream(Protocol):
-    """The same over TCP: two bytes of length, then the message (RFC 7766)."""
+    """A DNS query over TCP: two bytes of length, then the message (RFC 7766)."""
 
     def __init__(
-        self, ask: Ask, told: Callable[[Ask, bytes], None], broke: Callable[[Ask, str], None]
+        self,
+        ask: DnsQuery,
+        on_result: Callable[[DnsQuery, bytes], None],
+        on_failure: Callable[[DnsQuery, str], None],
     ) -> None:
-        self._ask, self._told, self._broke, self._data, self._done = ask, told, broke, b"", False
+        self._ask, self._on_result, self._failed, self._data, self._done = (
+            ask,
+            on_result,
+            on_failure,
+            b"",
+            False,
+        )
 
     def connectionMade(self) -> None:
         self.transport.write(len(self._ask.data).to_bytes(2) + self._ask.data)
@@ -72,32 +94,39 @@
             and not self._done
         ):
             self._done = True
-            self._told(self._ask, self._data[2 : 2 + int.from_bytes(self._data[:2])])
+            self._on_result(self._ask, self._data[2 : 2 + int.from_bytes(self._data[:2])])
             self.transport.loseConnection()
-        elif len(self._data) > ANSWER_MOST + 2:
+        elif len(self._data) > MAX_ANSWER_BYTES + 2:
             self.transport.abortConnection()
 
     def connectionLost(self, reason) -> None:
         if not self._done:
             self._done = True
-            self._broke(self._ask, "the connection ended")
+            self._failed(self._ask, "the connection ended")
 
 
 class SrvSource:
+    """Machines from DNS SRV records; queries the servers when its `Asker` says."""
+
     def __init__(
         self,
         reactor,
         clock,
         given: SrvFrom,
-        chance,
-        told: Callable[[str, There | NotThere | Failed], None],
+        uniform,
+        on_result: Callable[[str, ServiceFound | ServiceAbsent | Failed], None],
     ) -> None:
-        self._reactor, self._clock, self._name, self._told = reactor, clock, given.called, told
-        self._asker = Asker(given.name, [Server(one) for one in given.servers], chance)
+        self._reactor, self._clock, self._name, self._on_result = (
+            reactor,
+            clock,
+            given.called,
+            on_result,
+        )
+        self._resolver = SrvResolver(given.name, [Server(one) for one in given.servers], uniform)
         self._port = self._timer = None
 
     def start(self) -> None:
-        self._look()
+        self._poll()
 
     def stop(self) -> None:
         if self._timer is not None and self._timer.active():
@@ -109,13 +138,13 @@
             port, self._port = self._port, None
             port.stopListening()
 
-    def _look(self) -> None:
-        was = self._asker.out
-        ask = self._asker.due(self._clock())
-        if was is not None and self._asker.out is not was:
+    def _poll(self) -> None:
+        previous = self._resolver.outstanding
+        ask = self._resolver.next_query(self._clock())
+        if previous is not None and self._resolver.outstanding is not previous:
             self._close()
-            if self._asker.out is None:
-                self._told(self._name, Failed(self._asker.why))
+            if self._resolver.outstanding is None:
+                self._on_result(self._name, Failed(self._resolver.why))
         if ask is not None:
             self._send(ask)
         self._arm()
@@ -123,37 +152,37 @@
     def _arm(self) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        wait = max(0.01, (self._asker.next_at() - self._clock()) / SECOND)
-        self._timer = self._reactor.callLater(wait, self._look)
+        wait = max(0.01, (self._resolver.next_at() - self._clock()) / SECOND)
+        self._timer = self._reactor.callLater(wait, self._poll)
 
-    def _send(self, ask: Ask) -> None:
+    def _send(self, ask: DnsQuery) -> None:
         self._close()
         if ask.tcp:
             factory = Factory()
             factory.noisy = False
-            factory.buildProtocol = lambda _: _Stream(ask, self._heard, self._broke)
+            factory.buildProtocol = lambda _: _Stream(ask, self._answered, self._failed)
             host, _, port = ask.server.rpartition(":")
             made: Deferred = TCP4ClientEndpoint(self._reactor, host, int(port), timeout=2).connect(
                 factory
             )
-            made.addErrback(lambda failure: self._broke(ask, "refused over TCP"))
+            made.addErrback(lambda failure: self._failed(ask, "refused over TCP"))
         else:
             self._port = self._reactor.listenUDP(
-                0, _Datagram(ask, self._heard, self._broke), "127.0.0.1", ANSWER_MOST
+                0, _Datagram(ask, self._answered, self._failed), "127.0.0.1", MAX_ANSWER_BYTES
             )
 
-    def _heard(self, ask: Ask, data: bytes) -> None:
-        self._take(self._asker.heard(self._clock(), ask, data))
+    def _answered(self, ask: DnsQuery, data: bytes) -> None:
+        self._handle(self._resolver.handle_answer(self._clock(), ask, data))
 
-    def _broke(self, ask: Ask, why: str) -> None:
-        self._take(self._asker.broke(self._clock(), ask, why))
+    def _failed(self, ask: DnsQuery, why: str) -> None:
+        self._handle(self._resolver.handle_failure(self._clock(), ask, why))
 
-    def _take(self, found) -> None:
-        if isinstance(found, Ask):
+    def _handle(self, found) -> None:
+        if isinstance(found, DnsQuery):
             self._send(found)
         elif found is not None:
             self._close()
-            self._told(self._name, found)
+            self._on_result(self._name, found)
         self._arm()
 
 
@@ -172,10 +201,14 @@
     machine: tuple[Machine, ...] = ()
 
 
-def read_members(path: str) -> list[Seen]:
-    """Raises SheetError."""
+def read_members(path: str) -> list[SeenMachine]:
+    """Read the machines from a file.
+
+    Raises:
+        SheetError: The file cannot be used.
+    """
     return [
-        Seen(
+        SeenMachine(
             one.name,
             read_address(one.at),
             Readiness.DRAINING if one.draining else Readiness.READY,
@@ -186,21 +219,23 @@
 
 
 class Membership:
-    """Stands between the sources and the exchange."""
+    """Combines the membership sources and passes changes on to the exchange."""
 
     def __init__(
-        self, reactor, clock, given: MembersFrom, told: Callable[[Listing, News], None]
+        self, reactor, clock, given: MembersFrom, on_result: Callable[[Listing, News], None]
     ) -> None:
-        self._reactor, self._clock, self._given, self._told = reactor, clock, given, told
+        self._reactor, self._clock, self._given, self._on_result = reactor, clock, given, on_result
         keep = round(given.keep_s * SECOND)
         order = list(given.order) or [
-            LIST,
+            LIST_SOURCE,
             *(one.called for one in given.srv),
             *(one.called for one in given.file),
         ]
-        sure = {one.called: one.authoritative for one in (*given.srv, *given.file)} | {LIST: True}
+        authoritative = {one.called: one.authoritative for one in (*given.srv, *given.file)} | {
+            LIST_SOURCE: True
+        }
         self.concluder = Concluder(
-            Book([(name, sure[name], keep) for name in order]),
+            SourceTracker([(name, authoritative[name], keep) for name in order]),
             given.rule,
             given.quorum,
             given.existence,
@@ -210,8 +245,8 @@
         self._first = True
         self._saved = None
         self._timers: list = []
-        chance = SystemRandom().random
-        self._srv = [SrvSource(reactor, clock, one, chance, self._srv_told) for one in given.srv]
+        uniform = SystemRandom().random
+        self._srv = [SrvSource(reactor, clock, one, uniform, self._srv_told) for one in given.srv]
         self._speaks: dict[str, str] = {}
 
     def start(self) -> None:
@@ -223,7 +258,7 @@
                 note(log, "last list not used", logging.WARNING, why=lasting.why)
             elif lasting is not None:
                 note(log, "last list used", machines=len(lasting.seen))
-                self._told(
+                self._on_result(
                     Listing.CACHED,
                     self._news(
                         [
@@ -241,11 +276,11 @@
                         {one.name: one.address for one in lasting.seen},
                     ),
                 )
-            self._repeat(SAVE_EVERY, self._save)
+            self._repeat(SAVE_INTERVAL, self._save)
         for one in self._srv:
             one.start()
         for one in self._given.file:
-            self._repeat(FILE_EVERY, self._look_at, one.called, one.path, {})
+            self._repeat(FILE_CHECK_INTERVAL, self._check_file, one.called, one.path, {})
         self._repeat(0.2, self._conclude)
 
     def stop(self) -> None:
@@ -255,12 +290,12 @@
             if timer[0].active():
                 timer[0].cancel()
 
-    def _repeat(self, every: float, call: Callable, *words) -> None:
+    def _repeat(self, every: float, call: Callable, *arguments) -> None:
         timer: list = [None]
 
         def again() -> None:
             timer[0] = self._reactor.callLater(every, again)
-            call(*words)
+            call(*arguments)
 
         timer[0] = self._reactor.callLater(0, again)
         self._timers.append(timer)
@@ -269,7 +304,7 @@
 
     def list_told(self, kind: Listing, news: News) -> None:
         seen = [
-            Seen(
+            SeenMachine(
                 one.machine,
                 news.addresses.get(one.machine, ("", 0)),
                 one.readiness,
@@ -284,45 +319,47 @@
         ]
         self._speaks = {**(self._speaks if kind is Listing.CHANGES else {}), **news.speaks}
         if kind is Listing.CHANGES:
-            self.concluder.book.changes(self._clock(), LIST, seen)
+            self.concluder.tracker.report_changes(self._clock(), LIST_SOURCE, seen)
         elif kind is not Listing.FAILED:
-            self.concluder.book.whole(self._clock(), LIST, seen)
+            self.concluder.tracker.report_all(self._clock(), LIST_SOURCE, seen)
         self._conclude()
 
-    def _srv_told(self, name: str, found: There | NotThere | Failed) -> None:
-        book, now = self.concluder.book, self._clock()
+    def _srv_told(self, name: str, found: ServiceFound | ServiceAbsent | Failed) -> None:
+        tracker, now = self.concluder.tracker, self._clock()
         if isinstance(found, Failed):
-            book.failed(now, name, found.why)
+            tracker.report_failure(now, name, found.why)
         else:
-            rows = places(found) if isinstance(found, There) else []
-            book.whole(now, name, [Seen(label, address, weight=None) for label, address, _ in rows])
+            rows = srv_endpoints(found) if isinstance(found, ServiceFound) else []
+            tracker.report_all(
+                now, name, [SeenMachine(label, address, weight=None) for label, address, _ in rows]
+            )
         self._conclude()
 
-    def _look_at(self, name: str, path: str, marks: dict) -> None:
-        book, now = self.concluder.book, self._clock()
+    def _check_file(self, name: str, path: str, marks: dict) -> None:
+        tracker, now = self.concluder.tracker, self._clock()
         try:
             mark = os.stat(path).st_mtime_ns, os.stat(path).st_size
             if marks.get(path) == mark:
                 return
-            book.whole(now, name, read_members(path))
+            tracker.report_all(now, name, read_members(path))
             marks[path] = mark
         except (OSError, SheetError) as error:
-            book.failed(now, name, str(error))
+            tracker.report_failure(now, name, str(error))
         self._conclude()
 
-    # What comes of them.
+    # Combined result.
 
     def _conclude(self) -> None:
         found = self.concluder.conclude(self._clock())
-        if found.stands or (found.members == self._members and not self._first):
+        if found.is_stale or (found.members == self._members and not self._first):
             return
         kind, entries = difference(self._members, found.members)
-        if self._first:  # what the front was started with is replaced whole
+        if self._first:  # replaces the list that the front started with
             kind, entries = Listing.FULL, [entry_of(one) for one in found.members.values()]
         self._members, self._first = found.members, False
         if entries or kind is Listing.FULL:
             note(log, "members", machines=len(found.members), changes=len(entries))
-            self._told(
+            self._on_result(
                 kind,
                 self._news(
                     entries, {name: one.seen.address for name, one in found.members.items()}
@@ -344,15 +381,15 @@
 
     def _save(self) -> None:
         members = self.concluder.last.members
-        if members and members is not self._saved and not self.concluder.last.stands:
+        if members and members is not self._saved and not self.concluder.last.is_stale:
             self._saved = members
             try:
                 save(
                     self._given.state,
-                    Lasting(time.time_ns() // 1000, tuple(one.seen for one in members.values())),
+                    SavedList(time.time_ns() // 1000, tuple(one.seen for one in members.values())),
                 )
             except OSError as error:
                 note(log, "list not kept", logging.WARNING, why=error.strerror)
 
     def explain(self, machine: str | None = None) -> list[str]:
-        return explained(self._clock(), self.concluder, machine)
+        return describe_membership(self._clock(), self.concluder, machine)
--- a/umbermoor/gateway/membership/local_member.py
+++ b/umbermoor/gateway/membership/local_member.py
@@ -9,7 +9,7 @@
 
 
 class LocalMember:
-    """What this proxy says of itself.
+    """This proxy's own state as a member.
 
     Raises:
         ValueError: the address is not that of a host, or the generation is out of range.
@@ -17,23 +17,23 @@
 
     def __init__(self, address: str, generation: int) -> None:
         if pack_address(address) is None or not 0 <= generation < GENERATION_LIMIT:
-            raise ValueError(f"not a proxy's address and generation: {address} {generation}")
+            raise ValueError(f"invalid proxy address or generation: {address} {generation}")
         self.address = address
         self.incarnation = Incarnation(generation, 0)
         self.leave_announcements = 0
 
     @property
     def leaving(self) -> bool:
-        """Whether it has announced that it ends."""
+        """Whether it has announced that it leaves."""
         return self.leave_announcements > 0
 
     def refute(self, update: MemberUpdate, from_member: bool) -> bool:
-        """Outbids what is said of this proxy, unless it is true.
+        """Refute a false update on this proxy by moving to a later incarnation.
 
-        A sender that is no member cannot make it change its generation.
+        An update from a sender that is not a member cannot change the generation.
 
         Returns:
-            Whether it took a later incarnation.
+            Whether the incarnation changed.
         """
         if self.leaving or update.incarnation < self.incarnation:
             return False
--- a/umbermoor/lab/virtual/outcome.py
+++ b/umbermoor/lab/virtual/outcome.py
@@ -18,7 +18,7 @@
 
 
 def fleet_outcome(fleet: Fleet) -> dict[str, Any]:
-    """Return the figures of a run; keys and their order are those of the file."""
+    """Return the figures of a run, with the keys of the JSON output in their order there."""
     machines = fleet.backend.machines
     work = sum(machine.work_done for machine in machines.values()) / SECOND
     return {
@@ -51,7 +51,7 @@
         "breaches": len(breaches),
         "by_rule": {str(rule): count for rule, count in by_rule(breaches).items()},
         "first": [
-            [breach.rule, breach.what, breach.query, breach.machine, _seconds(breach.at)]
+            [breach.rule, breach.description, breach.query, breach.machine, _seconds(breach.at)]
             for breach in breaches[:MAX_BREACHES_SHOWN]
         ],
         "counts": dict(sorted(ledger.counts.items())),
--- a/umbermoor/planner/check.py
+++ b/umbermoor/planner/check.py
@@ -1,5 +1,8 @@
-"""Predicted against measured: the plan's figures in virtual time, and the same days on loopback
-with stand-ins."""
+"""Compares the planner's predictions with measurements.
+
+Predictions come from simulated runs in virtual time; measurements from the same days run in real
+time on loopback, with stand-ins for the machines.
+"""
 
 from concurrent.futures import ThreadPoolExecutor
 from math import ceil
@@ -15,17 +18,21 @@
 from umbermoor.lab.sockets.runner import play_on_sockets
 from umbermoor.planner.fit import Demand
 from umbermoor.planner.plan import Planner
-from umbermoor.planner.players import Players
-from umbermoor.planner.questions import Question, day_for, replayed
-from umbermoor.planner.search import Edge, falling, gather
+from umbermoor.planner.players import RunPool
+from umbermoor.planner.questions import Scenario, day_for, replay_arrivals
+from umbermoor.planner.search import Threshold, fit_nonincreasing, gather
 from umbermoor.planner.sheets import Fleet
 
-AT = (0.7, 0.85, 1.0, 1.15, 1.3)  # times the predicted load, that are played
-WITHIN, SHARE_WITHIN = 0.15, 0.02
-SIDE_BY_SIDE = 2
+# The loads that are measured, as multiples of the predicted load.
+LOAD_FACTORS = (0.7, 0.85, 1.0, 1.15, 1.3)
+# Tolerated deviations: relative for loads and machine counts, absolute for shares in time.
+TOLERANCE, SHARE_TOLERANCE = 0.15, 0.02
+PARALLEL_RUNS = 2  # loopback runs at the same time
 
 
 class Row(NamedTuple):
+    """One line of the comparison; the field names are the keys of the JSON output."""
+
     what: str
     predicted: float | None
     measured: float | None
@@ -41,51 +48,62 @@
     out: str | None,
     quiet: bool,
 ) -> int:
+    """Print the comparison and write it as JSON to ``out``, if given.
+
+    Returns the exit code: 0 if every measurement is within its tolerance, otherwise 1.
+    """
     console = Console(stderr=True, quiet=quiet)
     rows = measure(demand, fleet, arrivals, seconds, lambda text: console.print(text))
-    shown = Table(
+    table = Table(
         "what", "predicted", "measured on loopback", "within", "note", title=f"fleet {fleet.name}"
     )
-    for one in rows:
-        shown.add_row(
-            one.what,
-            *("-" if value is None else f"{value:.4g}" for value in (one.predicted, one.measured)),
-            "yes" if one.within else "NO",
-            one.note,
+    for row in rows:
+        table.add_row(
+            row.what,
+            *("-" if value is None else f"{value:.4g}" for value in (row.predicted, row.measured)),
+            "yes" if row.within else "NO",
+            row.note,
         )
-    Console().print(shown)
+    Console().print(table)
     if out:
         Path(out).write_bytes(
-            orjson.dumps([one._asdict() for one in rows], option=orjson.OPT_INDENT_2) + b"\n"
+            orjson.dumps([row._asdict() for row in rows], option=orjson.OPT_INDENT_2) + b"\n"
         )
-    return 0 if all(one.within for one in rows) else 1
+    return 0 if all(row.within for row in rows) else 1
 
 
 def measure(
-    demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]], seconds: float, told
+    demand: Demand, fleet: Fleet, arrivals: list[tuple[int, int]], seconds: float, report_progress
 ) -> list[Row]:
+    """Predict the fleet's limits, measure them on loopback and return the comparison.
+
+    ``report_progress`` is called with a line of text for each step of progress.
+    """
     planner = Planner(demand, fleet)
-    players = Players(demand, fleet, arrivals)
+    pool = RunPool(demand, fleet, arrivals)
     try:
         searches = planner.searches()
         growth = f"{fleet.growth[-1]:g}"
-        lost = fleet.group[0].name if len(fleet.group) > 1 else ""
-        wanted = ["load", f"machines {growth}"]
-        found = gather({name: searches[name] for name in wanted if name in searches}, players.ask)
-        edge: Edge | None = found.get("load")
-        if (
-            lost and edge is not None and edge.mid
-        ):  # near the limit of what is left, where a share tells something
-            left = 1 - _capacity(fleet.group[0]) / fleet.capacity
-            loss = Question(
-                "loss", float(f"{max(planner.now, edge.mid * left):.4g}"), fleet.machines, 1, lost
+        lost_group = fleet.group[0].name if len(fleet.group) > 1 else ""
+        names = ["load", f"machines {growth}"]
+        results = gather({name: searches[name] for name in names if name in searches}, pool.run)
+        threshold: Threshold | None = results.get("load")
+        if lost_group and threshold is not None and threshold.mid:
+            # Near the limit of the remaining groups, where the share in time is informative.
+            remaining = 1 - _capacity(fleet.group[0]) / fleet.capacity
+            loss_scenario = Scenario(
+                "loss",
+                float(f"{max(planner.current_load, threshold.mid * remaining):.4g}"),
+                fleet.machines,
+                1,
+                lost_group,
             )
-            found["loss"] = list(
-                players.ask([loss._replace(seed=seed) for seed in (1, 2, 3)]).values()
+            results["loss"] = list(
+                pool.run([loss_scenario._replace(seed=seed) for seed in (1, 2, 3)]).values()
             )
     finally:
-        players.close()
-    if edge is None or not edge.mid:
+        pool.close()
+    if threshold is None or not threshold.mid:
         return [
             Row(
                 "load at which the goal breaks",
@@ -95,65 +113,69 @@
                 "the goal cannot be held by any number of machines",
             )
         ]
-    told(f"predicted: the goal breaks at {edge.mid:.1f} queries/s")
-    questions: dict[str, Question] = {
-        f"load {part:g}": Question("steady", edge.mid * part, fleet.machines, 1) for part in AT
+    report_progress(f"predicted: the goal breaks at {threshold.mid:.1f} queries/s")
+    scenarios: dict[str, Scenario] = {
+        f"load {factor:g}": Scenario("steady", threshold.mid * factor, fleet.machines, 1)
+        for factor in LOAD_FACTORS
     }
-    count = found[f"machines {growth}"].high
+    count = results[f"machines {growth}"].high
     if count is not None:
-        load = planner.now * float(growth)
+        load = planner.current_load * float(growth)
         for name, machines in (
-            ("fewer", int(count / (1 + WITHIN))),
-            ("more", ceil(count * (1 + WITHIN))),
+            ("fewer", int(count / (1 + TOLERANCE))),
+            ("more", ceil(count * (1 + TOLERANCE))),
         ):
-            questions[name] = Question("steady", load, max(1, machines), 1)
-    if lost:
-        questions["loss"] = loss
-    outcomes = _play_all(questions, demand, fleet, arrivals, seconds, told)
-    rows = [_load_row(edge, outcomes, planner)]
+            scenarios[name] = Scenario("steady", load, max(1, machines), 1)
+    if lost_group:
+        scenarios["loss"] = loss_scenario
+    outcomes = _measure_all(scenarios, demand, fleet, arrivals, seconds, report_progress)
+    rows = [_load_row(threshold, outcomes, planner)]
     if count is not None:
-        rows.append(_machines_row(count, growth, questions, outcomes, planner))
-    if lost:
-        rows.append(_loss_row(lost, found["loss"], outcomes, demand))
+        rows.append(_machines_row(count, growth, scenarios, outcomes, planner))
+    if lost_group:
+        rows.append(_loss_row(lost_group, results["loss"], outcomes, demand))
     rows.append(
         Row(
             "rules broken on loopback",
             0,
-            sum(one["audit"]["breaches"] for one in outcomes.values()),
-            not any(one["audit"]["breaches"] for one in outcomes.values()),
+            sum(outcome["audit"]["breaches"] for outcome in outcomes.values()),
+            not any(outcome["audit"]["breaches"] for outcome in outcomes.values()),
         )
     )
     return rows
 
 
-def _play_all(
-    questions: dict[str, Question],
+def _measure_all(
+    scenarios: dict[str, Scenario],
     demand: Demand,
     fleet: Fleet,
     arrivals: list[tuple[int, int]],
     seconds: float,
-    told,
+    report_progress,
 ) -> dict[str, dict[str, Any]]:
-    def one(name: str) -> tuple[str, dict[str, Any]]:
-        day = day_for(questions[name], demand, fleet)
+    """Run every scenario on loopback, ``PARALLEL_RUNS`` at a time, and return outcomes by name."""
+
+    def run_one(name: str) -> tuple[str, dict[str, Any]]:
+        day = day_for(scenarios[name], demand, fleet)
         day = day.changed(
             length_s=min(day.length_s, seconds * (2 if name == "loss" else 1) + day.settle_s),
             front=structs.replace(day.front, cpu_us=0),
         )
-        some = replayed(day, demand, arrivals)
-        outcome = play_on_sockets(day, given=None if some is None else list(some))
-        told(
-            f"{name}: {questions[name].load:.1f} queries/s, {questions[name].machines} machines: in time "
-            f"{outcome['in_time']:.4f}{'' if outcome['honest'] else ' (the load fell behind its pace)'}"
+        replay = replay_arrivals(day, demand, arrivals)
+        outcome = play_on_sockets(day, arrivals=None if replay is None else list(replay))
+        report_progress(
+            f"{name}: {scenarios[name].load:.1f} queries/s, {scenarios[name].machines} machines: "
+            f"in time {outcome['in_time']:.4f}"
+            f"{'' if outcome['honest'] else ' (the load fell behind its pace)'}"
         )
         return name, outcome
 
-    with ThreadPoolExecutor(SIDE_BY_SIDE) as pool:
-        return dict(pool.map(one, questions))
+    with ThreadPoolExecutor(PARALLEL_RUNS) as pool:
+        return dict(pool.map(run_one, scenarios))
 
 
-def _worst(outcome: dict[str, Any], planner: Planner) -> float:
-    """How far the worst profile lies above its goal."""
+def _worst_margin(outcome: dict[str, Any], planner: Planner) -> float:
+    """Return the least margin of any profile's share in time above its goal."""
     return min(
         row["in_time"] - goal
         for row, goal in zip(outcome["profiles"].values(), planner.goals)
@@ -161,26 +183,29 @@
     )
 
 
-def _load_row(edge: Edge, outcomes: dict[str, dict[str, Any]], planner: Planner) -> Row:
-    points = [(edge.mid * part, _worst(outcomes[f"load {part:g}"], planner), 1.0) for part in AT]
-    curve = falling(points)
-    measured = crossing(curve)
+def _load_row(threshold: Threshold, outcomes: dict[str, dict[str, Any]], planner: Planner) -> Row:
+    points = [
+        (threshold.mid * factor, _worst_margin(outcomes[f"load {factor:g}"], planner), 1.0)
+        for factor in LOAD_FACTORS
+    ]
+    curve = fit_nonincreasing(points)
+    measured = zero_crossing(curve)
     if measured is None:
         bound = curve[0][0] if curve[0][1] < 0 else curve[-1][0]
-        where = "below" if curve[0][1] < 0 else "above"
+        side = "below" if curve[0][1] < 0 else "above"
         return Row(
             "load at which the goal breaks",
-            edge.mid,
+            threshold.mid,
             bound,
             False,
-            f"{where} all loads that were played",
+            f"{side} all loads that were played",
         )
     return Row(
         "load at which the goal breaks",
-        edge.mid,
+        threshold.mid,
         measured,
-        abs(measured / edge.mid - 1) <= WITHIN,
-        f"{measured / edge.mid - 1:+.1%}",
+        abs(measured / threshold.mid - 1) <= TOLERANCE,
+        f"{measured / threshold.mid - 1:+.1%}",
     )
 
 
@@ -188,50 +213,55 @@
     return group.machines * group.workers * group.speed
 
 
-def crossing(curve: list[tuple[float, float]]) -> float | None:
-    """Where a falling curve goes through 0, between its points; None if it does not."""
-    for (at, value), (after, following) in zip(curve, curve[1:]):
-        if value >= 0 > following:
-            return at + (after - at) * value / (value - following)
+def zero_crossing(curve: list[tuple[float, float]]) -> float | None:
+    """Return where a falling curve crosses 0, by linear interpolation, or None if it does not."""
+    for (x, y), (next_x, next_y) in zip(curve, curve[1:]):
+        if y >= 0 > next_y:
+            return x + (next_x - x) * y / (y - next_y)
     return None
 
 
 def _machines_row(
     count: float,
     growth: str,
-    questions: dict[str, Question],
+    scenarios: dict[str, Scenario],
     outcomes: dict[str, dict[str, Any]],
     planner: Planner,
 ) -> Row:
-    fewer, more = (_worst(outcomes[name], planner) >= 0 for name in ("fewer", "more"))
-    words = (
-        f"{questions['fewer'].machines} {'held' if fewer else 'did not hold'}, {questions['more'].machines} "
-        f"{'held' if more else 'did not hold'}"
+    fewer, more = (_worst_margin(outcomes[name], planner) >= 0 for name in ("fewer", "more"))
+    note = (
+        f"{scenarios['fewer'].machines} {'held' if fewer else 'did not hold'}, "
+        f"{scenarios['more'].machines} {'held' if more else 'did not hold'}"
     )
-    if questions["fewer"].machines >= count:  # there is no smaller fleet
-        fewer, words = (
+    if scenarios["fewer"].machines >= count:  # there is no smaller fleet to measure
+        fewer, note = (
             False,
-            f"{questions['more'].machines} {'held' if more else 'did not hold'}; fewer there are none",
+            f"{scenarios['more'].machines} {'held' if more else 'did not hold'}; "
+            f"fewer there are none",
         )
     measured = (
         count
         if more and not fewer
-        else float(questions["fewer"].machines if fewer else questions["more"].machines)
+        else float(scenarios["fewer"].machines if fewer else scenarios["more"].machines)
     )
-    return Row(f"machines for {growth} times the load", count, measured, more and not fewer, words)
+    return Row(f"machines for {growth} times the load", count, measured, more and not fewer, note)
 
 
-def _loss_row(lost: str, answers: list, outcomes: dict[str, dict[str, Any]], demand: Demand) -> Row:
-    asked = [sum(one.asked[place] for one in answers) for place in range(len(demand.profiles))]
-    good = [
-        sum(one.asked[place] * one.in_time[place] for one in answers)
-        for place in range(len(demand.profiles))
+def _loss_row(
+    lost_group: str, results: list, outcomes: dict[str, dict[str, Any]], demand: Demand
+) -> Row:
+    queries = [
+        sum(result.queries[index] for result in results) for index in range(len(demand.profiles))
+    ]
+    in_time = [
+        sum(result.queries[index] * result.in_time[index] for result in results)
+        for index in range(len(demand.profiles))
     ]
-    predicted, measured = sum(good) / max(1, sum(asked)), outcomes["loss"]["in_time"]
+    predicted, measured = sum(in_time) / max(1, sum(queries)), outcomes["loss"]["in_time"]
     return Row(
-        f"share in time without group {lost}",
+        f"share in time without group {lost_group}",
         predicted,
         measured,
-        abs(predicted - measured) <= SHARE_WITHIN,
+        abs(predicted - measured) <= SHARE_TOLERANCE,
         f"{measured - predicted:+.4f}",
     )
