--- a/umbermoor/front/policy/limits.py
+++ b/umbermoor/front/policy/limits.py
@@ -20,7 +20,7 @@
         return may
 
     def _allows(self, now: int, query: Query, machine: Machine) -> bool:
-        """Return whether the query may go to the machine now; never to one that drains, grace or not."""
+        """Return whether the query may go to the machine now; never to one that drains, even in its grace."""
         charter, profile, hand_offs = self.charter, self.charter.profiles[query.profile], query.hand_offs
         if (query.ended or now >= query.due or len(hand_offs) >= charter.most_hand_offs
                 or not machine.ready or hand_offs and hand_offs[-1].ending is None and not charter.may_copy
@@ -41,7 +41,7 @@
         return self._warmth(now, machine) >= 1 or self._cold_room(now, machine) >= 0
 
     def _cold_room(self, now: int, machine: Machine) -> float:
-        """Return the work that a cold machine may be sent, from the most that one did for this front."""
+        """Return the work that a cold machine may be sent, from the peak rate of a warm one here."""
         rate = self.peak_work_rate * COLD_SHARE * self.charter.fall_multiple * self._warmth(now, machine)
         machine.room = min(machine.room + rate * (now - machine.room_at), rate * self.charter.fall_span / 2)
         machine.room_at = now
--- a/umbermoor/front/policy/routing.py
+++ b/umbermoor/front/policy/routing.py
@@ -16,7 +16,7 @@
 MAX_FAILURE_RUN = 2  # failures in a row that each double how long failures count, as hand-offs are rare
 FAILURE_PENALTY = 100.0  # weight of a failure rate above the fleet's; faults that all share don't count
 MAX_WAIT_PART = 0.8  # no hand-off if the work ahead and a usual query take more of the time left than this
-VALUE_EXPONENT = 1 / 3  # scales that part by the query's value over the highest, to this power
+VALUE_EXPONENT = 1 / 3  # scales that part by (value / highest value) to this power, at little traffic
 
 
 class Routing(Limits):
--- a/umbermoor/front/policy/verdict.py
+++ b/umbermoor/front/policy/verdict.py
@@ -11,7 +11,7 @@
 ORDER = {Phase.TRIAL: 0, Phase.RELEASED: 1, Phase.GOING_BACK: 2, Phase.WITHDRAWN: 3}  # earlier: stale news
 SIGMA = 0.05  # how far apart the true means of two builds are expected to lie
 MARGIN, FLEET_MARGIN = 0.02, 0.06  # fixed lead for a vote back; with the fleet's n, doubled for lateness
-LONE_FACTOR = 3  # times s/sqrt(n) added to the lead where one vote, so maybe chance, sends back; elsewhere 2
+LONE_FACTOR = 3  # times s/sqrt(n) added to the lead if one vote, perhaps by chance, sends back; else 2
 JUDGING_TIME = 4 * SECOND  # a stage is judged this long after its newest machine was listed, even short of n*
 MAX_MEAN = 0.965  # higher means count as this, so that s never vanishes and one late answer doesn't decide
 MAX_SOUND_MEAN = 0.985  # the same for the share that did not fail, judged apart: lateness would hide failures
@@ -72,7 +72,7 @@
                 self.paces[self._is_new(build)].add(took * done, self.usual_work[profile] * done, done)
 
     def complaint(self, now: int, machine: str, profile: int, age: int) -> None:
-        """Score a reported wrong answer, which looked good, and unreported ones with it. It may be false."""
+        """Score a wrong answer that counted as good, weighted for unreported ones. It may be false."""
         known = self.machines.get(machine)
         if known and self.news and self.charter.complaint_share and now - age - known.listed >= self.settling:
             new = self._is_new(known.build)
@@ -133,7 +133,7 @@
         return (Do.VOTE, *vote)
 
     def _vote_delay(self, verdict: Verdict) -> int:
-        """Return a random delay of votes on: among too many at once votes back are refused too."""
+        """Return a random delay for votes ON: sent all at once, they would get votes BACK refused too."""
         apart = self.charter.fronts / self.charter.votes_a_second if self.charter.votes_a_second else 0.0
         apart = min(apart * SECOND, self.charter.vote_life)
         return 0 if verdict in (Verdict.BACK, Verdict.HOLD) else round(self.random() * apart)
--- a/umbermoor/front/rules.py
+++ b/umbermoor/front/rules.py
@@ -102,13 +102,13 @@
             self.decay = min(FLEET_DECAY, 1 - 1 / max(
                 MIN_FLEET_MEMORY, self._expected(now) * self.charter.profiles[0].target / HORIZON))
             self.judged_at, rates = now, [min(LEARNING_RATE, m.failure_rate) for m in self.machines.values()]
-            self.fleet_failures = min(self.fleet_failures, sum(rates) / max(1, len(rates)))  # worst capped
+            self.fleet_failures = min(self.fleet_failures, sum(rates) / max(1, len(rates)))  # capped rates
             warm = sum(1 for other in self.machines.values() if self._warmth(now, other) >= 1)
             if 2 * warm >= len(self.machines):  # else machines that have left did the work
                 self.peak_work_rate = max(self.peak_work_rate, self.done_work.at(now) / WORK_SPAN / max(1, warm))
         others = self.charter.fronts - 1 if self.by_pool and self.news else 0
-        if others and now >= self.pooled_at + POOL_PERIOD and self.stage.sums[0] > 0.25:  # heard lately
-            self.pooled_at, peer = now, int(self.random() * others)  # 0.45: old times lose a tenth
+        if others and now >= self.pooled_at + POOL_PERIOD and self.stage.sums[0] > 0.25:  # peers sent lately
+            self.pooled_at, peer = now, int(self.random() * others)  # 0.45, not 0.5: forgets a tenth
             return (Do.TELL, self.stage.half(self.news.build, self.news.stage, 0.45), peer + (peer >= self.charter.me))
         tick = now + (TICK if self.queries or self.news and self.news.phase in MOVING else 5 * TICK)
         wake = min(tick, self.scheduled[0][0] if self.scheduled else tick, self.watch_at or tick)
--- a/umbermoor/gateway/balancing/request.py
+++ b/umbermoor/gateway/balancing/request.py
@@ -28,7 +28,7 @@
 RETRY_AFTER_LATER_S = 0.25  # no instance was chosen: none is listed, or all are overloaded
 RESPONSE_MARGIN_US = 15_000  # how long before the deadline the proxy sends its last response
 HEDGE_FRACTION = 0.45  # of the remaining time, after which an idempotent request is hedged
-MAX_UNSENT_ATTEMPTS = 4  # attempts with nothing sent that another attempt may replace
+MAX_UNSENT_ATTEMPTS = 4  # attempts of which nothing was sent; after more, none is made
 MAX_IN_FLIGHT = 2  # a request and its hedge
 
 
@@ -129,7 +129,7 @@
     Attributes:
         service: The service that it is for.
         idempotent: Whether it may be executed more than once.
-        max_attempts: The most attempts of which bytes may have been sent.
+        max_attempts: The limit on attempts, without those of which no byte was sent.
         deadline: When the client or the route times out.
         state: Its state in its lifecycle.
         in_flight: The instances of the attempts in flight, by attempt number.
@@ -209,7 +209,7 @@
             self._hedge_at = self.deadline
 
     def give_up_hedging(self) -> None:
-        """Send no hedged request, because no budget or no instance is left for one."""
+        """Send no hedged request, because no budget or no instance is left for another attempt."""
         self._hedge_at = self.deadline
 
     def attempt_ended(
--- a/umbermoor/gateway/balancing/retry_budget.py
+++ b/umbermoor/gateway/balancing/retry_budget.py
@@ -2,8 +2,9 @@
 
 Each request earns a fraction of a retry, so the bound holds for the sum over all proxies, whatever
 their number (as with the retry budgets of Finagle). The bound also allows a fixed slack beyond the
-ratio; part of it is left unused for what no proxy counts: restarts and window edges. Times are
-whole microseconds.
+ratio, which the proxies divide among themselves. Parts of the ratio and of the slack stay unused
+as margins for what no proxy counts, such as restarts and window edges: see USED_RATIO and
+SHARED_SLACK. Times are whole microseconds.
 """
 
 from umbermoor.statistics.windowed import SLOTS, SlidingWindowSum
@@ -80,7 +81,7 @@
         earlier incarnation at one of their addresses ended before T - W. The `counted` of each at t
         is at least its estimate at T - W, since T - W lies within its last window. If every
         estimate was at least n / 2, each share is at most 0.5 * slack / (n / 2) = slack / n, so the
-        sum is at most slack. If the estimates were n, half of the slack is left over.
+        sum is at most slack. If the estimates are exactly n, half of the slack stays unused.
 
         Args:
             now: The present time.
--- a/umbermoor/gateway/distribution/subscriber.py
+++ b/umbermoor/gateway/distribution/subscriber.py
@@ -57,7 +57,7 @@
         self.confirmed_at = NEVER  # when it last proved contact with a majority
         self.incarnation = self.sequence = 0  # of its registry, as of its last answer
         self.next_pull_at = 0
-        self.offered_revision = 0  # of the configuration that it has; 0 while it is silent
+        self.offered_revision = 0  # of the controller's configuration; 0 while it is silent
         self.silent = False  # the last pull was not answered
         self.may_be_stale = False  # the next answer may be from before this process stalled
 
@@ -135,7 +135,7 @@
         """Return the pull to send to a controller, and record it as sent now."""
         source = self.sources[name]
         source.asked_at = now
-        # A controller without the new configuration would only delay it.
+        # Asking a controller that lacks the new configuration for it would only cost time.
         wants_body = self._wants_body(now, source.offered_revision)
         if wants_body:
             self._next_body_at = now + BODY_TIMEOUT_US
--- a/umbermoor/gateway/replication/acceptor.py
+++ b/umbermoor/gateway/replication/acceptor.py
@@ -79,7 +79,7 @@
             context.outbox.send(sender, Refused(epoch, views.promise))
 
     def _promise_without_disk(self, sender: str, epoch: int) -> None:
-        """Send a promise that does not count.
+        """Send a promise that does not count towards a quorum, because the disk was lost.
 
         It tells the proposer that this replica may join the chain and receive the state.
         """
--- a/umbermoor/gateway/replication/lifecycle.py
+++ b/umbermoor/gateway/replication/lifecycle.py
@@ -28,7 +28,7 @@
         self.membership_synced = True
 
     def join_existing_system(self) -> None:
-        """Note that a system exists already, and this replica is part of it with an empty disk."""
+        """Note that a system exists already, which this replica joins with an empty disk."""
         self.cold_start, self.disk_lost = False, True
 
     def void_founding(self) -> None:
@@ -37,5 +37,5 @@
         self._disk.enqueue(founding_removal_records(), "members", do_nothing)
 
     def view_synced(self) -> None:
-        """Note that a view and its state are synced, so a lost disk is filled again."""
+        """Note that an accepted view and its state are synced: the disk is complete."""
         self.disk_lost, self.membership_synced = False, True
--- a/umbermoor/gateway/replication/reconfiguration.py
+++ b/umbermoor/gateway/replication/reconfiguration.py
@@ -1,4 +1,7 @@
-"""Changes of the replica set, ordered by an operator or by the head itself for a departed member.
+"""Changes of the replica set, ordered by an operator or begun for a departed member.
+
+A chain member begins the replacement of a departed member by itself: the head at once, each later
+one after a longer delay.
 
 Source: joint consensus, see `replica_set`. The reasons for refusals are in docs/replication.md.
 Times are in microseconds.
--- a/umbermoor/gateway/replication/set_state.py
+++ b/umbermoor/gateway/replication/set_state.py
@@ -63,7 +63,7 @@
     def correct_system(self, system: int) -> None:
         """Replace the system number by the number of the members' system.
 
-        This replica's own founding had no effect.
+        Needed where this replica founded a system of its own, which did not take effect.
         """
         replica_set = self.proven.replica_set._replace(system=system)
         self.proven = self.proven._replace(replica_set=replica_set)
--- a/umbermoor/gateway/replication/view_change.py
+++ b/umbermoor/gateway/replication/view_change.py
@@ -276,7 +276,7 @@
         """Require majorities of the replica set of the newest view that any promise reports.
 
         Every view that may have become active was accepted by a majority of the sets that are
-        asked, so at least one of the replicas that promise reports it: docs/replication.md.
+        asked, so it is reported by at least one replica that sends a promise: docs/replication.md.
         """
         if not message.accepted_set or not message.proven_set:
             return  # from an earlier revision, in which the set never changes
--- a/umbermoor/gateway/replication/view_state.py
+++ b/umbermoor/gateway/replication/view_state.py
@@ -12,7 +12,9 @@
 class ViewState:
     """The promise and the views.
 
-    Fields without `synced` in their names are on disk, or are part of the next write.
+    `promise` and `accepted` are on disk or in a write that is queued; the fields with `synced` in
+    their names hold what is certainly on disk. `joined`, `active` and `serving_since` are in
+    memory only.
     """
 
     def __init__(self, own_name: str, disk: WriteQueue, stored: StoredState) -> None:
--- a/umbermoor/gateway/rollout/cusum.py
+++ b/umbermoor/gateway/rollout/cusum.py
@@ -30,7 +30,7 @@
 CONFIRMED_ALARM_THRESHOLD = log(30)
 """The sum that must remain without any one instance or proxy.
 
-It takes at least two bad outcomes.
+One bad outcome is not enough to reach it; at least two are needed.
 """
 MAX_ADVANCE_EVIDENCE = ALARM_THRESHOLD / 3
 """The rollout does not advance while the confirmed evidence is this much or more."""
@@ -59,7 +59,7 @@
     """Evidence against the new version, as sums of log-likelihood ratios."""
 
     against: float
-    """The sum, reduced if too much of it comes from one source.
+    """The sum, reduced if too much of it comes from one instance or one proxy.
 
     ALARM_THRESHOLD or more reverts the rollout.
     """
--- a/umbermoor/gateway/rollout/service_rollout.py
+++ b/umbermoor/gateway/rollout/service_rollout.py
@@ -44,7 +44,10 @@
 HORIZON = 20 * SECOND
 """The paper's N is the number of requests expected in this time."""
 MAX_TRIAL_SHARE = 0.25
-"""The largest share of the requests that go to the trial in a burst, if there are few instances."""
+"""Limit on the share of a burst of requests that goes to the trial, by saved credit.
+
+With more than four instances of the earlier version the limit is 1 / their number.
+"""
 EJECTION_FAILURES = 3
 """Consecutive failures that eject an instance while another one is left (outlier ejection)."""
 EJECTION_TIME = 2 * SECOND
--- a/umbermoor/gateway/server/drain.py
+++ b/umbermoor/gateway/server/drain.py
@@ -4,7 +4,7 @@
     LAME_DUCK    reports not ready; new connections still arrive, as the platform notices only
                  after two readiness checks
     FINISHING    accepts no connections and starts no requests; finishes those in progress
-    ENDED        every request has been answered
+    ENDED        the time for responses is over; requests may still be unanswered
 
 The invariant is that all work ends before the process does: a request is started only while enough
 of the grace period is left, and its deadline lies before the end of the process. Both depend only
--- a/umbermoor/gateway/server/proxy.py
+++ b/umbermoor/gateway/server/proxy.py
@@ -256,7 +256,8 @@
     def drain(self) -> None:
         """Begin the drain.
 
-        The proxy is no longer ready, and connections with a request in progress accept no more.
+        The proxy is no longer ready, and connections with a request in progress accept no further
+        requests.
         """
         drain = self.clients.drain
         if drain.began:
--- a/umbermoor/gateway/server/request_handler.py
+++ b/umbermoor/gateway/server/request_handler.py
@@ -117,7 +117,10 @@
         self._admit(connection, pending, request, route)
 
     def is_idempotent(self, request: Request) -> bool:
-        """Whether later requests on its connection need not wait for its response."""
+        """Whether the request's route is idempotent; also true if it has no route.
+
+        Later requests on the connection of such a request need not wait for its response.
+        """
         if self.routes is None:
             return True
         route = self.routes.find(request.headers.get("host", ""), request.target)
