--- a/umbermoor/front/policy/limits.py
+++ b/umbermoor/front/policy/limits.py
@@ -20,7 +20,7 @@
         return may
 
     def _allows(self, now: int, query: Query, machine: Machine) -> bool:
-        """Return whether the query may go to the machine now; never to one that drains, even in its grace."""
+        """Whether the query may go to the machine now; never to one that drains, even in `drain_grace`."""
         charter, profile, hand_offs = self.charter, self.charter.profiles[query.profile], query.hand_offs
         if (query.ended or now >= query.due or len(hand_offs) >= charter.most_hand_offs
                 or not machine.ready or hand_offs and hand_offs[-1].ending is None and not charter.may_copy
--- a/umbermoor/gateway/distribution/deltas.py
+++ b/umbermoor/gateway/distribution/deltas.py
@@ -3,7 +3,7 @@
 A delta is a zstd frame with the base text as its dictionary (RFC 8878; zstd's patch-from). A digest
 of the whole text verifies the result, so applying a delta to the wrong base does no harm.
 `DeltaCodec` replaces the long texts in messages, and `DeltaChannel` uses it for the messages of a
-replica. No I/O.
+replica. A proxy needs only `apply_delta` and `text_digest`, for configurations. No I/O.
 """
 
 import base64
